--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -3,8 +3,8 @@
 use crate::ledger::{Attempt, Entry, Listed, Place, Rules};
 use crate::{Answer, AttemptId, Clearance, Command, Decide, Duplicate, Ended, Incoming, ProbeId};
 use finchvale::{
-    Action, Advice, Arrival, Event, ListKind, LoadReport, Outcome, Probed, Refusal, RequestId, ServerEntry,
-    ServerId, ServerState, Settings, Time, TimerId,
+    Action, Arrival, Event, ListKind, LoadReport, Outcome, ProbeEnded, Refusal, RequestId, ServerAdjustment,
+    ServerEntry, ServerId, ServerState, Settings, Time, TimerId,
 };
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, HashSet, VecDeque};
@@ -109,9 +109,9 @@
         std::mem::take(&mut self.ends)
     }
 
-    /// What the whole fleet knows of servers ([`Event::Advice`]).
-    pub fn advise(&mut self, now: Time, advice: Vec<Advice>) {
-        self.feed(now, Event::Advice(advice));
+    /// What the whole fleet knows of servers ([`Event::Adjustments`]).
+    pub fn advise(&mut self, now: Time, advice: Vec<ServerAdjustment>) {
+        self.feed(now, Event::Adjustments(advice));
     }
 
     // ---- what happens ----
@@ -129,7 +129,10 @@
         self.ledger.insert(id, entry);
         self.due.insert((last, Due::Answer(id)));
         let remaining = due - now;
-        self.feed(now, Event::Arrival(Arrival { request: id, class, tenant, remaining, work, whole }));
+        self.feed(
+            now,
+            Event::Arrival(Arrival { request: id, class, tenant, remaining, work, body_complete: whole }),
+        );
         self.settle(id);
         Ok(id)
     }
@@ -197,7 +200,7 @@
         let attempts = self.ledger.get_mut(&request).map(|entry| &mut entry.attempts);
         if let Some(a) = attempts.and_then(|all| all.get_mut(number as usize)).filter(|a| a.out) {
             a.whole = now;
-            self.feed(now, Event::Written { request, attempt: number });
+            self.feed(now, Event::RequestWritten { request, attempt: number });
         }
     }
 
@@ -228,7 +231,7 @@
     pub fn probed(&mut self, now: Time, probe: ProbeId, outcome: Outcome, report: Option<LoadReport>) {
         let Some((server, began)) = self.probes.remove(&probe) else { return };
         self.due.remove(&(began + PROBE_TIMEOUT, Due::Probe(probe)));
-        self.feed(now, Event::Probed(Probed { server, outcome, latency: now - began, report }));
+        self.feed(now, Event::ProbeEnded(ProbeEnded { server, outcome, latency: now - began, report }));
     }
 
     /// The list of servers, or changes to it, counts as told from now on.
@@ -246,9 +249,9 @@
         self.feed(now, Event::List { kind, entries });
     }
 
-    /// Where this node stands among those that live ([`Event::Place`]).
+    /// Where this node stands among those that live ([`Event::RingPosition`]).
     pub fn place(&mut self, now: Time, begins: f64, nodes: u32) {
-        self.feed(now, Event::Place { begins, nodes });
+        self.feed(now, Event::RingPosition { start: begins, nodes });
     }
 
     /// Does what is due by now.
@@ -320,7 +323,7 @@
         if self.tells_ends {
             self.ends.push((server, outcome, latency));
         }
-        Some(Event::Ended(finchvale::Ended {
+        Some(Event::AttemptEnded(finchvale::AttemptEnded {
             request,
             attempt: number,
             server,
@@ -434,7 +437,7 @@
     fn probe(&mut self, now: Time, server: ServerId) {
         let (outcome, latency, report) = (Outcome::NotSent, Duration::ZERO, None);
         if !self.servers.contains_key(&server) {
-            return self.events.push_back(Event::Probed(Probed { server, outcome, latency, report }));
+            return self.events.push_back(Event::ProbeEnded(ProbeEnded { server, outcome, latency, report }));
         }
         let probe = ProbeId(self.next_probe);
         self.next_probe += 1;
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -1,6 +1,6 @@
 //! What is known of a request in hand, and which further attempts the rules allow.
 
-use finchvale::{CellId, ClassId, Effect, Group, ServerId, ServerState, Settings, Time, ZoneId};
+use finchvale::{CellId, ClassId, Effect, KeyScope, ServerId, ServerState, Settings, Time, ZoneId};
 use std::rc::Rc;
 
 /// A request in hand.
@@ -110,16 +110,16 @@
         match self.effect(entry.class) {
             Effect::Safe => None,
             Effect::Unsafe => others().any(Attempt::may_have_run).then_some("an attempt may have run"),
-            Effect::Keyed { group, window } => {
+            Effect::Keyed { scope, window } => {
                 let mut risky = others().filter(|a| a.may_have_run());
                 let first = risky.clone().map(|a| a.began).min()?;
                 if now >= first + window {
                     return Some("its window has passed");
                 }
-                let apart = |a: &Attempt| match group {
-                    Group::All => false,
-                    Group::Zone => a.place.zone != server.place.zone,
-                    Group::Cell => a.place.cell != server.place.cell,
+                let apart = |a: &Attempt| match scope {
+                    KeyScope::All => false,
+                    KeyScope::Zone => a.place.zone != server.place.zone,
+                    KeyScope::Cell => a.place.cell != server.place.cell,
                 };
                 risky.any(apart).then_some("an attempt may have run outside the server's group")
             }
@@ -129,7 +129,7 @@
     /// Whether a refusal, which promises that trying again is harmless, would be true.
     pub(crate) fn may_refuse<R>(&self, entry: &Entry<R>) -> bool {
         match self.effect(entry.class) {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
             Effect::Unsafe | Effect::Keyed { .. } => !entry.attempts.iter().any(Attempt::may_have_run),
         }
     }
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -30,10 +30,10 @@
         zones: None,
         kinds: None,
     };
-    let keyed = Effect::Keyed { group: Group::Cell, window: WINDOW };
+    let keyed = Effect::Keyed { scope: KeyScope::Cell, window: WINDOW };
     Settings {
         nodes: 1,
-        me: None,
+        node_index: None,
         prices: Prices::default(),
         zone: ZoneId(0),
         zones: 1,
@@ -41,24 +41,24 @@
         tenants: vec![],
         over_share_worth: 1.0,
         worth_by_work: false,
-        weights_given: false,
+        use_listed_weights: false,
         reports: Reports::ByProbe,
         reports_rate: false,
-        list_on_request: false,
+        subscribe_to_lists: false,
         max_attempts: 3,
         may_cancel: true,
         may_probe: true,
         second_copies,
         conn_idle: 1000 * MS,
         connect_timeout: 20 * MS,
-        max_wait: Some(100 * MS),
+        max_retry_after: Some(100 * MS),
         rules: Rules {
             drain_grace: 1000 * MS,
             cold_from: 0.5,
             warm_up: 100 * MS,
             fall_multiple: 3.0,
             fall_time: 100 * MS,
-            ask_within: 1000 * MS,
+            list_poll_interval: 1000 * MS,
         },
     }
 }
@@ -96,7 +96,7 @@
             let server = ServerId(below(&mut self.rng, SERVERS.into()) as u32);
             let some = Duration::from_millis(below(&mut self.rng, 60));
             actions.push(match below(&mut self.rng, 10) {
-                0 => Action::Refuse { request, wait: Some(some), why: Refusal::Toll },
+                0 => Action::Refuse { request, wait: Some(some), why: Refusal::BelowThreshold },
                 1 => Action::Fail { request },
                 2 => Action::Cancel { request, attempt: below(&mut self.rng, 4) as u32 },
                 3 => Action::SetTimer { at: now + some, timer: TimerId(0) },
@@ -281,7 +281,7 @@
                         self.write(at);
                     }
                     (true, 0) => self.end(at, Outcome::Served),
-                    (true, 1) => self.end(at, Outcome::TurnedAway),
+                    (true, 1) => self.end(at, Outcome::Rejected),
                     (true, 2) => self.end(at, Outcome::Broken),
                     (true, _) => self.end(at, Outcome::Error),
                 }
@@ -350,13 +350,15 @@
             Event::Arrival(a) => {
                 actions.push(Action::Send { request: a.request, server: ServerId(0), limit: None });
             }
-            Event::Ended(e) if !e.closed && e.attempt < 2 => {
+            Event::AttemptEnded(e) if !e.closed && e.attempt < 2 => {
                 let server = ServerId(e.server.0 + 1);
                 actions.push(Action::Send { request: e.request, server, limit: None });
             }
-            Event::Ended(e) if !e.closed => {
-                actions.push(Action::Refuse { request: e.request, wait: None, why: Refusal::Spent })
-            }
+            Event::AttemptEnded(e) if !e.closed => actions.push(Action::Refuse {
+                request: e.request,
+                wait: None,
+                why: Refusal::AttemptsExhausted,
+            }),
             _ => {}
         }
     }
@@ -513,7 +515,7 @@
         fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
             let request = match event {
                 Event::Arrival(a) => a.request,
-                Event::Ended(e) if !e.closed && e.attempt < 9 => e.request,
+                Event::AttemptEnded(e) if !e.closed && e.attempt < 9 => e.request,
                 _ => return,
             };
             actions.push(Action::Send { request, server: ServerId(0), limit: None });
@@ -538,7 +540,7 @@
         fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
             let request = match event {
                 Event::Arrival(a) => a.request,
-                Event::Ended(e) if !e.closed => e.request,
+                Event::AttemptEnded(e) if !e.closed => e.request,
                 _ => return,
             };
             actions.push(Action::Send { request, server: ServerId(99), limit: None });
@@ -576,7 +578,7 @@
                     let go = matches!(engine.clear(now, attempt), Clearance::Go(_));
                     let outcome = match (go, some / 64 % 8) {
                         (false, _) => Outcome::NotSent,
-                        (true, 0) => Outcome::TurnedAway,
+                        (true, 0) => Outcome::Rejected,
                         (true, 1) => Outcome::Broken,
                         (true, 2) => Outcome::Error,
                         (true, _) => Outcome::Served,
@@ -626,7 +628,7 @@
 }
 
 /// Sends each request to the first server and keeps what it is told of the end.
-struct First(std::rc::Rc<std::cell::RefCell<Vec<finchvale::Ended>>>);
+struct First(std::rc::Rc<std::cell::RefCell<Vec<finchvale::AttemptEnded>>>);
 
 impl Decide for First {
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
@@ -634,7 +636,7 @@
             Event::Arrival(a) => {
                 actions.push(Action::Send { request: a.request, server: ServerId(0), limit: None });
             }
-            Event::Ended(end) => self.0.borrow_mut().push(end),
+            Event::AttemptEnded(end) => self.0.borrow_mut().push(end),
             _ => {}
         }
     }
--- a/crates/figures/src/lib.rs
+++ b/crates/figures/src/lib.rs
@@ -238,7 +238,7 @@
         };
         Ok(Rc::new(Figures {
             results,
-            refusals: Refusal::ALL.map(|why| refusals.with_label_values(&[why.name()])),
+            refusals: Refusal::ALL.map(|why| refusals.with_label_values(&[why.as_str()])),
             forwards: counter("forwards", "Attempts written whole to servers.")?,
             probes: counter("probes", "Probes sent to servers.")?,
             handshakes: counter("handshakes", "Connections to servers that came up.")?,
--- a/crates/host/src/health.rs
+++ b/crates/host/src/health.rs
@@ -70,11 +70,15 @@
 
     pub(crate) fn met(&mut self, server: ServerId, outcome: Outcome) {
         // What ended before it reached the server, or turned it away, says nothing of its silence.
-        let Some(name) = self.names.get(&server).copied().filter(|_| outcome.silent() || outcome.spoken())
+        let Some(name) = self
+            .names
+            .get(&server)
+            .copied()
+            .filter(|_| outcome.server_unresponsive() || outcome.server_responded())
         else {
             return;
         };
-        if self.spare.met(self.now(), name, outcome.spoken()) {
+        if self.spare.met(self.now(), name, outcome.server_responded()) {
             (self.report)(name);
         }
     }
@@ -111,7 +115,7 @@
         match asking.await {
             Ok(()) => match told.await.ok()? {
                 Outcome::NotSent => None,
-                outcome => Some(outcome.spoken()),
+                outcome => Some(outcome.server_responded()),
             },
             Err(_) => Some(false),
         }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -147,7 +147,7 @@
             closed: Cell::new(false),
             door: RefCell::default(),
             passes: RefCell::default(),
-            max_wait: settings.max_wait,
+            max_wait: settings.max_retry_after,
             warm_up: settings.rules.warm_up,
             end: Cell::new(None),
         });
--- a/crates/host/src/witness.rs
+++ b/crates/host/src/witness.rs
@@ -1,7 +1,7 @@
 //! What a host tells of its attempts' ends, and takes of what others met, by the servers' names' hashes.
 
 use crate::{Host, Upstream};
-use finchvale::{Advice, Outcome, ServerEntry, ServerId, ServerState, Time};
+use finchvale::{Outcome, ServerAdjustment, ServerEntry, ServerId, ServerState, Time};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
@@ -21,16 +21,16 @@
 /// Told of an end.
 pub type Tell = dyn Fn(End);
 
-/// What is said of a server: its name's hash, and the rest as in [`Advice`].
+/// What is said of a server: its name's hash, and the rest as in [`ServerAdjustment`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Said {
     /// The hash of its name.
     pub name: u64,
-    /// See [`Advice::open`].
+    /// See [`ServerAdjustment::share_limit`].
     pub open: f64,
-    /// See [`Advice::weight`].
+    /// See [`ServerAdjustment::weight_factor`].
     pub weight: f64,
-    /// See [`Advice::sure`].
+    /// See [`ServerAdjustment::confidence`].
     pub sure: f64,
 }
 
@@ -91,10 +91,15 @@
         self.ready
     }
 
-    pub(crate) fn advice(&self, said: &[Said]) -> Vec<Advice> {
+    pub(crate) fn advice(&self, said: &[Said]) -> Vec<ServerAdjustment> {
         let each = said.iter().filter_map(|s| {
             let server = *self.ids.get(&s.name)?;
-            Some(Advice { server, open: s.open, weight: s.weight, sure: s.sure })
+            Some(ServerAdjustment {
+                server,
+                share_limit: s.open,
+                weight_factor: s.weight,
+                confidence: s.sure,
+            })
         });
         each.collect()
     }
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -338,7 +338,7 @@
     let not_run = || headers.get(NOT_PROCESSED).is_some_and(|v| v.as_bytes() == b"1");
     match status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => Outcome::TurnedAway,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => Outcome::Rejected,
         // A 503 without the mark proves nothing.
         _ => Outcome::Error,
     }
--- a/crates/lab/benches/decide.rs
+++ b/crates/lab/benches/decide.rs
@@ -6,8 +6,8 @@
 use birchswitch_lab::scenario::{Scenario, Size};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use finchvale::{
-    Action, Arrival, Balancer, CellId, ClassId, Ended, Event, KindId, ListKind, LoadReport, Outcome, Probed,
-    RequestId, ServerEntry, ServerId, ServerState, TenantId, Time, ZoneId,
+    Action, Arrival, AttemptEnded, Balancer, CellId, ClassId, Event, KindId, ListKind, LoadReport, Outcome,
+    ProbeEnded, RequestId, ServerEntry, ServerId, ServerState, TenantId, Time, ZoneId,
 };
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
         let (class, tenant) = (ClassId(0), TenantId(0));
         let (remaining, work) = (Duration::from_millis(870), Some(Duration::from_millis(100)));
         let mut events =
-            vec![Event::Arrival(Arrival { request, class, tenant, remaining, work, whole: true })];
+            vec![Event::Arrival(Arrival { request, class, tenant, remaining, work, body_complete: true })];
         while let Some(event) = events.pop() {
             self.balancer.handle(self.now, event, &mut self.actions);
             for action in self.actions.drain(..) {
@@ -56,9 +56,14 @@
                         let report =
                             LoadReport { held: Some(held), busy: Some(0.6), ..LoadReport::default() };
                         let (outcome, latency) = (Outcome::Served, Duration::from_millis(1));
-                        events.push(Event::Probed(Probed { server, outcome, latency, report: Some(report) }));
+                        events.push(Event::ProbeEnded(ProbeEnded {
+                            server,
+                            outcome,
+                            latency,
+                            report: Some(report),
+                        }));
                     }
-                    Action::Send { request, server, .. } => events.push(Event::Ended(Ended {
+                    Action::Send { request, server, .. } => events.push(Event::AttemptEnded(AttemptEnded {
                         request,
                         attempt: 0,
                         server,
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -109,7 +109,7 @@
             Peer::PeakEwma => Box::new(PeakEwma::default()),
             Peer::Subset => Box::new(Subset { rank: seed, known: FxHashMap::default() }),
             Peer::Aperture => Box::new(Aperture {
-                begins: f64::from(settings.me.unwrap_or(0)) / f64::from(settings.nodes),
+                begins: f64::from(settings.node_index.unwrap_or(0)) / f64::from(settings.nodes),
                 out: LeastOutstanding::default(),
             }),
             Peer::Bounded => Box::new(Bounded { together: together.clone(), hall: hall.clone() }),
@@ -187,7 +187,7 @@
         let Some(wanted) = self.requests.remove(&id) else { return };
         let class = &self.settings.classes[usize::from(wanted.arrival.class.0)];
         let harmless = matches!(class.effect, Effect::Safe) || !wanted.may_have_run;
-        let wait = self.settings.max_wait;
+        let wait = self.settings.max_retry_after;
         actions.push(if harmless {
             Action::Refuse { request: id, wait, why: Refusal::NoServer }
         } else {
@@ -217,7 +217,7 @@
                 self.requests.insert(arrival.request, wanted);
                 self.place(now, arrival.request, actions);
             }
-            Event::Ended(end) => {
+            Event::AttemptEnded(end) => {
                 let Some(wanted) = self.requests.get_mut(&end.request) else { return };
                 wanted.out = false;
                 wanted.may_have_run |= !end.outcome.never_ran();
@@ -238,12 +238,12 @@
                 }
             }
             // Peers stay where they were told that they stand.
-            Event::Begun { .. }
-            | Event::Written { .. }
+            Event::ResponseStarted { .. }
+            | Event::RequestWritten { .. }
             | Event::Timer { .. }
-            | Event::Probed(_)
-            | Event::Advice(_)
-            | Event::Place { .. } => {}
+            | Event::ProbeEnded(_)
+            | Event::Adjustments(_)
+            | Event::RingPosition { .. } => {}
         }
     }
 }
--- a/crates/lab/src/scenario/settings.rs
+++ b/crates/lab/src/scenario/settings.rs
@@ -1,7 +1,7 @@
 //! A scenario as nodes are told it.
 
 use super::{seconds, ClassOf, EffectOf, Scenario, Size, IDLE, TENANTS};
-use finchvale::{Class, Effect, Group, Prices, Reports, Rules, Settings, Tenant, ZoneId};
+use finchvale::{Class, Effect, KeyScope, Prices, Reports, Rules, Settings, Tenant, ZoneId};
 
 impl Scenario {
     /// What a node is told at its start.
@@ -10,8 +10,8 @@
             effect: match c.effect {
                 EffectOf::Safe => Effect::Safe,
                 EffectOf::Unsafe => Effect::Unsafe,
-                EffectOf::KeyedCell => Effect::Keyed { group: Group::Cell, window: seconds(c.window()) },
-                EffectOf::KeyedAll => Effect::Keyed { group: Group::All, window: seconds(c.window()) },
+                EffectOf::KeyedCell => Effect::Keyed { scope: KeyScope::Cell, window: seconds(c.window()) },
+                EffectOf::KeyedAll => Effect::Keyed { scope: KeyScope::All, window: seconds(c.window()) },
             },
             aim: seconds(c.aim),
             aim_stretch: 0.0,
@@ -25,7 +25,7 @@
         let all = self.rate(size) / self.load * 0.85;
         Settings {
             nodes: size.nodes,
-            me: Some(node),
+            node_index: Some(node),
             prices: Prices { probe: self.prices.probe, handshake: self.prices.handshake },
             zone: ZoneId((node % u32::from(self.network.halls)) as u8),
             zones: self.network.halls,
@@ -33,24 +33,24 @@
             tenants: TENANTS.map(|part| Tenant { quota_per_s: part * all }).into(),
             over_share_worth: 0.2,
             worth_by_work: self.hints,
-            weights_given: !self.nodes.weights.is_empty(),
+            use_listed_weights: !self.nodes.weights.is_empty(),
             reports: if self.reports.by_probe { Reports::ByProbe } else { Reports::WithAnswers },
             reports_rate: false,
-            list_on_request: false,
+            subscribe_to_lists: false,
             max_attempts: 3,
             may_cancel: true,
             may_probe: self.reports.by_probe,
             second_copies: true,
             conn_idle: seconds(IDLE),
             connect_timeout: seconds(0.25),
-            max_wait: Some(seconds(2.0)),
+            max_retry_after: Some(seconds(2.0)),
             rules: Rules {
                 drain_grace: seconds(1.0),
                 cold_from: self.servers.cold_from,
                 warm_up: seconds(self.servers.warm_up),
                 fall_multiple: 3.0,
                 fall_time: seconds(2.0),
-                ask_within: seconds(10.0),
+                list_poll_interval: seconds(10.0),
             },
         }
     }
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -175,8 +175,7 @@
                 true => Cause::RefusedAtDoor,
             };
         };
-        if let Some(Outcome::Error | Outcome::Broken | Outcome::Unreachable | Outcome::TurnedAway) = t.outcome
-        {
+        if let Some(Outcome::Error | Outcome::Broken | Outcome::Unreachable | Outcome::Rejected) = t.outcome {
             return Cause::ServerFailed;
         }
         let m = &hall.machines[server];
--- a/crates/lab/src/world/common.rs
+++ b/crates/lab/src/world/common.rs
@@ -9,7 +9,7 @@
 use birchswitch_tuner as tuner;
 use birchswitch_verdict as verdict;
 use birchswitch_verdict::Met;
-use finchvale::{Advice, Outcome, ServerId, Time};
+use finchvale::{Outcome, ServerAdjustment, ServerId, Time};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     went: FxHashMap<AttemptId, (usize, Time)>,
     /// When it told the tuner last.
     told: Duration,
-    advice: Vec<Advice>,
+    advice: Vec<ServerAdjustment>,
 }
 
 /// What judges and weighs for all.
@@ -77,7 +77,7 @@
             Outcome::Served if !warm(server) => return,
             Outcome::Served => Met::Answered(took),
             Outcome::Error | Outcome::Broken | Outcome::TimedOut | Outcome::Unreachable => Met::Failed,
-            Outcome::TurnedAway | Outcome::NotSent | Outcome::Cancelled => return,
+            Outcome::Rejected | Outcome::NotSent | Outcome::Cancelled => return,
         };
         common.tally.met(since_origin(now), server as u64, met);
         if outcome == Outcome::Served {
@@ -126,7 +126,7 @@
         let at = since_origin(self.now);
         let common = &mut self.nodes[node].common;
         let withheld: Vec<u64> =
-            common.advice.iter().filter(|a| a.open < 1.0).map(|a| u64::from(a.server.0)).collect();
+            common.advice.iter().filter(|a| a.share_limit < 1.0).map(|a| u64::from(a.server.0)).collect();
         let hall = self.hall.borrow();
         let warm = |s: u64| hall.machines.get(s as usize).is_some_and(|m| m.model.warmth(at) >= 1.0);
         common.sketches.take().into_iter().filter(|s| warm(s.0) && !withheld.contains(&s.0)).collect()
@@ -148,22 +148,26 @@
             return;
         }
         let at = since_origin(self.now);
-        let none =
-            |server: u64| Advice { server: ServerId(server as u32), open: 1.0, weight: 1.0, sure: 0.0 };
-        let mut all: BTreeMap<u64, Advice> = BTreeMap::new();
+        let none = |server: u64| ServerAdjustment {
+            server: ServerId(server as u32),
+            share_limit: 1.0,
+            weight_factor: 1.0,
+            confidence: 0.0,
+        };
+        let mut all: BTreeMap<u64, ServerAdjustment> = BTreeMap::new();
         let hall = self.hall.borrow();
         let listed = |s: u64| hall.machines.get(s as usize).is_some_and(|m| m.life == Life::Up);
         let ready = hall.machines.iter().filter(|m| m.life == Life::Up).count();
         let common = &mut self.nodes[node].common;
         for (server, open) in common.obeyed.now(&JUDGED, at, &listed, ready) {
-            all.entry(server).or_insert_with(|| none(server)).open = open;
+            all.entry(server).or_insert_with(|| none(server)).share_limit = open;
         }
         for (server, weight, sure) in common.weights.now(at) {
             let a = all.entry(server).or_insert_with(|| none(server));
-            (a.weight, a.sure) = (weight, sure);
+            (a.weight_factor, a.confidence) = (weight, sure);
         }
         drop(hall);
-        let all: Vec<Advice> = all.into_values().collect();
+        let all: Vec<ServerAdjustment> = all.into_values().collect();
         if common.advice != all {
             common.advice = all.clone();
             self.nodes[node].engine.advise(self.now, all);
--- a/crates/lab/src/world/health.rs
+++ b/crates/lab/src/world/health.rs
@@ -83,12 +83,12 @@
     }
 
     pub(super) fn met(&mut self, node: usize, server: usize, outcome: Outcome) {
-        if !self.scenario.nodes.health || !outcome.spoken() && !outcome.silent() {
+        if !self.scenario.nodes.health || !outcome.server_responded() && !outcome.server_unresponsive() {
             return;
         }
         let now = since_origin(self.now);
         let n = &mut self.nodes[node];
-        if n.spare.met(now, name(server), outcome.spoken()) {
+        if n.spare.met(now, name(server), outcome.server_responded()) {
             let hall = n.zone;
             self.agenda
                 .put(self.now + seconds(self.scenario.network.same), Happening::Reported(hall, name(server)));
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/world/nodes.rs
@@ -78,7 +78,7 @@
 
     /// What came back leaves its connection, where that is whole.
     pub(super) fn released(&mut self, node: usize, server: usize, outcome: Outcome) {
-        if matches!(outcome, Outcome::Served | Outcome::Error | Outcome::TurnedAway) {
+        if matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Rejected) {
             self.nodes[node].idle.entry(server).or_default().push(self.now);
         }
     }
@@ -180,7 +180,7 @@
         let with_answers = !self.scenario.reports.by_probe;
         let report =
             (with_answers && matches!(outcome, Outcome::Served | Outcome::Error)).then(|| self.look(server));
-        self.book.turned_away += u64::from(outcome == Outcome::TurnedAway);
+        self.book.turned_away += u64::from(outcome == Outcome::Rejected);
         // Drawn only where answers get lost, so that other scenarios play as without.
         let lost = self.lost.0 > 0.0 && self.chance.unit() < self.lost.0;
         let reset = lost && self.chance.unit() < self.lost.1;
--- a/crates/lab/src/world/servers.rs
+++ b/crates/lab/src/world/servers.rs
@@ -81,7 +81,7 @@
         match life {
             Life::Dead { silent: true } => return,
             Life::Dead { silent: false } => return self.tell(server, whose, Outcome::Unreachable),
-            _ if refuses => return self.tell(server, whose, Outcome::TurnedAway),
+            _ if refuses => return self.tell(server, whose, Outcome::Rejected),
             _ if fails => return self.tell(server, whose, Outcome::Error),
             _ => {}
         }
@@ -96,7 +96,7 @@
             admission
         });
         match admission {
-            Admission::TurnedAway => self.tell(server, whose, Outcome::TurnedAway),
+            Admission::TurnedAway => self.tell(server, whose, Outcome::Rejected),
             Admission::Taken => {
                 let o = &mut self.orders[self.tries[of].order];
                 let first = *o.taken.get_or_insert(self.now);
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -14,7 +14,9 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-use finchvale::{Class, Effect, Group, KindId, LoadReport, Prices, Reports, Rules, Settings, Tenant, ZoneId};
+use finchvale::{
+    Class, Effect, KeyScope, KindId, LoadReport, Prices, Reports, Rules, Settings, Tenant, ZoneId,
+};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -262,10 +264,10 @@
             EffectDoc::Free => Effect::Safe,
             EffectDoc::SingleShot => Effect::Unsafe,
             EffectDoc::Guarded => Effect::Keyed {
-                group: match p.key_scope {
-                    Scope::All => Group::All,
-                    Scope::Zone => Group::Zone,
-                    Scope::Cell => Group::Cell,
+                scope: match p.key_scope {
+                    Scope::All => KeyScope::All,
+                    Scope::Zone => KeyScope::Zone,
+                    Scope::Cell => KeyScope::Cell,
                 },
                 window: ns(p.repeat_window_ns),
             },
@@ -281,7 +283,7 @@
     });
     let settings = Settings {
         nodes: doc.balancers,
-        me: doc.me,
+        node_index: doc.me,
         prices: Prices { probe: price(&doc.prices.probe), handshake: price(&doc.prices.handshake) },
         zone: ZoneId(doc.zone),
         zones: u8::try_from(doc.zones.len().max(1)).unwrap_or(u8::MAX),
@@ -289,28 +291,28 @@
         tenants: doc.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
         over_share_worth: doc.over_share_worth,
         worth_by_work: matches!(doc.worth_by, WorthBy::Work),
-        weights_given: !matches!(doc.weights, Weights::Silent),
+        use_listed_weights: !matches!(doc.weights, Weights::Silent),
         reports: match doc.report.how {
             How::Piggyback => Reports::WithAnswers,
             How::Pull => Reports::ByProbe,
             How::Silent => Reports::Absent,
         },
         reports_rate: fields.contains(&Field::Utilization) && fields.contains(&Field::Throughput),
-        list_on_request: matches!(doc.registry_mode, Mode::Subscribe),
+        subscribe_to_lists: matches!(doc.registry_mode, Mode::Subscribe),
         max_attempts: doc.limits.try_limit,
         may_cancel: doc.limits.may_cancel,
         may_probe: doc.limits.may_probe,
         second_copies: doc.limits.second_copies,
         conn_idle: ns(doc.limits.conn_idle_ns),
         connect_timeout: ns(doc.limits.connect_timeout_ns),
-        max_wait: doc.limits.retry_after.then(|| ns(doc.limits.max_retry_after_ns)),
+        max_retry_after: doc.limits.retry_after.then(|| ns(doc.limits.max_retry_after_ns)),
         rules: Rules {
             drain_grace: ns(doc.rules.drain_grace_ns),
             cold_from: doc.rules.cold_from,
             warm_up: ns(doc.rules.warm_up_ns),
             fall_multiple: doc.rules.fall_multiple,
             fall_time: ns(doc.rules.overload_for_ns),
-            ask_within: ns(doc.rules.ask_every_ns),
+            list_poll_interval: ns(doc.rules.ask_every_ns),
         },
     };
     let names = Names {
--- a/crates/thrift-proxy/src/settings.rs
+++ b/crates/thrift-proxy/src/settings.rs
@@ -286,7 +286,7 @@
             (None, None) => Reports::Absent,
         };
         site.reports_rate = false;
-        site.list_on_request = false;
+        site.subscribe_to_lists = false;
         site
     }
 }
--- a/crates/thrift-proxy/src/upstream.rs
+++ b/crates/thrift-proxy/src/upstream.rs
@@ -160,7 +160,7 @@
             let kind = read.ok().and_then(|m| m.values[0]?.integer());
             let proof = |n: &crate::settings::ExceptionName| kind == Some(*n as i64);
             let never_ran = self.settings.settings.servers.never_ran.iter().any(proof);
-            return Ended::bare(if never_ran { Outcome::TurnedAway } else { Outcome::Error });
+            return Ended::bare(if never_ran { Outcome::Rejected } else { Outcome::Error });
         }
         let report = self.settings.report.as_ref().and_then(|paths| self.report(&reply, paths));
         Ended { outcome: Outcome::Served, report, answer: Some(reply) }
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -2,8 +2,8 @@
 
 use birchswitch_site::Field;
 use finchvale::{
-    Action, Arrival, CellId, ClassId, Ended, Event, KindId, ListKind, LoadReport, Outcome, Probed, RequestId,
-    ServerEntry, ServerId, ServerState, TenantId, Time, TimerId, ZoneId,
+    Action, Arrival, AttemptEnded, CellId, ClassId, Event, KindId, ListKind, LoadReport, Outcome, ProbeEnded,
+    RequestId, ServerEntry, ServerId, ServerState, TenantId, Time, TimerId, ZoneId,
 };
 use std::time::Duration;
 
@@ -160,12 +160,14 @@
                 class: ClassId(r[11]),
                 remaining: ns(20),
                 work: (r[36] & 1 != 0).then(|| ns(28)),
-                whole: true,
+                body_complete: true,
             })),
-            25 => {
-                Record::Event(Event::Begun { request: request(), attempt: u32::from(r[9]), latency: ns(14) })
-            }
-            21 => Record::Event(Event::Ended(Ended {
+            25 => Record::Event(Event::ResponseStarted {
+                request: request(),
+                attempt: u32::from(r[9]),
+                latency: ns(14),
+            }),
+            21 => Record::Event(Event::AttemptEnded(AttemptEnded {
                 request: request(),
                 attempt: u32::from(r[9]),
                 server: ServerId(int::<4>(r, 10) as u32),
@@ -176,7 +178,7 @@
             })),
             22 => Record::Event(Event::ClientGone { request: request() }),
             17 => Record::Event(Event::Timer { timer: TimerId(int::<4>(r, 1) as u32) }),
-            20 => Record::Event(Event::Probed(Probed {
+            20 => Record::Event(Event::ProbeEnded(ProbeEnded {
                 latency: ns(1),
                 server: ServerId(int::<4>(r, 9) as u32),
                 outcome: outcome(at, int::<2>(r, 13))?,
@@ -236,7 +238,7 @@
     Ok(match code {
         200 => Outcome::Served,
         500 => Outcome::Error,
-        503 => Outcome::TurnedAway,
+        503 => Outcome::Rejected,
         504 => Outcome::TimedOut,
         502 => Outcome::Unreachable,
         598 => Outcome::Broken,
--- a/drill/tests/wire.rs
+++ b/drill/tests/wire.rs
@@ -77,17 +77,19 @@
         "15 00068b685d3a91c4 00 03124a07 00c8 00000000011a49a0 01 04 3f1eb852 430c0000 40400000 40e00000",
         &[],
     );
-    let Ok(Event::Ended(v)) = e else { panic!("{e:?}") };
+    let Ok(Event::AttemptEnded(v)) = e else { panic!("{e:?}") };
     assert_eq!((v.attempt, v.server.0, v.outcome, v.closed), (0, 0x0312_4a07, Outcome::Served, true));
     let report = v.report.unwrap();
     assert!((report.busy.unwrap() - 0.62).abs() < 1e-6);
     assert_eq!((report.rate, report.waiting, report.held), (Some(140.0), Some(3.0), Some(7.0)));
     let e = one("14 0000000000155cc0 2c9011f2 00c8 04 3f1eb852 430c0000 40400000 40e00000", &[]).unwrap();
     assert!(
-        matches!(e, Event::Probed(p) if p.server.0 == 0x2c90_11f2 && p.latency == Duration::from_micros(1400))
+        matches!(e, Event::ProbeEnded(p) if p.server.0 == 0x2c90_11f2 && p.latency == Duration::from_micros(1400))
     );
     let e = one("19 00068b685d3a91c4 00 03124a07 00000000008d24d0", &[]).unwrap();
-    assert!(matches!(e, Event::Begun { attempt: 0, latency, .. } if latency == Duration::from_micros(9250)));
+    assert!(
+        matches!(e, Event::ResponseStarted { attempt: 0, latency, .. } if latency == Duration::from_micros(9250))
+    );
     assert!(matches!(one("11 0000004d", &[]).unwrap(), Event::Timer { timer: TimerId(0x4d) }));
     let e = one("16 00058cb70e6f2b19", &[]).unwrap();
     assert!(matches!(e, Event::ClientGone { request: RequestId(0x0005_8cb7_0e6f_2b19) }));
@@ -135,7 +137,7 @@
         (Action::Cancel { request, attempt: 0 }, "13 00068b685d3a91c4 00"),
         (Action::Fail { request: second }, "16 00058cb70e6f2b19"),
         (
-            Action::Refuse { request: second, wait: Some(ns(0x0ee6_b280)), why: Refusal::Toll },
+            Action::Refuse { request: second, wait: Some(ns(0x0ee6_b280)), why: Refusal::BelowThreshold },
             "15 00058cb70e6f2b19 000000000ee6b280",
         ),
     ] {
@@ -189,7 +191,7 @@
     let c = parse(SETTINGS.as_bytes()).unwrap();
     assert_eq!((c.settings.nodes, c.settings.zone.0, c.settings.classes.len()), (4, 1, 2));
     assert!(c.settings.reports_rate);
-    let keyed = Effect::Keyed { group: Group::Cell, window: Duration::from_secs(3) };
+    let keyed = Effect::Keyed { scope: KeyScope::Cell, window: Duration::from_secs(3) };
     assert_eq!(c.settings.classes[1].effect, keyed);
     assert_eq!(c.settings.classes[1].kinds, Some(vec![KindId(1)]));
     assert_eq!(c.settings.classes[1].zones, Some(vec![ZoneId(0), ZoneId(1)]));
--- a/examples/by_hand.rs
+++ b/examples/by_hand.rs
@@ -18,7 +18,7 @@
     };
     Settings {
         nodes: 1,
-        me: None,
+        node_index: None,
         prices: Prices::default(),
         zone: ZoneId(0),
         zones: 1,
@@ -26,24 +26,24 @@
         tenants: vec![],
         over_share_worth: 1.0,
         worth_by_work: false,
-        weights_given: false,
+        use_listed_weights: false,
         reports: Reports::WithAnswers,
         reports_rate: true,
-        list_on_request: false,
+        subscribe_to_lists: false,
         max_attempts: 3,
         may_cancel: true,
         may_probe: false,
         second_copies: false,
         conn_idle: 60 * second,
         connect_timeout: second / 4,
-        max_wait: Some(second),
+        max_retry_after: Some(second),
         rules: Rules {
             drain_grace: second,
             cold_from: 0.2,
             warm_up: 20 * second,
             fall_multiple: 3.0,
             fall_time: second,
-            ask_within: 10 * second,
+            list_poll_interval: 10 * second,
         },
     }
 }
@@ -63,7 +63,7 @@
             tenant: TenantId(0),
             remaining,
             work: None,
-            whole: true,
+            body_complete: true,
         };
         balancer.handle(now, Event::Arrival(arrival), &mut actions);
         let (mut n, mut attempt) = (0, 0);
@@ -79,9 +79,10 @@
                         LoadReport { busy: Some(busy), rate: Some(capacity * busy), ..LoadReport::default() };
                     let latency = Duration::from_millis(100);
                     let report = (!bad).then_some(report);
-                    let end = Ended { request, attempt, server, outcome, latency, closed: !bad, report };
+                    let end =
+                        AttemptEnded { request, attempt, server, outcome, latency, closed: !bad, report };
                     attempt += 1;
-                    balancer.handle(now, Event::Ended(end), &mut actions);
+                    balancer.handle(now, Event::AttemptEnded(end), &mut actions);
                 }
                 Action::Refuse { .. } => refused += 1,
                 Action::Fail { .. } => failed += 1,
--- a/node/src/fleet/verdicts.rs
+++ b/node/src/fleet/verdicts.rs
@@ -40,7 +40,7 @@
             Outcome::Served => Met::Answered(latency.as_secs_f64()),
             Outcome::Error | Outcome::Broken | Outcome::TimedOut | Outcome::Unreachable => Met::Failed,
             // Full is no failure, and the others say nothing of the server.
-            Outcome::TurnedAway | Outcome::NotSent | Outcome::Cancelled => return,
+            Outcome::Rejected | Outcome::NotSent | Outcome::Cancelled => return,
         };
         self.tally.borrow_mut().met(self.mesh.clock().now(), name, met);
     }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -121,7 +121,7 @@
         config.site.fields,
         BufferBudget::new(memory / PASSING_PART),
     );
-    let asked = settings.list_on_request;
+    let asked = settings.subscribe_to_lists;
     let directory = Directory::new(names.clone());
     let figures = Figures::new(&names.classes)?;
     let host = Host::new(
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -58,7 +58,7 @@
 
 /// Which servers drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -75,7 +75,7 @@
     /// Inside the group, for `window` after the first send that may have run.
     Keyed {
         /// Where repeats are dropped.
-        group: Group,
+        scope: KeyScope,
         /// For how long.
         window: Duration,
     },
@@ -138,7 +138,7 @@
     /// ... for this long pushes a cold server over.
     pub fall_time: Duration,
     /// A node without a watch is deemed informed this long after something was listed.
-    pub ask_within: Duration,
+    pub list_poll_interval: Duration,
 }
 
 /// What a site counts for each of these, as a part of the worth of a mean request. 0: nothing.
@@ -156,7 +156,7 @@
     /// Nodes in this tier, this one included.
     pub nodes: u32,
     /// Which of them this one is, from 0; `None` where that is not told.
-    pub me: Option<u32>,
+    pub node_index: Option<u32>,
     /// What the site pays for a node's asking and connecting.
     pub prices: Prices,
     /// Where this node stands.
@@ -172,13 +172,13 @@
     /// Worth counts by unit of work rather than by request.
     pub worth_by_work: bool,
     /// The list gives weights that mean something.
-    pub weights_given: bool,
+    pub use_listed_weights: bool,
     /// How load reports come.
     pub reports: Reports,
     /// Reports carry both `busy` and `rate`.
     pub reports_rate: bool,
     /// List changes come only when asked for.
-    pub list_on_request: bool,
+    pub subscribe_to_lists: bool,
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
@@ -192,7 +192,7 @@
     /// A connection not up by then counts as [`Outcome::Unreachable`].
     pub connect_timeout: Duration,
     /// Longest wait a refused client follows; `None` where advice is not passed on.
-    pub max_wait: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
     /// The figures of the rules.
     pub rules: Rules,
 }
@@ -247,7 +247,7 @@
     pub cell: CellId,
     /// Its state.
     pub state: ServerState,
-    /// Its weight, of use where [`Settings::weights_given`].
+    /// Its weight, of use where [`Settings::use_listed_weights`].
     pub weight: f64,
     /// When it last started; `None` for long ago.
     pub started: Option<Time>,
@@ -274,7 +274,7 @@
     /// The server answered with an error.
     Error,
     /// Turned away unseen.
-    TurnedAway,
+    Rejected,
     /// No answer in time.
     TimedOut,
     /// No connection.
@@ -289,18 +289,18 @@
 
 impl Outcome {
     /// Whether the server itself has said something.
-    pub fn spoken(self) -> bool {
-        matches!(self, Outcome::Served | Outcome::Error | Outcome::TurnedAway)
+    pub fn server_responded(self) -> bool {
+        matches!(self, Outcome::Served | Outcome::Error | Outcome::Rejected)
     }
 
     /// Whether nothing was heard of the server, though it was to be.
-    pub fn silent(self) -> bool {
+    pub fn server_unresponsive(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken)
     }
 
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::Unreachable | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent)
     }
 }
 
@@ -332,13 +332,13 @@
     pub remaining: Duration,
     /// Expected work on a standard core, if known.
     pub work: Option<Duration>,
-    /// All of it is there. Else an attempt begins to count with [`Event::Written`]: until then its server only waits.
-    pub whole: bool,
+    /// All of it is there. Else an attempt begins to count with [`Event::RequestWritten`]: until then its server only waits.
+    pub body_complete: bool,
 }
 
 /// An attempt ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// The request.
     pub request: RequestId,
     /// The attempt, counted from 0.
@@ -357,7 +357,7 @@
 
 /// A probe ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Probed {
+pub struct ProbeEnded {
     /// The server.
     pub server: ServerId,
     /// How.
@@ -370,15 +370,15 @@
 
 /// What the whole fleet knows of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Advice {
+pub struct ServerAdjustment {
     /// The server.
     pub server: ServerId,
     /// The most of a mean share that it gets: 1 or more, it is not bounded.
-    pub open: f64,
+    pub share_limit: f64,
     /// What its weight ζ, the list's or this node's own estimate, is multiplied by, ...
-    pub weight: f64,
+    pub weight_factor: f64,
     /// ... to this power, from 0 to 1: how far that counts.
-    pub sure: f64,
+    pub confidence: f64,
 }
 
 /// What the node tells the balancer.
@@ -394,7 +394,7 @@
     /// A client's request.
     Arrival(Arrival),
     /// A streamed answer has begun.
-    Begun {
+    ResponseStarted {
         /// The request.
         request: RequestId,
         /// The attempt, counted from 0.
@@ -403,14 +403,14 @@
         latency: Duration,
     },
     /// The last byte of an attempt whose request was not whole has been sent: its server can begin.
-    Written {
+    RequestWritten {
         /// The request.
         request: RequestId,
         /// The attempt, counted from 0.
         attempt: u32,
     },
     /// An attempt ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// The client left; nothing is owed.
     ClientGone {
         /// The request.
@@ -422,13 +422,13 @@
         timer: TimerId,
     },
     /// A probe ended.
-    Probed(Probed),
+    ProbeEnded(ProbeEnded),
     /// What the whole fleet knows of servers: in the place of all that was said so before.
-    Advice(Vec<Advice>),
-    /// Where this node stands among those that live, in place of [`Settings::me`]; not before a list came.
-    Place {
+    Adjustments(Vec<ServerAdjustment>),
+    /// Where this node stands among those that live, in place of [`Settings::node_index`]; not before a list came.
+    RingPosition {
         /// The part of the ring of servers at which it begins, from 0 to 1.
-        begins: f64,
+        start: f64,
         /// Nodes of the fleet as last agreed. More than [`Settings::nodes`] make this node's part of a server smaller; fewer
         /// change nothing.
         nodes: u32,
@@ -442,30 +442,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Its work, as it was hinted, can't be done in time on an idle server.
-    Hopeless,
+    Infeasible,
     /// Servers have no room for all, and it is worth less than what is let in.
-    Toll,
+    BelowThreshold,
     /// No server that may take it is open.
     NoServer,
     /// Where it would go its chance of being in time is too small.
-    Chance,
+    Unlikely,
     /// Its attempts came to nothing, and neither time nor budget allow another.
-    Spent,
+    AttemptsExhausted,
 }
 
 impl Refusal {
     /// All of them, in the order of their numbers.
-    pub const ALL: [Refusal; 5] =
-        [Refusal::Hopeless, Refusal::Toll, Refusal::NoServer, Refusal::Chance, Refusal::Spent];
+    pub const ALL: [Refusal; 5] = [
+        Refusal::Infeasible,
+        Refusal::BelowThreshold,
+        Refusal::NoServer,
+        Refusal::Unlikely,
+        Refusal::AttemptsExhausted,
+    ];
 
     /// In figures and logs.
-    pub fn name(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Refusal::Hopeless => "hopeless",
-            Refusal::Toll => "toll",
+            Refusal::Infeasible => "hopeless",
+            Refusal::BelowThreshold => "toll",
             Refusal::NoServer => "no_server",
-            Refusal::Chance => "chance",
-            Refusal::Spent => "spent",
+            Refusal::Unlikely => "chance",
+            Refusal::AttemptsExhausted => "spent",
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,7 +12,7 @@
 //! let second = Duration::from_secs(1);
 //! let settings = Settings {
 //!     nodes: 1,
-//!     me: None,
+//!     node_index: None,
 //!     prices: Prices::default(),
 //!     zone: ZoneId(0),
 //!     zones: 1,
@@ -30,24 +30,24 @@
 //!     tenants: vec![],
 //!     over_share_worth: 1.0,
 //!     worth_by_work: false,
-//!     weights_given: false,
+//!     use_listed_weights: false,
 //!     reports: Reports::WithAnswers,
 //!     reports_rate: true,
-//!     list_on_request: false,
+//!     subscribe_to_lists: false,
 //!     max_attempts: 3,
 //!     may_cancel: true,
 //!     may_probe: false,
 //!     second_copies: false,
 //!     conn_idle: 60 * second,
 //!     connect_timeout: second / 4,
-//!     max_wait: None,
+//!     max_retry_after: None,
 //!     rules: Rules {
 //!         drain_grace: second,
 //!         cold_from: 0.2,
 //!         warm_up: 20 * second,
 //!         fall_multiple: 3.0,
 //!         fall_time: second,
-//!         ask_within: 10 * second,
+//!         list_poll_interval: 10 * second,
 //!     },
 //! };
 //! let mut balancer = Balancer::new(settings, 42, Time(0))?;
@@ -69,7 +69,7 @@
 //!     tenant: TenantId(0),
 //!     remaining: second,
 //!     work: None,
-//!     whole: true,
+//!     body_complete: true,
 //! };
 //! balancer.handle(Time(2), Event::Arrival(arrival), &mut actions);
 //! assert!(matches!(actions[..], [Action::Send { server: ServerId(7), .. }]));
--- a/src/policy/admission/evidence.rs
+++ b/src/policy/admission/evidence.rs
@@ -1,6 +1,6 @@
 //! Evidence of load: what attempts meet, where nothing else tells what servers can still take.
 
-use crate::interface::{ClassId, Ended, Outcome, Time};
+use crate::interface::{AttemptEnded, ClassId, Outcome, Time};
 use crate::policy::market::{EXCESS, OVERDUE};
 use crate::state::Balancer;
 
@@ -12,13 +12,13 @@
 const RECOVER: f64 = 4.0; // s in which shedding drifts back by itself, with room and where nothing is sent
 
 /// Takes in the load that an attempt met, where nothing else tells it.
-pub(crate) fn met(b: &mut Balancer, now: Time, end: &Ended, class: ClassId, work: Option<f64>) {
+pub(crate) fn met(b: &mut Balancer, now: Time, end: &AttemptEnded, class: ClassId, work: Option<f64>) {
     let aim = b.aim(class, work);
     let fresh = |i: &&usize| b.servers[**i].reported == now;
     let load = end.report.and(b.index.get(&end.server)).filter(fresh).and_then(|&i| b.servers[i].load);
     let latency = end.latency.as_secs_f64();
     let load = match end.outcome {
-        Outcome::TurnedAway => Some(1.0 + EXCESS),
+        Outcome::Rejected => Some(1.0 + EXCESS),
         Outcome::TimedOut if latency > OVERDUE * b.latency => Some(1.0 + EXCESS),
         Outcome::Served => Some(load.unwrap_or((latency / aim).min(1.0 + EXCESS))),
         _ => load,
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -44,7 +44,7 @@
     let tolled = a.remaining.is_zero() || b.random() * worth < toll;
     if let Some(r) = b.requests.get_mut(&a.request) {
         r.worth = whole / b.mean_worth.max(1e-9);
-        r.why = [Refusal::NoServer, Refusal::Toll, Refusal::Hopeless]
+        r.why = [Refusal::NoServer, Refusal::BelowThreshold, Refusal::Infeasible]
             [usize::from(tolled).max(2 * usize::from(hopeless))];
     }
     hopeless || tolled
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: which server a request goes to, whether it goes again, and the answer of one that is given up.
 
 use super::{admission, cold, estimate};
-use crate::interface::{Action, Actions, Effect, Group, RequestId, ServerState, Time};
+use crate::interface::{Action, Actions, Effect, KeyScope, RequestId, ServerState, Time};
 use crate::state::{Attempt, Balancer, Request, Server};
 
 const RETRY_EARN: f64 = 0.2; // further attempts that each request earns (retry budget) ...
@@ -24,9 +24,9 @@
         Effect::Safe => true,
         Effect::Unsafe => false,
         Effect::Keyed { window, .. } if now - risky.sent >= window => false,
-        Effect::Keyed { group: Group::All, .. } => true,
-        Effect::Keyed { group: Group::Zone, .. } => s.zone == risky.zone,
-        Effect::Keyed { group: Group::Cell, .. } => s.cell == risky.cell,
+        Effect::Keyed { scope: KeyScope::All, .. } => true,
+        Effect::Keyed { scope: KeyScope::Zone, .. } => s.zone == risky.zone,
+        Effect::Keyed { scope: KeyScope::Cell, .. } => s.cell == risky.cell,
     }
 }
 
@@ -101,11 +101,11 @@
     let Some(r) = b.requests.get_mut(&id).filter(|r| r.open && !r.begun) else { return };
     r.open = false;
     let harmless = match b.settings.classes[usize::from(r.class.0)].effect {
-        Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
         _ => !r.attempts.iter().any(Attempt::risky),
     };
     actions.push(match harmless {
-        true => Action::Refuse { request: id, wait: b.settings.max_wait, why: r.why },
+        true => Action::Refuse { request: id, wait: b.settings.max_retry_after, why: r.why },
         false => Action::Fail { request: id },
     });
     b.forget(id);
--- a/src/policy/estimate/mod.rs
+++ b/src/policy/estimate/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) mod news;
 pub(crate) mod prospect;
 
-use crate::interface::{Ended, Outcome, Time};
+use crate::interface::{AttemptEnded, Outcome, Time};
 use crate::state::{fade, Attempt, Balancer, Request, Server};
 
 const RESIDUAL: f64 = 0.75; // part of a job's work that is left, on average, when another comes
@@ -141,11 +141,11 @@
 }
 
 /// Learns from how an attempt ended.
-pub(crate) fn learn(b: &mut Balancer, now: Time, end: &Ended, a: &Attempt, work: Option<f64>) {
+pub(crate) fn learn(b: &mut Balancer, now: Time, end: &AttemptEnded, a: &Attempt, work: Option<f64>) {
     let (turned, failed) = match end.outcome {
         Outcome::NotSent | Outcome::Cancelled => return,
         Outcome::Served | Outcome::TimedOut => (0.0, 0.0),
-        Outcome::TurnedAway | Outcome::Unreachable => (1.0, 0.0),
+        Outcome::Rejected | Outcome::Unreachable => (1.0, 0.0),
         Outcome::Error | Outcome::Broken => (0.0, 1.0),
     };
     let mean_work = b.mean_work;
--- a/src/policy/market/mod.rs
+++ b/src/policy/market/mod.rs
@@ -94,7 +94,7 @@
     let narrow = b.markets.iter().any(|m| m.narrow);
     let lines = b.ready.iter().map(|&i| {
         let s = &b.servers[i];
-        let own = if b.settings.weights_given {
+        let own = if b.settings.use_listed_weights {
             s.weight / weight
         } else {
             (s.speed / b.mean_speed * s.evidence + prior) / (s.evidence + prior)
--- a/src/policy/market/prices.rs
+++ b/src/policy/market/prices.rs
@@ -81,7 +81,7 @@
     let Some(&i) = b.index.get(&server) else { return };
     step(b, i, now);
     let s = &mut b.servers[i];
-    let full = b.blind && outcome == Outcome::TurnedAway;
+    let full = b.blind && outcome == Outcome::Rejected;
     if !full {
         s.price = (s.price + FAILED_PRICE).min(b.going_price + PRICE_MOST);
         b.solved = None;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -34,13 +34,13 @@
         match event {
             Event::List { kind, entries } => list(self, now, kind, &entries, actions),
             Event::Arrival(a) => arrival(self, now, &a, actions),
-            Event::Begun { request, attempt, latency } => {
+            Event::ResponseStarted { request, attempt, latency } => {
                 if let Some(server) = self.begun(request, attempt) {
                     market::answered(self, now, server, latency.as_secs_f64());
                 }
             }
-            Event::Written { request, attempt } => self.written(now, request, attempt),
-            Event::Ended(end) => ended(self, now, &end, actions),
+            Event::RequestWritten { request, attempt } => self.written(now, request, attempt),
+            Event::AttemptEnded(end) => ended(self, now, &end, actions),
             Event::ClientGone { request } => self.client_gone(request),
             Event::Timer { timer } if self.list_timer == Some(timer) => {
                 self.list_timer = None;
@@ -51,17 +51,17 @@
                     probes::choose(self, now, c.0, actions);
                 }
             }
-            Event::Place { begins, nodes } => self.place(begins, nodes),
-            Event::Advice(advice) => self.advise(&advice),
-            Event::Probed(probed) => probes::probed(self, now, &probed, actions),
+            Event::RingPosition { start, nodes } => self.place(start, nodes),
+            Event::Adjustments(advice) => self.advise(&advice),
+            Event::ProbeEnded(probed) => probes::probed(self, now, &probed, actions),
         }
     }
 }
 
 fn list(b: &mut Balancer, now: Time, kind: ListKind, entries: &[ServerEntry], actions: &mut Vec<Action>) {
     // Calls for lists are spread: all nodes may have started together, and discovery that failed may be busy.
-    if b.settings.list_on_request && matches!(kind, ListKind::Cached | ListKind::Failed) {
-        let most = b.settings.rules.ask_within.as_secs_f64().clamp(1.0, 30.0) / 5.0;
+    if b.settings.subscribe_to_lists && matches!(kind, ListKind::Cached | ListKind::Failed) {
+        let most = b.settings.rules.list_poll_interval.as_secs_f64().clamp(1.0, 30.0) / 5.0;
         let wait = b.random() * if kind == ListKind::Failed { most.min(ASK_AGAIN) } else { most };
         b.list_timer = Some(b.set_timer(now, wait, actions));
     }
@@ -95,25 +95,31 @@
     server.is_some()
 }
 
-fn ended(b: &mut Balancer, now: Time, end: &Ended, actions: &mut Vec<Action>) {
+fn ended(b: &mut Balancer, now: Time, end: &AttemptEnded, actions: &mut Vec<Action>) {
     end.report.iter().for_each(|report| market::report(b, now, end.server, report));
-    let Some(Settled { attempt, class, work, whole, streamed, over }) = b.settle(now, end) else { return };
+    let Some(Settled { attempt, class, work, body_complete, streamed, over }) = b.settle(now, end) else {
+        return;
+    };
     let (server, sent) = (attempt.server, attempt.sent);
-    if let (Outcome::Served, Some(work), true, Some(&i)) = (end.outcome, work, whole, b.index.get(&server)) {
+    if let (Outcome::Served, Some(work), true, Some(&i)) =
+        (end.outcome, work, body_complete, b.index.get(&server))
+    {
         let pace = b.servers[i].warmth(&b.settings.rules, now).max(1e-3);
         b.heard(i, sent, estimate::held_then(b, end.latency.as_secs_f64(), work, pace));
     }
     estimate::learn(b, now, end, &attempt, work);
     admission::met(b, now, end, class, work);
     match end.outcome {
-        Outcome::Served if !streamed && whole => market::answered(b, now, server, end.latency.as_secs_f64()),
+        Outcome::Served if !streamed && body_complete => {
+            market::answered(b, now, server, end.latency.as_secs_f64())
+        }
         Outcome::Served | Outcome::Cancelled | Outcome::NotSent => {}
         outcome => market::failed(b, now, server, outcome),
     }
     if over {
         return b.forget(end.request);
     }
-    b.requests.get_mut(&end.request).iter_mut().for_each(|r| r.why = Refusal::Spent);
+    b.requests.get_mut(&end.request).iter_mut().for_each(|r| r.why = Refusal::AttemptsExhausted);
     let Some(r) = b.requests.get(&end.request) else { return };
     if !attempts::again(b, now, r) {
         attempts::finish(b, end.request, actions);
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -7,7 +7,7 @@
 
 use super::estimate::{estimator, prospect::Prospect, FRESH};
 use super::{admission, attempts, cold, market};
-use crate::interface::{Action, Outcome, Probed, Refusal, RequestId, ServerState, Time};
+use crate::interface::{Action, Outcome, ProbeEnded, Refusal, RequestId, ServerState, Time};
 use crate::state::{Asked, Balancer, Request};
 
 const PROBES: usize = 5; // servers compared for a request, and asked at the most
@@ -118,7 +118,7 @@
     each.collect()
 }
 
-pub(crate) fn probed(b: &mut Balancer, now: Time, p: &Probed, actions: &mut Vec<Action>) {
+pub(crate) fn probed(b: &mut Balancer, now: Time, p: &ProbeEnded, actions: &mut Vec<Action>) {
     let mut asked = Asked::Silent;
     b.probe_ended(now, p);
     match p.outcome {
@@ -166,7 +166,7 @@
             attempts::draw(b, now, id, false)
         }),
     };
-    let why = if best.is_some() && server.is_none() { Refusal::Chance } else { Refusal::NoServer };
+    let why = if best.is_some() && server.is_none() { Refusal::Unlikely } else { Refusal::NoServer };
     b.requests.get_mut(&id).iter_mut().for_each(|r| (r.why, r.asked) = (why, Vec::new()));
     attempts::send(b, now, id, server.filter(|_| !left.is_zero()), actions);
 }
--- a/src/policy/tests/admission.rs
+++ b/src/policy/tests/admission.rs
@@ -6,9 +6,9 @@
 use super::*;
 use crate::interface::*;
 
-fn plain_end(id: u64, server: ServerId, outcome: Outcome) -> Ended {
+fn plain_end(id: u64, server: ServerId, outcome: Outcome) -> AttemptEnded {
     let report = (outcome == Outcome::Served).then(|| report(0.3, 0.0));
-    let Event::Ended(end) = ended(id, 0, server, outcome, report) else { unreachable!("an end") };
+    let Event::AttemptEnded(end) = ended(id, 0, server, outcome, report) else { unreachable!("an end") };
     end
 }
 
@@ -47,10 +47,10 @@
             let id = from + k;
             let now = at(from + 20 * k);
             if let Some(server) = sent(b, now, id) {
-                let end = Ended { latency: ms(900), ..plain_end(id, server, outcome) };
-                let quick = Ended { latency: ms(100), ..end };
+                let end = AttemptEnded { latency: ms(900), ..plain_end(id, server, outcome) };
+                let quick = AttemptEnded { latency: ms(100), ..end };
                 let end = if outcome == Outcome::Served { quick } else { end };
-                b.handle(now, Event::Ended(end), &mut vec![]);
+                b.handle(now, Event::AttemptEnded(end), &mut vec![]);
             }
         }
         b.markets[0].refused
@@ -85,7 +85,7 @@
         }
         b.markets[0].refused
     };
-    assert!(play(&mut b, 0..5, Outcome::TurnedAway) > 0.3);
+    assert!(play(&mut b, 0..5, Outcome::Rejected) > 0.3);
     assert!(play(&mut b, 5..10, Outcome::Served) < 0.05);
     assert!(play(&mut b, 10..40, Outcome::Served) < 0.001, "idle servers refuse nothing");
 }
@@ -167,9 +167,9 @@
     assert_eq!(why(&mut balancer(3), plain), None);
     assert_eq!(why(&mut balancer(0), plain), Some(Refusal::NoServer));
     let heavy = Arrival { work: Some(ms(4000)), ..plain };
-    assert_eq!(why(&mut balancer(3), heavy), Some(Refusal::Hopeless));
+    assert_eq!(why(&mut balancer(3), heavy), Some(Refusal::Infeasible));
     let mut full = balancer(3);
     full.solved = Some(at(100));
     full.markets[0].toll = 1e9;
-    assert_eq!(why(&mut full, plain), Some(Refusal::Toll));
+    assert_eq!(why(&mut full, plain), Some(Refusal::BelowThreshold));
 }
--- a/src/policy/tests/aperture.rs
+++ b/src/policy/tests/aperture.rs
@@ -11,7 +11,7 @@
     let prices = Prices { probe: 0.08, handshake: 0.08 };
     let reports = Reports::ByProbe;
     let base = Settings { reports, reports_rate: false, may_probe: true, prices, ..settings() };
-    Balancer::new(Settings { me, nodes, ..base }, seed, at(0)).expect("sound settings")
+    Balancer::new(Settings { node_index: me, nodes, ..base }, seed, at(0)).expect("sound settings")
 }
 
 fn with_list(me: Option<u32>, nodes: u32, seed: u64, servers: impl Iterator<Item = u32>) -> Balancer {
@@ -60,7 +60,7 @@
 fn living_places_are_even_where_told_numbers_are_not() {
     let place = |n: u32, of: u32, nodes: u32| {
         let mut b = with_list(Some(n % 260), 260, u64::from(n), 0..200);
-        b.handle(at(2), Event::Place { begins: f64::from(n) / f64::from(of), nodes }, &mut vec![]);
+        b.handle(at(2), Event::RingPosition { start: f64::from(n) / f64::from(of), nodes }, &mut vec![]);
         admission::refresh(&mut b, at(1002));
         b
     };
@@ -97,7 +97,7 @@
 #[test]
 fn an_aperture_reaches_further_at_once_where_its_servers_fail() {
     for (failing, outcome) in
-        [(2, Outcome::Unreachable), (5, Outcome::Broken), (5, Outcome::TimedOut), (5, Outcome::TurnedAway)]
+        [(2, Outcome::Unreachable), (5, Outcome::Broken), (5, Outcome::TimedOut), (5, Outcome::Rejected)]
     {
         let mut b = with_list(Some(3), 10, 1, 0..60);
         let first = open(&b);
--- a/src/policy/tests/attempts.rs
+++ b/src/policy/tests/attempts.rs
@@ -15,7 +15,7 @@
     let asked = Vec::new();
     let (class, attempts) = (ClassId(0), Vec::new());
     let r = Request {
-        whole: true,
+        body_complete: true,
         class,
         arrived: at(1),
         ends: at(900),
@@ -53,7 +53,7 @@
     b.handle(at(1), arrival(1, 2), &mut actions);
     assert!(matches!(actions[..], [Action::Send { server: ServerId(4), .. }]), "{actions:?}");
     actions.clear();
-    b.handle(at(2), ended(1, 0, ServerId(4), Outcome::TurnedAway, None), &mut actions);
+    b.handle(at(2), ended(1, 0, ServerId(4), Outcome::Rejected, None), &mut actions);
     assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
     // Class 3 is open nowhere.
     actions.clear();
--- a/src/policy/tests/estimate.rs
+++ b/src/policy/tests/estimate.rs
@@ -23,7 +23,7 @@
         work: Some(0.1),
         open: true,
         begun: false,
-        whole: true,
+        body_complete: true,
         attempts,
         worth: 1.0,
         why: Refusal::NoServer,
@@ -45,8 +45,8 @@
         told: Some(told),
         cold: false,
     };
-    let Event::Ended(end) = ended(1, 0, server, outcome, None) else { unreachable!("an end") };
-    learn(b, now, &Ended { latency: ms(latency), ..end }, &a, Some(0.1));
+    let Event::AttemptEnded(end) = ended(1, 0, server, outcome, None) else { unreachable!("an end") };
+    learn(b, now, &AttemptEnded { latency: ms(latency), ..end }, &a, Some(0.1));
 }
 
 fn of(b: &Balancer, now: Time, server: u32, held: f64) -> Estimate {
@@ -63,10 +63,10 @@
         let (idle, busy) = (of(b, at(100), 2, 0.0), of(b, at(100), 3, 1.0));
         idle.worth(0.1, 0.4, 0.4, again) > busy.worth(0.1, 0.4, 0.4, again)
     };
-    met(&mut b, at(100), 0, 0.0, Outcome::TurnedAway, 1);
+    met(&mut b, at(100), 0, 0.0, Outcome::Rejected, 1);
     assert!(ranks_idle_first(&b, true), "one refusal is no rule, and there are other attempts");
     for _ in 0..8 {
-        met(&mut b, at(100), 0, 0.0, Outcome::TurnedAway, 1);
+        met(&mut b, at(100), 0, 0.0, Outcome::Rejected, 1);
         met(&mut b, at(100), 1, 2.0, Outcome::Served, 250);
     }
     assert!(!ranks_idle_first(&b, false), "the last attempt is not wasted");
--- a/src/policy/tests/market.rs
+++ b/src/policy/tests/market.rs
@@ -124,7 +124,7 @@
 /// A size over one and what is held at each core, as of a second ago: all nodes follow it at once.
 #[test]
 fn weights_that_swing_with_load_are_smoothed() {
-    let mut b = Balancer::new(Settings { weights_given: true, ..settings() }, 7, at(0)).expect("sound");
+    let mut b = Balancer::new(Settings { use_listed_weights: true, ..settings() }, 7, at(0)).expect("sound");
     for tick in 0..1200 {
         let entries = (0..4).map(|s| {
             let swings = if (tick / 20 + u64::from(s)) % 2 == 0 { 0.3 } else { 1.0 };
@@ -233,7 +233,7 @@
 /// Etichete quiet: proofs preferred the fast servers, the only ones for bookings, and crowded them.
 #[test]
 fn bound_classes_leave_less_speed_to_the_others() {
-    let mut settings = Settings { weights_given: true, ..settings() };
+    let mut settings = Settings { use_listed_weights: true, ..settings() };
     settings.classes.truncate(2);
     settings.classes[1].kinds = Some(vec![KindId(0)]);
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
@@ -305,7 +305,7 @@
 #[test]
 fn the_ordinary_path_follows_prices_and_shares() {
     for servers in [6u32, 300] {
-        let settings = Settings { nodes: 1, weights_given: true, ..settings() };
+        let settings = Settings { nodes: 1, use_listed_weights: true, ..settings() };
         let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
         b.handle(at(0), list(servers), &mut vec![]);
         let (mut drawn, mut meant) = (vec![0.0; servers as usize], vec![0.0; servers as usize]);
@@ -341,7 +341,7 @@
 fn swing(delay: f64, load: f64) -> (f64, f64) {
     const SERVERS: usize = 8;
     let settings =
-        Settings { reports: Reports::ByProbe, reports_rate: false, weights_given: true, ..settings() };
+        Settings { reports: Reports::ByProbe, reports_rate: false, use_listed_weights: true, ..settings() };
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(SERVERS as u32), &mut vec![]);
     b.servers.iter_mut().for_each(|s| s.price = 0.25);
@@ -388,11 +388,11 @@
 /// A server waits for a body that still comes, and is not late: taken for late it was shunned for as long as the upload took.
 #[test]
 fn an_upload_is_not_its_servers_slowness() {
-    for whole in [true, false] {
+    for body_complete in [true, false] {
         let mut b = balancer(4);
         let Event::Arrival(a) = arrival(1, 0) else { unreachable!("an arrival") };
         let mut actions = vec![];
-        b.handle(at(1), Event::Arrival(Arrival { whole, remaining: ms(60_000), ..a }), &mut actions);
+        b.handle(at(1), Event::Arrival(Arrival { body_complete, remaining: ms(60_000), ..a }), &mut actions);
         let server = actions.iter().find_map(|a| match a {
             Action::Send { server, .. } => Some(*server),
             _ => None,
@@ -405,8 +405,8 @@
             };
             price(&|id| id == server) > price(&|id| id != server)
         };
-        assert_eq!(wait(&mut b, 1), whole, "dear for an answer that is owed only");
-        b.handle(at(4200), Event::Written { request: RequestId(1), attempt: 0 }, &mut actions);
+        assert_eq!(wait(&mut b, 1), body_complete, "dear for an answer that is owed only");
+        b.handle(at(4200), Event::RequestWritten { request: RequestId(1), attempt: 0 }, &mut actions);
         assert!(wait(&mut b, 43), "from here on it owes one");
     }
 }
@@ -437,15 +437,20 @@
         }
         (0..4).map(|s| share(b, 0, s)).collect::<Vec<f64>>()
     };
-    let advice = |server, open, weight, sure| Advice { server: ServerId(server), open, weight, sure };
+    let advice = |server, share_limit, weight_factor, confidence| ServerAdjustment {
+        server: ServerId(server),
+        share_limit,
+        weight_factor,
+        confidence,
+    };
     let even = shares(&mut b, 0);
     let said = vec![advice(0, 0.05, 1.0, 0.0), advice(1, 1.0, 1.6, 1.0), advice(9, 0.0, 1.0, 0.0)];
-    b.handle(at(3000), Event::Advice(said), &mut vec![]);
+    b.handle(at(3000), Event::Adjustments(said), &mut vec![]);
     let moved = shares(&mut b, 3);
     assert!(moved[0] <= 0.0501 && moved[0] > 0.0, "{moved:?}");
     assert!(moved[1] > even[1] * 1.2 && moved[1] > moved[2] * 1.2, "{even:?} {moved:?}");
     let senseless = vec![advice(0, f64::NAN, 1.0, 1.0), advice(1, 1.0, f64::INFINITY, 1.0)];
-    b.handle(at(6000), Event::Advice(senseless), &mut vec![]);
+    b.handle(at(6000), Event::Adjustments(senseless), &mut vec![]);
     let back = shares(&mut b, 6);
     assert!(back[0] > 0.5, "it is open again: {back:?}");
     assert!((back[1] - back[2]).abs() < 0.2 * back[2], "and weighs what the others do: {back:?}");
--- a/src/policy/tests/probes.rs
+++ b/src/policy/tests/probes.rs
@@ -16,7 +16,7 @@
         let (request, class, tenant) = (RequestId(1), ClassId(1), TenantId(0));
         b.handle(
             at(1),
-            Event::Arrival(Arrival { request, class, tenant, remaining: ms(900), work, whole: true }),
+            Event::Arrival(Arrival { request, class, tenant, remaining: ms(900), work, body_complete: true }),
             &mut actions,
         );
         let asked: Vec<ServerId> = actions
@@ -27,8 +27,8 @@
         actions.clear();
         for (k, server) in asked.iter().enumerate() {
             let report = Some(LoadReport { held: Some(held(k)), ..report(0.5, 0.0) });
-            let p = Probed { server: *server, outcome: Outcome::Served, latency: ms(1), report };
-            b.handle(at(2), Event::Probed(p), &mut actions);
+            let p = ProbeEnded { server: *server, outcome: Outcome::Served, latency: ms(1), report };
+            b.handle(at(2), Event::ProbeEnded(p), &mut actions);
         }
         (asked, actions)
     };
@@ -48,7 +48,7 @@
         b.handle(at(0), list(1), &mut actions);
         let (request, class, tenant) = (RequestId(1), ClassId(1), TenantId(0));
         let work = Some(ms(100));
-        let arrival = Arrival { request, class, tenant, remaining: ms(900), work, whole: true };
+        let arrival = Arrival { request, class, tenant, remaining: ms(900), work, body_complete: true };
         b.handle(at(1), Event::Arrival(arrival), &mut actions);
         assert!(actions.iter().any(|a| matches!(a, Action::Probe { .. })), "{actions:?}");
         let timer = actions.iter().rev().find_map(|a| match a {
@@ -57,8 +57,8 @@
         });
         actions.clear();
         if let Some(outcome) = ended {
-            let p = Probed { server: ServerId(0), outcome, latency: ms(1), report: None };
-            b.handle(at(2), Event::Probed(p), &mut actions);
+            let p = ProbeEnded { server: ServerId(0), outcome, latency: ms(1), report: None };
+            b.handle(at(2), Event::ProbeEnded(p), &mut actions);
         }
         if actions.is_empty() {
             let (due, timer) = timer.expect("answers are waited for");
@@ -80,13 +80,14 @@
     b.handle(at(0), list(3), &mut actions);
     (b.mean_work, b.mean_load) = (0.04, busy);
     let (request, class, tenant) = (RequestId(1), ClassId(1), TenantId(0));
-    let arrival = Arrival { request, class, tenant, remaining: ms(900), work: Some(work), whole: true };
+    let arrival =
+        Arrival { request, class, tenant, remaining: ms(900), work: Some(work), body_complete: true };
     b.handle(at(1), Event::Arrival(arrival), &mut actions);
     b.mean_work = 0.04;
     for server in 0..3 {
         let report = Some(LoadReport { held: Some(held), ..report(busy, 0.0) });
-        let p = Probed { server: ServerId(server), outcome: Outcome::Served, latency: ms(1), report };
-        b.handle(at(2), Event::Probed(p), &mut actions);
+        let p = ProbeEnded { server: ServerId(server), outcome: Outcome::Served, latency: ms(1), report };
+        b.handle(at(2), Event::ProbeEnded(p), &mut actions);
     }
     actions.iter().any(|a| matches!(a, Action::Send { .. }))
 }
@@ -116,7 +117,7 @@
     let arrive = |b: &mut Balancer, now, id| {
         let (request, class, tenant) = (RequestId(id), ClassId(1), TenantId(0));
         let arrival =
-            Arrival { request, class, tenant, remaining: ms(900), work: Some(ms(100)), whole: true };
+            Arrival { request, class, tenant, remaining: ms(900), work: Some(ms(100)), body_complete: true };
         let mut actions = vec![];
         b.handle(now, Event::Arrival(arrival), &mut actions);
         actions
@@ -127,8 +128,8 @@
     actions.clear();
     for server in 0..3 {
         let report = Some(LoadReport { held: Some(0.0), ..report(0.1, 0.0) });
-        let p = Probed { server: ServerId(server), outcome: Outcome::Served, latency: ms(1), report };
-        b.handle(at(2), Event::Probed(p), &mut actions);
+        let p = ProbeEnded { server: ServerId(server), outcome: Outcome::Served, latency: ms(1), report };
+        b.handle(at(2), Event::ProbeEnded(p), &mut actions);
     }
     actions.extend(arrive(&mut b, at(3), 3));
     let sent = |a: &Action| if let Action::Send { server, .. } = a { Some(*server) } else { None };
@@ -160,7 +161,7 @@
         let mut todo = vec![];
         b.handle(
             now,
-            Event::Arrival(Arrival { request, class, tenant, remaining: ms(900), work, whole: true }),
+            Event::Arrival(Arrival { request, class, tenant, remaining: ms(900), work, body_complete: true }),
             &mut todo,
         );
         while let Some(action) = todo.pop() {
@@ -168,15 +169,17 @@
                 Action::Probe { server } => {
                     probes += 1;
                     let report = Some(LoadReport { held: Some(held(server.0, id)), ..report(0.5, 0.0) });
-                    let p = Probed { server, outcome: Outcome::Served, latency: ms(1), report };
-                    b.handle(now, Event::Probed(p), &mut todo);
+                    let p = ProbeEnded { server, outcome: Outcome::Served, latency: ms(1), report };
+                    b.handle(now, Event::ProbeEnded(p), &mut todo);
                 }
                 Action::Send { server, .. } => {
                     sent += 1;
-                    let Event::Ended(end) = ended(id, 0, server, Outcome::Served, None) else { continue };
+                    let Event::AttemptEnded(end) = ended(id, 0, server, Outcome::Served, None) else {
+                        continue;
+                    };
                     // Whoever waits behind others is answered later.
                     let latency = ms(100 + 100 * held(server.0, id) as u64);
-                    b.handle(now + latency, Event::Ended(Ended { latency, ..end }), &mut todo);
+                    b.handle(now + latency, Event::AttemptEnded(AttemptEnded { latency, ..end }), &mut todo);
                 }
                 Action::Refuse { .. } => refused += 1,
                 _ => {}
@@ -215,7 +218,7 @@
             work,
             open: true,
             begun: false,
-            whole: true,
+            body_complete: true,
             attempts,
             worth,
             why: Refusal::NoServer,
@@ -239,7 +242,7 @@
     let asked = vec![(ServerId(0), Asked::Not), (ServerId(6), Asked::Not)];
     let (class, arrived, ends) = (ClassId(1), at(0), at(900));
     let (attempts, work) = (vec![], Some(0.02));
-    let (open, begun, whole) = (true, false, true);
+    let (open, begun, body_complete) = (true, false, true);
     let r = Request {
         class,
         arrived,
@@ -247,7 +250,7 @@
         work,
         open,
         begun,
-        whole,
+        body_complete,
         attempts,
         worth: 1.0,
         why: Refusal::NoServer,
--- a/src/state.rs
+++ b/src/state.rs
@@ -273,7 +273,7 @@
     /// A streamed answer has begun.
     pub begun: bool,
     /// Its attempts' servers have all of it as soon as they are sent it.
-    pub whole: bool,
+    pub body_complete: bool,
     pub attempts: Vec<Attempt>,
     /// Its worth, relative to that of a mean request.
     pub worth: f64,
@@ -300,9 +300,9 @@
     /// One that has just come.
     pub(crate) fn new(now: Time, class: ClassId, a: &Arrival) -> Self {
         let (attempts, asked, work) = (Vec::new(), Vec::new(), a.work.map(|w| w.as_secs_f64()));
-        let (arrived, ends, whole) = (now, now + a.remaining, a.whole);
+        let (arrived, ends, body_complete) = (now, now + a.remaining, a.body_complete);
         let (open, begun, worth, why) = (true, false, 1.0, Refusal::NoServer);
-        Request { class, arrived, ends, work, open, begun, whole, attempts, worth, why, asked }
+        Request { class, arrived, ends, work, open, begun, body_complete, attempts, worth, why, asked }
     }
 
     pub(crate) fn idle(&self) -> bool {
@@ -315,7 +315,7 @@
     pub attempt: Attempt,
     pub class: ClassId,
     pub work: Option<f64>,
-    pub whole: bool,
+    pub body_complete: bool,
     /// The request's answer has begun.
     pub streamed: bool,
     /// Nothing more is to be done for the request.
@@ -472,7 +472,7 @@
         let leader = |c: &Class| settings.classes.iter().position(|other| same(other, c)).unwrap_or(0);
         Ok(Balancer {
             // Without a number of its own a node begins anywhere: even enough where there are many.
-            begins: match settings.me {
+            begins: match settings.node_index {
                 Some(me) => f64::from(me % settings.nodes) / f64::from(settings.nodes),
                 None => uniform(&mut Xoshiro256PlusPlus::seed_from_u64(!seed)),
             },
@@ -547,13 +547,14 @@
     }
 
     /// Takes up what the whole fleet knows of servers, in the place of all that was said so before.
-    pub(crate) fn advise(&mut self, advice: &[Advice]) {
+    pub(crate) fn advise(&mut self, advice: &[ServerAdjustment]) {
         self.servers.iter_mut().for_each(|s| (s.open, s.tuned, s.sure) = (1.0, 1.0, 0.0));
         for a in advice {
-            let sound = [a.open, a.weight, a.sure].iter().all(|v| v.is_finite() && *v >= 0.0);
+            let sound =
+                [a.share_limit, a.weight_factor, a.confidence].iter().all(|v| v.is_finite() && *v >= 0.0);
             let Some(&i) = self.index.get(&a.server).filter(|_| sound) else { continue };
             let s = &mut self.servers[i];
-            (s.open, s.tuned, s.sure) = (a.open, a.weight.max(0.01), a.sure.min(1.0));
+            (s.open, s.tuned, s.sure) = (a.share_limit, a.weight_factor.max(0.01), a.confidence.min(1.0));
         }
         self.solved = None;
     }
@@ -602,7 +603,7 @@
             let failed = f64::from(u8::from(outcome == Outcome::Unreachable));
             *refused += (failed - *refused) / 8.0;
         }
-        let held = outcome.spoken();
+        let held = outcome.server_responded();
         self.servers[i].connected = held.then_some(now).or(self.servers[i].connected);
     }
 
@@ -621,7 +622,7 @@
     }
 
     /// Closes an attempt that has ended; `None` where it is not out.
-    pub(crate) fn settle(&mut self, now: Time, end: &Ended) -> Option<Settled> {
+    pub(crate) fn settle(&mut self, now: Time, end: &AttemptEnded) -> Option<Settled> {
         let r = self.requests.get_mut(&end.request)?;
         let a = r.attempts.get_mut(end.attempt as usize).filter(|a| !a.ended)?;
         a.ended = true;
@@ -629,18 +630,18 @@
         let attempt = *a;
         r.open &= !end.closed;
         let (streamed, over) = (r.begun, !r.open || !r.idle());
-        let (class, work, whole) = (r.class, r.work, r.whole);
-        if whole {
+        let (class, work, body_complete) = (r.class, r.work, r.body_complete);
+        if body_complete {
             self.returned(attempt.server, attempt.sent);
         }
         self.learn_connection(now, attempt.server, attempt.fresh, end.outcome);
-        if let (Outcome::Served, None, true) = (end.outcome, work, whole) {
+        if let (Outcome::Served, None, true) = (end.outcome, work, body_complete) {
             self.markets[usize::from(class.0)].learn_work(end.latency.as_secs_f64());
         }
-        if let (true, Some(&i)) = (end.outcome.spoken(), self.index.get(&attempt.server)) {
+        if let (true, Some(&i)) = (end.outcome.server_responded(), self.index.get(&attempt.server)) {
             self.servers[i].word = now;
         }
-        Some(Settled { attempt, class, work, whole, streamed, over })
+        Some(Settled { attempt, class, work, body_complete, streamed, over })
     }
 
     /// Keeps an arrival's work, as it was hinted, among the last `most`; what is hopeless counts for no mean.
@@ -668,7 +669,7 @@
     }
 
     /// A probe has come to its end; the time-out of one that needed a new connection stands for no connection.
-    pub(crate) fn probe_ended(&mut self, now: Time, p: &Probed) {
+    pub(crate) fn probe_ended(&mut self, now: Time, p: &ProbeEnded) {
         let Some(&i) = self.index.get(&p.server) else { return };
         let fresh = !self.servers[i].connected(now, self.settings.conn_idle);
         // A new connection takes longer to fail than a probe is waited for.
@@ -676,7 +677,7 @@
         self.learn_connection(now, p.server, fresh, outcome);
         let s = &mut self.servers[i];
         s.probing = None;
-        s.word = if outcome.spoken() { now } else { s.word };
+        s.word = if outcome.server_responded() { now } else { s.word };
     }
 
     /// An attempt goes to the server at this place; `news`: what that told stands. Returns the server, and the time left.
@@ -690,9 +691,9 @@
         let r = self.requests.get_mut(&id)?;
         let s = &mut self.servers[at];
         let fresh = !s.connected(now, self.settings.conn_idle);
-        let told = s.held.filter(|_| r.whole && news);
+        let told = s.held.filter(|_| r.body_complete && news);
         let cold = s.warmth(&self.settings.rules, now) < 1.0;
-        if r.whole {
+        if r.body_complete {
             s.out.push(now);
             s.held = s.held.map(|held| held + 1.0);
         }
@@ -729,9 +730,9 @@
 
     /// A server has all of an attempt from now on: it counts as one that was sent now.
     pub(crate) fn written(&mut self, now: Time, id: RequestId, attempt: u32) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.whole) else { return };
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.body_complete) else { return };
         let Some(a) = r.attempts.get_mut(attempt as usize).filter(|a| !a.ended) else { return };
-        r.whole = true;
+        r.body_complete = true;
         a.sent = now;
         let Some(&i) = self.index.get(&a.server) else { return };
         let s = &mut self.servers[i];
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -30,41 +30,41 @@
 
 /// Safe, unsafe, and keyed with each group.
 pub fn settings() -> Settings {
-    let keyed = |group| Effect::Keyed { group, window: ms(500) };
+    let keyed = |scope| Effect::Keyed { scope, window: ms(500) };
     Settings {
         nodes: 4,
-        me: None,
+        node_index: None,
         prices: Prices::default(),
         zone: ZoneId(0),
         zones: 2,
         classes: vec![
             class(Effect::Safe),
             class(Effect::Unsafe),
-            class(keyed(Group::All)),
-            class(keyed(Group::Zone)),
-            class(keyed(Group::Cell)),
+            class(keyed(KeyScope::All)),
+            class(keyed(KeyScope::Zone)),
+            class(keyed(KeyScope::Cell)),
         ],
         tenants: vec![],
         over_share_worth: 0.1,
         worth_by_work: false,
-        weights_given: false,
+        use_listed_weights: false,
         reports: Reports::WithAnswers,
         reports_rate: true,
-        list_on_request: false,
+        subscribe_to_lists: false,
         max_attempts: 3,
         may_cancel: true,
         may_probe: false,
         second_copies: false,
         conn_idle: ms(60_000),
         connect_timeout: ms(250),
-        max_wait: Some(ms(1000)),
+        max_retry_after: Some(ms(1000)),
         rules: Rules {
             drain_grace: ms(250),
             cold_from: 0.13,
             warm_up: ms(20_000),
             fall_multiple: 3.0,
             fall_time: ms(1000),
-            ask_within: ms(10_000),
+            list_poll_interval: ms(10_000),
         },
     }
 }
@@ -94,7 +94,7 @@
         tenant: TenantId(0),
         remaining: ms(1000),
         work: None,
-        whole: true,
+        body_complete: true,
     })
 }
 
@@ -109,7 +109,7 @@
     outcome: Outcome,
     report: Option<LoadReport>,
 ) -> Event {
-    Event::Ended(Ended {
+    Event::AttemptEnded(AttemptEnded {
         request: RequestId(request),
         attempt,
         server,
@@ -184,7 +184,7 @@
                 let (class, ends) = (a.class, now + a.remaining);
                 self.requests.insert(a.request, Seen { class, ends, open: true, tries: vec![] });
             }
-            Event::Ended(e) => {
+            Event::AttemptEnded(e) => {
                 let Some(r) = self.requests.get_mut(&e.request) else { return };
                 if let Some(t) = r.tries.get_mut(e.attempt as usize) {
                     t.outcome = Some(e.outcome);
@@ -196,12 +196,12 @@
                     r.open = false;
                 }
             }
-            Event::Begun { .. }
-            | Event::Written { .. }
+            Event::ResponseStarted { .. }
+            | Event::RequestWritten { .. }
             | Event::Timer { .. }
-            | Event::Probed(_)
-            | Event::Advice(_)
-            | Event::Place { .. } => {}
+            | Event::ProbeEnded(_)
+            | Event::Adjustments(_)
+            | Event::RingPosition { .. } => {}
         }
     }
 
@@ -235,12 +235,12 @@
                     let fine = match self.settings.classes[usize::from(r.class.0)].effect {
                         Effect::Safe => true,
                         Effect::Unsafe => false,
-                        Effect::Keyed { group, window } => {
+                        Effect::Keyed { scope, window } => {
                             now - t.sent <= window
-                                && match group {
-                                    Group::All => true,
-                                    Group::Zone => first.0 == place.0,
-                                    Group::Cell => first.1 == place.1,
+                                && match scope {
+                                    KeyScope::All => true,
+                                    KeyScope::Zone => first.0 == place.0,
+                                    KeyScope::Cell => first.1 == place.1,
                                 }
                         }
                     };
@@ -255,7 +255,7 @@
                 let Some(r) = self.requests.get_mut(request) else { return broken("unknown request") };
                 let risky = r.tries.iter().any(|t| t.outcome.is_none_or(|o| !o.never_ran()));
                 let fine = match self.settings.classes[usize::from(r.class.0)].effect {
-                    Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+                    Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
                     _ => !risky,
                 };
                 if !fine {
@@ -285,7 +285,7 @@
                 self.probes.push(*server);
             }
             Action::Watch => {
-                if !self.settings.list_on_request {
+                if !self.settings.subscribe_to_lists {
                     return broken("asks for a list that comes by itself");
                 }
             }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -8,7 +8,7 @@
 
 /// After how long the list is asked for again, by the timers that are set.
 fn waits(kind: ListKind, seed: u64) -> Vec<Duration> {
-    let settings = Settings { list_on_request: true, ..settings() };
+    let settings = Settings { subscribe_to_lists: true, ..settings() };
     let mut balancer = Balancer::new(settings, seed, at(0)).expect("sound settings");
     let mut actions = Vec::new();
     balancer.handle(at(1000), Event::List { kind, entries: Vec::new() }, &mut actions);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -38,7 +38,7 @@
 
 fn outcome(n: u8) -> Outcome {
     use Outcome::*;
-    [Served, Error, TurnedAway, TimedOut, Unreachable, Broken, Cancelled, NotSent][usize::from(n % 8)]
+    [Served, Error, Rejected, TimedOut, Unreachable, Broken, Cancelled, NotSent][usize::from(n % 8)]
 }
 
 fn state(n: u8) -> ServerState {
@@ -56,7 +56,7 @@
                 let class = ClassId(class % 5);
                 let (request, tenant) = (RequestId(id), TenantId(0));
                 w.feed(Event::Arrival(Arrival {
-                    whole: true,
+                    body_complete: true,
                     request,
                     class,
                     tenant,
@@ -81,7 +81,7 @@
                         outcome == Outcome::Served || (closed && !w.observer.requests[&RequestId(id)].open);
                     let report = Some(report(busy, busy * 100.0));
                     let (request, latency) = (RequestId(id), ms(30));
-                    w.feed(Event::Ended(Ended {
+                    w.feed(Event::AttemptEnded(AttemptEnded {
                         request,
                         attempt: n,
                         server,
@@ -96,7 +96,12 @@
                 if !w.observer.probes.is_empty() {
                     let server = w.observer.probes.remove(which % w.observer.probes.len());
                     let report = Some(LoadReport { held: Some(busy), ..report(busy, 0.0) });
-                    w.feed(Event::Probed(Probed { server, outcome: outcome(o), latency: ms(1), report }))?;
+                    w.feed(Event::ProbeEnded(ProbeEnded {
+                        server,
+                        outcome: outcome(o),
+                        latency: ms(1),
+                        report,
+                    }))?;
                 }
             }
             Op::Wait(n) => w.wait(ms(n))?,
@@ -130,10 +135,10 @@
                 assert!(w.feed(Event::ClientGone { request: RequestId(n | 1 << 60) })?.is_empty());
                 assert!(w.feed(Event::Timer { timer: TimerId(u32::MAX) })?.is_empty());
                 let (request, attempt) = (RequestId(n | 1 << 60), 3);
-                assert!(w.feed(Event::Begun { request, attempt, latency: ms(1) })?.is_empty());
+                assert!(w.feed(Event::ResponseStarted { request, attempt, latency: ms(1) })?.is_empty());
                 let (server, outcome) = (ServerId(u32::MAX), Outcome::Served);
-                let stray = Probed { server, outcome, latency: ms(1), report: None };
-                assert!(w.feed(Event::Probed(stray))?.is_empty());
+                let stray = ProbeEnded { server, outcome, latency: ms(1), report: None };
+                assert!(w.feed(Event::ProbeEnded(stray))?.is_empty());
             }
         }
     }
@@ -152,8 +157,8 @@
         ..settings()
     };
     let silent =
-        Settings { reports: Reports::Absent, reports_rate: false, list_on_request: true, ..settings() };
-    let weighed = Settings { weights_given: true, max_attempts: 1, max_wait: None, ..settings() };
+        Settings { reports: Reports::Absent, reports_rate: false, subscribe_to_lists: true, ..settings() };
+    let weighed = Settings { use_listed_weights: true, max_attempts: 1, max_retry_after: None, ..settings() };
     let placed_probing =
         Settings { classes: bound().classes, max_attempts: 5, second_copies: true, ..probing.clone() };
     vec![plain, probing, silent, weighed, bound(), placed_probing]
@@ -194,7 +199,8 @@
         }
         o
     };
-    let refuse = |request| Action::Refuse { request: RequestId(request), wait: None, why: Refusal::Toll };
+    let refuse =
+        |request| Action::Refuse { request: RequestId(request), wait: None, why: Refusal::BelowThreshold };
     // Rule 1: no answer, two answers, a send after the end.
     assert_eq!(start().overdue(at(1020)), Some(RequestId(0)));
     assert_eq!(start().overdue(at(900)), None);
@@ -237,7 +243,7 @@
             if tried {
                 if let Some(first) = [5, 3, 4].get(usize::from(class)) {
                     o.action(at(0), &send(1, *first)).expect("open to the class");
-                    o.event(at(1), &ended(1, 0, ServerId(*first), Outcome::TurnedAway, None));
+                    o.event(at(1), &ended(1, 0, ServerId(*first), Outcome::Rejected, None));
                 }
             }
             assert_eq!(o.action(at(1), &send(1, server)).is_ok(), fine, "{class} to {server}");
