--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -1,9 +1,9 @@
 //! What is let in: each request's worth against a toll that turns away the least worth when servers are full.
 
-mod evidence;
-mod tolls;
+mod shedding;
+mod threshold;
 
-pub(crate) use evidence::met;
+pub(crate) use shedding::met;
 
 use super::estimate;
 use super::market::{self, Solved};
@@ -20,8 +20,8 @@
     let Some(Solved { unplaced, dt, known }) = market::solve(b, now) else { return };
     for (c, unplaced) in unplaced.into_iter().enumerate() {
         if c == b.markets[c].leader {
-            let shed = evidence::shed(b, now, c, dt);
-            tolls::clear(b, c, shed.max(unplaced));
+            let shed = shedding::shed(b, now, c, dt);
+            threshold::clear(b, c, shed.max(unplaced));
         }
     }
     if known {
@@ -31,7 +31,7 @@
 
 /// Whether a request is turned away at the door: it can't be in time, or its worth is not worth a place now.
 pub(crate) fn turned_away(b: &mut Balancer, now: Time, a: &Arrival, class: ClassId) -> bool {
-    let (worth, takes) = tolls::worth(b, now, class, a.tenant);
+    let (worth, takes) = threshold::worth(b, now, class, a.tenant);
     refresh(b, now);
     let toll = b.markets[b.markets[usize::from(class.0)].leader].toll;
     // Work beyond the aim can only be late, and takes room from work that can be in time.
--- a/src/policy/aperture.rs
+++ b/src/policy/aperture.rs
@@ -5,7 +5,7 @@
 //! Servers that are closed by their price stand for none, and cold ones for what they may get where few are
 //! left: the aperture then reaches further at once, and draws in by degrees.
 
-use super::estimate::{prospect::Prospect, Estimate};
+use super::estimate::{distribution::Prospect, Estimate};
 use crate::interface::Reports;
 use crate::state::{Balancer, Line};
 
--- a/src/policy/estimate/prospect.rs
+++ b/src/policy/estimate/distribution.rs
@@ -39,5 +39,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/prospect.rs"]
+#[path = "../tests/distribution.rs"]
 mod tests;
--- a/src/policy/estimate/mod.rs
+++ b/src/policy/estimate/mod.rs
@@ -5,8 +5,8 @@
 //! server too seldom to learn that of each: so it also keeps, for all servers that look idle together, how
 //! often they have turned away or failed of late.
 
-pub(crate) mod news;
-pub(crate) mod prospect;
+pub(crate) mod distribution;
+pub(crate) mod staleness;
 
 use crate::interface::{AttemptEnded, Outcome, Time};
 use crate::state::{fade, Attempt, Balancer, Request, Server};
--- a/src/policy/estimate/news.rs
+++ b/src/policy/estimate/staleness.rs
@@ -57,5 +57,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/news.rs"]
+#[path = "../tests/staleness.rs"]
 mod tests;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -14,7 +14,7 @@
 #[path = "tests/helpers.rs"]
 mod helpers;
 
-pub(crate) use estimate::news::Loads;
+pub(crate) use estimate::staleness::Loads;
 
 use crate::interface::*;
 use crate::state::{Balancer, First, Request, Settled};
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -1,11 +1,11 @@
 //! Probes: a few servers are drawn by share, some of them are asked for their load, one of them is chosen.
 //!
 //! What was heard of a server, from probes and from answers, stands with a chance that falls with its age
-//! (`estimate::news`). So each candidate has a distribution of what a request would be worth there, asking
+//! (`estimate::staleness`). So each candidate has a distribution of what a request would be worth there, asking
 //! is worth what it adds to the expected best of them: it is done while that is more than its price
 //! (Weitzman 1979, "Optimal search for the best alternative", where what was not asked may be chosen too).
 
-use super::estimate::{estimator, prospect::Prospect, FRESH};
+use super::estimate::{distribution::Prospect, estimator, FRESH};
 use super::{admission, attempts, cold, market};
 use crate::interface::{Action, Outcome, ProbeEnded, Refusal, RequestId, ServerState, Time};
 use crate::state::{Asked, Balancer, Request};
--- a/src/policy/tests/admission.rs
+++ b/src/policy/tests/admission.rs
@@ -1,8 +1,8 @@
 //! What is turned away, and that it is let in again.
 
 use super::super::helpers::*;
-use super::evidence::*;
-use super::tolls::*;
+use super::shedding::*;
+use super::threshold::*;
 use super::*;
 use crate::interface::*;
 
