--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,9 @@
 //! The state machine itself.
 
 use crate::ledger::{Attempt, Entry, Listed, Place, Rules};
-use crate::{Answer, AttemptId, Clearance, Command, Decide, Duplicate, Ended, Incoming, ProbeId};
+use crate::{
+    Answer, AttemptId, AttemptResult, Command, DuplicateRequest, Incoming, Policy, ProbeId, SendPermit,
+};
 use finchvale::{
     Action, Arrival, Event, ListKind, LoadReport, Outcome, ProbeEnded, Refusal, RequestId, ServerAdjustment,
     ServerEntry, ServerId, ServerState, Settings, Time, TimerId,
@@ -50,7 +52,7 @@
     commands: VecDeque<Command<R, A>>,
 }
 
-impl<D: Decide, R, A> Engine<D, R, A> {
+impl<D: Policy, R, A> Engine<D, R, A> {
     /// Starts with no servers and no requests. The decisions are owed a list first, be it empty.
     pub fn new(decide: D, settings: &Settings) -> Self {
         Engine {
@@ -75,7 +77,7 @@
     }
 
     /// The next thing to do. All of them are to be taken after each call that tells the engine something.
-    pub fn command(&mut self) -> Option<Command<R, A>> {
+    pub fn next_command(&mut self) -> Option<Command<R, A>> {
         self.commands.pop_front()
     }
 
@@ -90,22 +92,22 @@
     }
 
     /// Requests in hand: open, or closed with an attempt out.
-    pub fn in_hand(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         self.ledger.len()
     }
 
-    /// From now on [`Command::Over`] is said of each request.
-    pub fn tell_over(&mut self) {
+    /// From now on [`Command::Completed`] is said of each request.
+    pub fn report_completion(&mut self) {
         self.tells_over = true;
     }
 
-    /// From now on ends of attempts are kept for [`Engine::ends`].
-    pub fn tell_ends(&mut self) {
+    /// From now on ends of attempts are kept for [`Engine::take_attempt_ends`].
+    pub fn record_attempt_ends(&mut self) {
         self.tells_ends = true;
     }
 
     /// How attempts ended since this was last asked, and after how long.
-    pub fn ends(&mut self) -> Vec<(ServerId, Outcome, Duration)> {
+    pub fn take_attempt_ends(&mut self) -> Vec<(ServerId, Outcome, Duration)> {
         std::mem::take(&mut self.ends)
     }
 
@@ -116,52 +118,61 @@
 
     // ---- what happens ----
     /// Takes a client's request. Its answer comes as a [`Command::Answer`].
-    pub fn arrive(&mut self, now: Time, incoming: Incoming<R>) -> Result<RequestId, Duplicate> {
-        let Incoming { class, tenant, work, whole, due, last, name, request } = incoming;
-        let name: Rc<[u8]> = name.into();
-        if !self.names.insert(name.clone()) {
-            return Err(Duplicate);
+    pub fn submit(&mut self, now: Time, incoming: Incoming<R>) -> Result<RequestId, DuplicateRequest> {
+        let Incoming { class, tenant, work, body_complete, deadline, answer_deadline, external_id, request } =
+            incoming;
+        let external_id: Rc<[u8]> = external_id.into();
+        if !self.names.insert(external_id.clone()) {
+            return Err(DuplicateRequest);
         }
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        let last = last.max(due);
-        let entry = Entry { name, class, due, last, request: Some(Rc::new(request)), attempts: Vec::new() };
+        let answer_deadline = answer_deadline.max(deadline);
+        let entry = Entry {
+            external_id,
+            class,
+            deadline,
+            answer_deadline,
+            request: Some(Rc::new(request)),
+            attempts: Vec::new(),
+        };
         self.ledger.insert(id, entry);
-        self.due.insert((last, Due::Answer(id)));
-        let remaining = due - now;
+        self.due.insert((answer_deadline, Due::Answer(id)));
+        let remaining = deadline - now;
         self.feed(
             now,
-            Event::Arrival(Arrival { request: id, class, tenant, remaining, work, body_complete: whole }),
+            Event::Arrival(Arrival { request: id, class, tenant, remaining, work, body_complete }),
         );
         self.settle(id);
         Ok(id)
     }
 
     /// Sets a request's times anew, where they could not be known when it arrived. No attempt that is out gets longer than
-    /// until `due`; none that was given less gets more.
-    pub fn set_due(&mut self, request: RequestId, due: Time, last: Time) {
+    /// until `deadline`; none that was given less gets more.
+    pub fn set_deadlines(&mut self, request: RequestId, deadline: Time, answer_deadline: Time) {
         let Some(entry) = self.ledger.get_mut(&request).filter(|e| e.open()) else { return };
-        let last = last.max(due);
-        self.due.remove(&(entry.last, Due::Answer(request)));
-        self.due.insert((last, Due::Answer(request)));
-        (entry.due, entry.last) = (due, last);
-        for (number, a) in entry.attempts.iter_mut().enumerate().filter(|(_, a)| a.out && a.until > due) {
+        let answer_deadline = answer_deadline.max(deadline);
+        self.due.remove(&(entry.answer_deadline, Due::Answer(request)));
+        self.due.insert((answer_deadline, Due::Answer(request)));
+        (entry.deadline, entry.answer_deadline) = (deadline, answer_deadline);
+        for (number, a) in entry.attempts.iter_mut().enumerate().filter(|(_, a)| a.out && a.until > deadline)
+        {
             let attempt = AttemptId { request, number: number as u32 };
             self.due.remove(&(a.until, Due::Attempt(attempt)));
-            self.due.insert((due, Due::Attempt(attempt)));
-            a.until = due;
+            self.due.insert((deadline, Due::Attempt(attempt)));
+            a.until = deadline;
         }
     }
 
     /// Every request that is open is due by this time.
-    pub fn end_by(&mut self, end: Time) {
-        let late = self.ledger.iter().filter(|(_, entry)| entry.open() && entry.last > end);
-        let late: Vec<_> = late.map(|(request, entry)| (*request, entry.due.min(end))).collect();
-        late.into_iter().for_each(|(request, due)| self.set_due(request, due, end));
+    pub fn cap_deadlines(&mut self, end: Time) {
+        let late = self.ledger.iter().filter(|(_, entry)| entry.open() && entry.answer_deadline > end);
+        let late: Vec<_> = late.map(|(request, entry)| (*request, entry.deadline.min(end))).collect();
+        late.into_iter().for_each(|(request, deadline)| self.set_deadlines(request, deadline, end));
     }
 
     /// The client left: no answer is owed any more. After the answer this says nothing new.
-    pub fn leave(&mut self, now: Time, request: RequestId) {
+    pub fn client_disconnected(&mut self, now: Time, request: RequestId) {
         if self.close(request) {
             self.feed(now, Event::ClientGone { request });
             self.settle(request);
@@ -169,7 +180,7 @@
     }
 
     /// A request is given up for a reason of its host's: refused where that is true of it, else failed.
-    pub fn turn_away(&mut self, now: Time, request: RequestId, wait: Option<Duration>) {
+    pub fn reject(&mut self, now: Time, request: RequestId, wait: Option<Duration>) {
         let open = self.ledger.get(&request).is_some_and(Entry::open);
         self.answer(request, |harmless| if harmless { Answer::Refused(wait) } else { Answer::Failed });
         if open {
@@ -180,18 +191,18 @@
 
     /// Asked right before an attempt's first byte: whether it may go out. Whoever is told to stop ends the attempt as
     /// [`Outcome::NotSent`]; whoever is told to go sends it once.
-    pub fn clear(&mut self, now: Time, attempt: AttemptId) -> Clearance {
+    pub fn permit_send(&mut self, now: Time, attempt: AttemptId) -> SendPermit {
         let number = attempt.number as usize;
-        let Some(entry) = self.ledger.get_mut(&attempt.request) else { return Clearance::Stop };
-        let Some(a) = entry.attempts.get(number).copied() else { return Clearance::Stop };
+        let Some(entry) = self.ledger.get_mut(&attempt.request) else { return SendPermit::Denied };
+        let Some(a) = entry.attempts.get(number).copied() else { return SendPermit::Denied };
         // One that was cleared is not cleared again: it would be sent twice.
         let fit = a.out && !a.cleared && now < a.until;
         let server = self.servers.get(&a.server);
         if !fit || self.rules.objection(now, entry, Some(number), server).is_some() {
-            return Clearance::Stop;
+            return SendPermit::Denied;
         }
         entry.attempts[number].cleared = true;
-        Clearance::Go(a.until - now)
+        SendPermit::Granted(a.until - now)
     }
 
     /// The last byte of an attempt went out, whose request was not whole when it began. Its server's time counts from here.
@@ -205,8 +216,8 @@
     }
 
     /// An attempt ended. Those that were given up meanwhile have ended already.
-    pub fn ended(&mut self, now: Time, attempt: AttemptId, ended: Ended<A>) {
-        let Ended { outcome, report, answer } = ended;
+    pub fn attempt_ended(&mut self, now: Time, attempt: AttemptId, ended: AttemptResult<A>) {
+        let AttemptResult { outcome, report, answer } = ended;
         if let Some(answer) = answer.filter(|_| self.is_out(attempt)) {
             // The first answer closes the request; a later one is the copy's and is dropped.
             if self.close(attempt.request) {
@@ -221,21 +232,21 @@
     }
 
     /// Asks a server that takes new requests for its load, though the decisions did not: they are told what it says.
-    pub fn ask(&mut self, now: Time, server: ServerId) {
+    pub fn probe_server(&mut self, now: Time, server: ServerId) {
         if self.servers.get(&server).is_some_and(|s| s.state == ServerState::Ready) {
             self.probe(now, server);
         }
     }
 
     /// A probe ended. Those that were given up meanwhile have ended already.
-    pub fn probed(&mut self, now: Time, probe: ProbeId, outcome: Outcome, report: Option<LoadReport>) {
+    pub fn probe_ended(&mut self, now: Time, probe: ProbeId, outcome: Outcome, report: Option<LoadReport>) {
         let Some((server, began)) = self.probes.remove(&probe) else { return };
         self.due.remove(&(began + PROBE_TIMEOUT, Due::Probe(probe)));
         self.feed(now, Event::ProbeEnded(ProbeEnded { server, outcome, latency: now - began, report }));
     }
 
     /// The list of servers, or changes to it, counts as told from now on.
-    pub fn list(&mut self, now: Time, kind: ListKind, entries: Vec<ServerEntry>) {
+    pub fn update_servers(&mut self, now: Time, kind: ListKind, entries: Vec<ServerEntry>) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.servers.clear();
         }
@@ -250,7 +261,7 @@
     }
 
     /// Where this node stands among those that live ([`Event::RingPosition`]).
-    pub fn place(&mut self, now: Time, begins: f64, nodes: u32) {
+    pub fn set_ring_position(&mut self, now: Time, begins: f64, nodes: u32) {
         self.feed(now, Event::RingPosition { start: begins, nodes });
     }
 
@@ -280,7 +291,7 @@
                 Due::Probe(probe) => {
                     if self.probes.contains_key(&probe) {
                         self.commands.push_back(Command::CancelProbe(probe));
-                        self.probed(now, probe, Outcome::TimedOut, None);
+                        self.probe_ended(now, probe, Outcome::TimedOut, None);
                     }
                 }
             }
@@ -300,7 +311,7 @@
     fn close(&mut self, request: RequestId) -> bool {
         let Some(entry) = self.ledger.get_mut(&request).filter(|e| e.open()) else { return false };
         entry.request = None;
-        self.due.remove(&(entry.last, Due::Answer(request)));
+        self.due.remove(&(entry.answer_deadline, Due::Answer(request)));
         true
     }
 
@@ -340,10 +351,10 @@
             return;
         }
         if let Some(entry) = self.ledger.remove(&request) {
-            self.names.remove(&entry.name);
+            self.names.remove(&entry.external_id);
             if self.tells_over {
-                let ran = entry.attempts.iter().any(Attempt::may_have_run);
-                self.commands.push_back(Command::Over { request, ran });
+                let may_have_run = entry.attempts.iter().any(Attempt::may_have_run);
+                self.commands.push_back(Command::Completed { request, may_have_run });
             }
         }
     }
@@ -404,7 +415,7 @@
         let listed = self.servers.get(&server);
         let objection = self.rules.objection(now, entry, None, listed);
         let place = listed.map(|l| l.place).unwrap_or_default();
-        let until = limit.map_or(entry.due, |limit| entry.due.min(now + limit));
+        let until = limit.map_or(entry.deadline, |limit| entry.deadline.min(now + limit));
         let number = entry.attempts.len();
         let (cleared, out, never_ran) = (false, true, false);
         entry.attempts.push(Attempt {
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -5,10 +5,10 @@
 
 /// A request in hand.
 pub(crate) struct Entry<R> {
-    pub(crate) name: Rc<[u8]>,
+    pub(crate) external_id: Rc<[u8]>,
     pub(crate) class: ClassId,
-    pub(crate) due: Time,
-    pub(crate) last: Time,
+    pub(crate) deadline: Time,
+    pub(crate) answer_deadline: Time,
     /// None once the request is closed: nobody sends it again.
     pub(crate) request: Option<Rc<R>>,
     pub(crate) attempts: Vec<Attempt>,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Requests in hand, their attempts, timers and deadlines, and the rules on them: for any protocol, without I/O.
 //!
-//! A front tells [`Engine::arrive`] of each request, whoever talks to servers tells [`Engine::ended`] how attempts
-//! ended, whoever knows the servers tells [`Engine::list`]. The decisions are a [`Decide`]'s, in service
+//! A front tells [`Engine::submit`] of each request, whoever talks to servers tells [`Engine::attempt_ended`] how attempts
+//! ended, whoever knows the servers tells [`Engine::update_servers`]. The decisions are a [`Policy`]'s, in service
 //! `finchvale`'s; the engine keeps books, checks each decision against the rules, and says what is to be done as
 //! [`Command`]s. Requests and answers are opaque: only the package of a protocol opens them.
 //!
@@ -15,11 +15,11 @@
 //!
 //! Time is an argument. [`Engine::next_wake`] says when [`Engine::wake`] is due; nothing else wants a timer.
 //!
-//! The rules hold whatever a [`Decide`] does and in whatever order events come:
+//! The rules hold whatever a [`Policy`] does and in whatever order events come:
 //!
-//! 1. Each request that was taken gets one [`Command::Answer`], at its `last` moment at the latest, unless its client
+//! 1. Each request that was taken gets one [`Command::Answer`], at its `answer_deadline` at the latest, unless its client
 //!    left before.
-//! 2. An attempt is written only after [`Engine::clear`] said so, once, and only if the request is open, the server takes
+//! 2. An attempt is written only after [`Engine::permit_send`] said so, once, and only if the request is open, the server takes
 //!    new requests, and no earlier attempt stands in the way: for unsafe requests any that may have run, for keyed ones
 //!    one outside the group or the window. A refusal that would promise what nobody knows goes out as a failure.
 //! 3. Nothing is cleared for a server that drains or is gone.
@@ -37,18 +37,18 @@
 use std::time::Duration;
 
 /// What decides. [`finchvale::Balancer`] in service; tests put others here, to show that the rules don't rest on it.
-pub trait Decide {
+pub trait Policy {
     /// Takes in what happened at `now` and adds what it wants done.
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
 }
 
-impl Decide for Balancer {
+impl Policy for Balancer {
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         Balancer::handle(self, now, event, actions);
     }
 }
 
-impl<D: Decide + ?Sized> Decide for Box<D> {
+impl<D: Policy + ?Sized> Policy for Box<D> {
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         (**self).handle(now, event, actions);
     }
@@ -63,14 +63,14 @@
     pub tenant: TenantId,
     /// Expected work, if the client told.
     pub work: Option<Duration>,
-    /// All of it is there; else [`Engine::written`] tells when a server has it, and [`Engine::set_due`] sets its times.
-    pub whole: bool,
+    /// All of it is there; else [`Engine::written`] tells when a server has it, and [`Engine::set_deadlines`] sets its times.
+    pub body_complete: bool,
     /// When the decisions have to be over.
-    pub due: Time,
-    /// When the answer goes out whatever they say; not before `due`.
-    pub last: Time,
+    pub deadline: Time,
+    /// When the answer goes out whatever they say; not before `deadline`.
+    pub answer_deadline: Time,
     /// The client's name for it. While it is open or out no other of that name is taken.
-    pub name: Box<[u8]>,
+    pub external_id: Box<[u8]>,
     /// What goes to a server, perhaps several times.
     pub request: R,
 }
@@ -102,7 +102,7 @@
 /// What is to be done, in this order.
 #[derive(Debug)]
 pub enum Command<R, A> {
-    /// Get ready to send, ask [`Engine::clear`] before the first byte, and tell [`Engine::ended`] what came of it.
+    /// Get ready to send, ask [`Engine::permit_send`] before the first byte, and tell [`Engine::attempt_ended`] what came of it.
     Start {
         /// The attempt.
         attempt: AttemptId,
@@ -120,7 +120,7 @@
         /// Its one final answer.
         answer: Answer<A>,
     },
-    /// Ask a server for its load, and tell [`Engine::probed`].
+    /// Ask a server for its load, and tell [`Engine::probe_ended`].
     Probe {
         /// The probe.
         probe: ProbeId,
@@ -130,12 +130,12 @@
     /// Give the probe up.
     CancelProbe(ProbeId),
     /// Nothing more can come of a request: it is answered, or its client left, and no attempt is out. Said where
-    /// [`Engine::tell_over`] was called.
-    Over {
+    /// [`Engine::report_completion`] was called.
+    Completed {
         /// The request.
         request: RequestId,
         /// Whether it ran, or may have run, at any server.
-        ran: bool,
+        may_have_run: bool,
     },
     /// Follow the list of servers from now on.
     Watch,
@@ -145,7 +145,7 @@
 
 /// How an attempt ended, as the servers' side saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended<A> {
+pub struct AttemptResult<A> {
     /// What came of it, above all whether it can have run.
     pub outcome: Outcome,
     /// The server's word on its load, if one came along.
@@ -154,22 +154,22 @@
     pub answer: Option<A>,
 }
 
-impl<A> Ended<A> {
+impl<A> AttemptResult<A> {
     /// Without answer or report.
-    pub fn bare(outcome: Outcome) -> Self {
-        Ended { outcome, report: None, answer: None }
+    pub fn from_outcome(outcome: Outcome) -> Self {
+        AttemptResult { outcome, report: None, answer: None }
     }
 }
 
-/// What [`Engine::clear`] says.
+/// What [`Engine::permit_send`] says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Clearance {
+pub enum SendPermit {
     /// Send now; the attempt has so long.
-    Go(Duration),
+    Granted(Duration),
     /// Don't send: the attempt ends as [`Outcome::NotSent`].
-    Stop,
+    Denied,
 }
 
 /// A request of the same name is open, or still out at a server, where a second would pass for its repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Duplicate;
+pub struct DuplicateRequest;
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -1,7 +1,8 @@
 //! The rules, whatever decides and in whatever order things happen: a scripted servers' side, a clock that the test moves.
 
 use birchswitch_engine::{
-    Answer, AttemptId, Clearance, Command, Decide, Duplicate, Ended, Engine, Incoming, ProbeId,
+    Answer, AttemptId, AttemptResult, Command, DuplicateRequest, Engine, Incoming, Policy, ProbeId,
+    SendPermit,
 };
 use finchvale::*;
 use proptest::prelude::*;
@@ -86,7 +87,7 @@
     requests: u64,
 }
 
-impl Decide for Wild {
+impl Policy for Wild {
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if let Event::Arrival(arrival) = event {
             self.requests = self.requests.max(arrival.request.0 + 1);
@@ -119,7 +120,7 @@
 #[derive(Default)]
 struct Truth {
     class: u8,
-    last: Time,
+    answer_deadline: Time,
     left: bool,
     answers: Vec<(Time, Answer<u32>)>,
     /// Each write: server, time, and whether it is proved, and told, that it never ran.
@@ -139,10 +140,10 @@
     second_copies: bool,
 }
 
-impl<D: Decide> World<D> {
+impl<D: Policy> World<D> {
     fn new(decide: D, second_copies: bool) -> Self {
         let mut engine = Engine::new(decide, &settings(second_copies));
-        engine.tell_over();
+        engine.report_completion();
         let (now, states) = (Time(1_000_000_000), BTreeMap::new());
         let (held, probes, truth) = (Vec::new(), Vec::new(), BTreeMap::new());
         let mut world = World { engine, now, held, probes, states, truth, second_copies };
@@ -153,31 +154,31 @@
 
     fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         self.states.extend(entries.iter().map(|e| (e.server.0, e.state)));
-        self.engine.list(self.now, kind, entries);
+        self.engine.update_servers(self.now, kind, entries);
         self.drain();
     }
 
-    fn arrive(&mut self, class: u8, name: &[u8]) -> Result<RequestId, Duplicate> {
-        let (due, last) = (self.now + 100 * MS, self.now + 105 * MS);
+    fn arrive(&mut self, class: u8, name: &[u8]) -> Result<RequestId, DuplicateRequest> {
+        let (deadline, answer_deadline) = (self.now + 100 * MS, self.now + 105 * MS);
         let incoming = Incoming {
-            whole: true,
+            body_complete: true,
             class: ClassId(class),
             tenant: TenantId(0),
             work: None,
-            due,
-            last,
-            name: name.into(),
+            deadline,
+            answer_deadline,
+            external_id: name.into(),
             request: 7,
         };
-        let id = self.engine.arrive(self.now, incoming)?;
-        self.truth.insert(id, Truth { class, last, ..Truth::default() });
+        let id = self.engine.submit(self.now, incoming)?;
+        self.truth.insert(id, Truth { class, answer_deadline, ..Truth::default() });
         self.drain();
         Ok(id)
     }
 
     /// Carries out what the engine wants, and checks it.
     fn drain(&mut self) {
-        while let Some(command) = self.engine.command() {
+        while let Some(command) = self.engine.next_command() {
             match command {
                 Command::Start { attempt, server, request } => {
                     assert_eq!(*request, 7);
@@ -188,7 +189,7 @@
                     let truth = self.truth.get_mut(&request).expect("a request that came");
                     assert!(truth.answers.is_empty(), "{request} answered twice");
                     assert!(!truth.left, "{request} answered after its client left");
-                    assert!(self.now <= truth.last, "{request} answered late");
+                    assert!(self.now <= truth.answer_deadline, "{request} answered late");
                     let risky = truth.writes.iter().any(|w| !w.3);
                     if matches!(answer, Answer::Refused(_)) && truth.class != SAFE {
                         assert!(!risky, "{request} refused, and may have run");
@@ -197,15 +198,19 @@
                 }
                 Command::Probe { probe, .. } => self.probes.push(probe),
                 Command::CancelProbe(probe) => self.probes.retain(|p| *p != probe),
-                Command::Over { request, ran } => {
+                Command::Completed { request, may_have_run } => {
                     let truth = self.truth.get_mut(&request).expect("a request that came");
                     assert!(truth.over.is_none(), "{request} is over twice");
                     assert!(
                         !truth.answers.is_empty() || truth.left,
                         "{request} is over and was owed an answer"
                     );
-                    assert_eq!(ran, truth.writes.iter().any(|w| !w.3), "{request}: whether it may have run");
-                    truth.over = Some(ran);
+                    assert_eq!(
+                        may_have_run,
+                        truth.writes.iter().any(|w| !w.3),
+                        "{request}: whether it may have run"
+                    );
+                    truth.over = Some(may_have_run);
                 }
                 Command::Watch | Command::Log(_) => {}
             }
@@ -213,12 +218,12 @@
     }
 
     /// The first byte of an attempt that waits would go out now.
-    fn write(&mut self, at: usize) -> Clearance {
+    fn write(&mut self, at: usize) -> SendPermit {
         let Held { attempt, server, .. } = self.held[at];
-        let clearance = self.engine.clear(self.now, attempt);
-        if clearance == Clearance::Stop {
+        let clearance = self.engine.permit_send(self.now, attempt);
+        if clearance == SendPermit::Denied {
             self.held.remove(at);
-            self.engine.ended(self.now, attempt, Ended::bare(Outcome::NotSent));
+            self.engine.attempt_ended(self.now, attempt, AttemptResult::from_outcome(Outcome::NotSent));
             self.drain();
             return clearance;
         }
@@ -251,7 +256,7 @@
             write.3 = outcome.never_ran();
         }
         let answer = (outcome == Outcome::Served).then_some(held.server.0);
-        self.engine.ended(self.now, held.attempt, Ended { outcome, report: None, answer });
+        self.engine.attempt_ended(self.now, held.attempt, AttemptResult { outcome, report: None, answer });
         self.drain();
     }
 
@@ -290,7 +295,7 @@
                 let id = *self.truth.keys().nth(some % self.truth.len()).expect("one of them");
                 let truth = self.truth.get_mut(&id).expect("one of them");
                 truth.left |= truth.answers.is_empty();
-                self.engine.leave(self.now, id);
+                self.engine.client_disconnected(self.now, id);
                 self.drain();
             }
             7 => {
@@ -300,7 +305,7 @@
             }
             8 if !self.probes.is_empty() => {
                 let probe = self.probes.remove(some % self.probes.len());
-                self.engine.probed(self.now, probe, Outcome::Served, Some(LoadReport::default()));
+                self.engine.probe_ended(self.now, probe, Outcome::Served, Some(LoadReport::default()));
                 self.drain();
             }
             _ => self.advance(Duration::from_micros(some as u64 % 20_000)),
@@ -314,7 +319,7 @@
             assert_eq!(truth.answers.len(), usize::from(!truth.left), "{id}: one answer each");
             assert!(truth.over.is_some(), "{id}: it is over, and that was said");
         }
-        assert_eq!(self.engine.in_hand(), 0, "nothing is kept");
+        assert_eq!(self.engine.active_requests(), 0, "nothing is kept");
         assert!(self.held.is_empty(), "nothing is out that nobody waits for");
     }
 }
@@ -344,7 +349,7 @@
 /// Sends what comes to the first server, and each ended attempt on to the next; refuses what a server turned away twice.
 struct Onward;
 
-impl Decide for Onward {
+impl Policy for Onward {
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Arrival(a) => {
@@ -365,7 +370,7 @@
 }
 
 /// How an answer reads.
-fn answered<D: Decide>(world: &World<D>, id: RequestId) -> Option<Answer<u32>> {
+fn answered<D: Policy>(world: &World<D>, id: RequestId) -> Option<Answer<u32>> {
     world.truth[&id].answers.first().map(|a| a.1.clone())
 }
 
@@ -374,10 +379,10 @@
     let mut world = World::new(Onward, false);
     let id = world.arrive(UNSAFE, b"a").expect("taken");
     world.list(ListKind::Changes, vec![entry(0, ServerState::Draining)]);
-    assert_eq!(world.write(0), Clearance::Stop);
+    assert_eq!(world.write(0), SendPermit::Denied);
     // It surely didn't run: it goes on, also though it is unsafe.
     assert_eq!((world.held.len(), world.held[0].server), (1, ServerId(1)));
-    assert!(matches!(world.write(0), Clearance::Go(_)));
+    assert!(matches!(world.write(0), SendPermit::Granted(_)));
     world.end(0, Outcome::Served);
     assert_eq!(answered(&world, id), Some(Answer::Served(1)));
 }
@@ -402,7 +407,7 @@
         // The next one, of the same cell, gets ready; connecting takes time.
         assert_eq!(world.held[0].server, ServerId(1));
         world.advance(wait);
-        assert_eq!(matches!(world.write(0), Clearance::Go(_)), outcome, "after {wait:?}");
+        assert_eq!(matches!(world.write(0), SendPermit::Granted(_)), outcome, "after {wait:?}");
         if outcome {
             world.end(0, Outcome::Broken);
             assert!(world.held.is_empty(), "server 2 is of another cell");
@@ -415,15 +420,15 @@
     let mut world = World::new(Onward, false);
     world.arrive(SAFE, b"a").expect("taken");
     let attempt = world.held[0].attempt;
-    assert!(matches!(world.engine.clear(world.now, attempt), Clearance::Go(_)));
-    assert_eq!(world.engine.clear(world.now, attempt), Clearance::Stop);
+    assert!(matches!(world.engine.permit_send(world.now, attempt), SendPermit::Granted(_)));
+    assert_eq!(world.engine.permit_send(world.now, attempt), SendPermit::Denied);
 }
 
 /// What was given up must not go out: nobody waits for it any more, and its request may be elsewhere.
 #[test]
 fn an_attempt_that_was_given_up_or_is_over_is_not_let_go() {
     struct Brief;
-    impl Decide for Brief {
+    impl Policy for Brief {
         fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
             match event {
                 Event::Arrival(a) => {
@@ -444,7 +449,7 @@
             true => world.advance(10 * MS),
             false => world.now = world.now + 20 * MS, // The clock is ahead of the timers.
         }
-        assert_eq!(world.engine.clear(world.now, attempt), Clearance::Stop);
+        assert_eq!(world.engine.permit_send(world.now, attempt), SendPermit::Denied);
         assert!(world.truth[&id].answers.is_empty(), "the request itself is still open");
     }
 }
@@ -454,11 +459,11 @@
     let mut world = World::new(Onward, false);
     let id = world.arrive(UNSAFE, b"a").expect("taken");
     world.write(0);
-    assert_eq!(world.arrive(UNSAFE, b"a"), Err(Duplicate));
+    assert_eq!(world.arrive(UNSAFE, b"a"), Err(DuplicateRequest));
     world.truth.get_mut(&id).expect("it came").left = true;
-    world.engine.leave(world.now, id);
+    world.engine.client_disconnected(world.now, id);
     // Its client left, but a server still works on it.
-    assert_eq!(world.arrive(UNSAFE, b"a"), Err(Duplicate));
+    assert_eq!(world.arrive(UNSAFE, b"a"), Err(DuplicateRequest));
     world.end(0, Outcome::Served);
     assert!(world.arrive(UNSAFE, b"a").is_ok());
 }
@@ -484,10 +489,10 @@
             world.write(0);
             world.end(0, Outcome::Broken);
         }
-        world.engine.turn_away(world.now, id, Some(MS));
+        world.engine.reject(world.now, id, Some(MS));
         world.drain();
         assert_eq!(answered(&world, id), Some(expected));
-        assert_eq!(world.write(0), Clearance::Stop);
+        assert_eq!(world.write(0), SendPermit::Denied);
         assert_eq!(world.truth[&id].over, Some(before));
     }
 }
@@ -496,22 +501,22 @@
 #[test]
 fn a_request_that_nobody_decides_on_fails_in_time() {
     struct Silent;
-    impl Decide for Silent {
+    impl Policy for Silent {
         fn handle(&mut self, _: Time, _: Event, _: &mut Vec<Action>) {}
     }
     let mut world = World::new(Silent, false);
     let id = world.arrive(SAFE, b"a").expect("taken");
-    let last = world.truth[&id].last;
+    let answer_deadline = world.truth[&id].answer_deadline;
     world.advance(1000 * MS);
-    assert_eq!(world.truth[&id].answers, [(last, Answer::Failed)]);
-    assert_eq!((world.engine.in_hand(), world.engine.next_wake()), (0, None));
+    assert_eq!(world.truth[&id].answers, [(answer_deadline, Answer::Failed)]);
+    assert_eq!((world.engine.active_requests(), world.engine.next_wake()), (0, None));
 }
 
 /// However often a decider wants it, the site's number of attempts is not exceeded.
 #[test]
 fn no_request_gets_more_attempts_than_the_site_allows() {
     struct Stubborn;
-    impl Decide for Stubborn {
+    impl Policy for Stubborn {
         fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
             let request = match event {
                 Event::Arrival(a) => a.request,
@@ -524,7 +529,7 @@
     let mut world = World::new(Stubborn, false);
     let id = world.arrive(SAFE, b"a").expect("taken");
     for _ in 0..3 {
-        assert!(matches!(world.write(0), Clearance::Go(_)));
+        assert!(matches!(world.write(0), SendPermit::Granted(_)));
         world.end(0, Outcome::Broken);
     }
     assert!(world.held.is_empty(), "a fourth one");
@@ -536,7 +541,7 @@
 #[test]
 fn a_request_that_is_sent_on_for_ever_is_given_up() {
     struct Round;
-    impl Decide for Round {
+    impl Policy for Round {
         fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
             let request = match event {
                 Event::Arrival(a) => a.request,
@@ -560,22 +565,31 @@
         let balancer = Balancer::new(settings(true), seed, now).expect("settings");
         let mut engine: Engine<_, R, A> = Engine::new(balancer, &settings(true));
         let all = (0..SERVERS).map(|s| entry(s, ServerState::Ready)).collect();
-        engine.list(now, ListKind::Full, all);
+        engine.update_servers(now, ListKind::Full, all);
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let (mut said, mut out) = (Vec::new(), Vec::new());
         for step in 0..2000u64 {
             let some = below(&mut rng, 1 << 20);
             match some % 4 {
                 0 => {
-                    let (due, last) = (now + 100 * MS, now + 105 * MS);
-                    let (class, name) = (ClassId((some / 4 % 3) as u8), step.to_be_bytes().into());
+                    let (deadline, answer_deadline) = (now + 100 * MS, now + 105 * MS);
+                    let (class, external_id) = (ClassId((some / 4 % 3) as u8), step.to_be_bytes().into());
                     let (tenant, work, request) = (TenantId(0), None, request.clone());
-                    let incoming = Incoming { class, tenant, work, whole: true, due, last, name, request };
-                    let _ = engine.arrive(now, incoming);
+                    let incoming = Incoming {
+                        class,
+                        tenant,
+                        work,
+                        body_complete: true,
+                        deadline,
+                        answer_deadline,
+                        external_id,
+                        request,
+                    };
+                    let _ = engine.submit(now, incoming);
                 }
                 1 if !out.is_empty() => {
                     let attempt: AttemptId = out.remove((some / 4) as usize % out.len());
-                    let go = matches!(engine.clear(now, attempt), Clearance::Go(_));
+                    let go = matches!(engine.permit_send(now, attempt), SendPermit::Granted(_));
                     let outcome = match (go, some / 64 % 8) {
                         (false, _) => Outcome::NotSent,
                         (true, 0) => Outcome::Rejected,
@@ -584,14 +598,14 @@
                         (true, _) => Outcome::Served,
                     };
                     let answer = (outcome == Outcome::Served).then(|| answer.clone());
-                    engine.ended(now, attempt, Ended { outcome, report: None, answer });
+                    engine.attempt_ended(now, attempt, AttemptResult { outcome, report: None, answer });
                 }
                 _ => {
                     now = now + Duration::from_micros(some % 3000);
                     engine.wake(now);
                 }
             }
-            while let Some(command) = engine.command() {
+            while let Some(command) = engine.next_command() {
                 said.push(match command {
                     Command::Start { attempt, server, .. } => {
                         out.push(attempt);
@@ -612,7 +626,9 @@
                     Command::Probe { probe, server } => format!("{now:?} probe {probe:?} {server}"),
                     Command::CancelProbe(probe) => format!("{now:?} cancel {probe:?}"),
                     Command::Watch => "watch".to_owned(),
-                    Command::Over { request, ran } => format!("over {request:?} {ran}"),
+                    Command::Completed { request, may_have_run } => {
+                        format!("over {request:?} {may_have_run}")
+                    }
                     Command::Log(line) => line,
                 });
             }
@@ -630,7 +646,7 @@
 /// Sends each request to the first server and keeps what it is told of the end.
 struct First(std::rc::Rc<std::cell::RefCell<Vec<finchvale::AttemptEnded>>>);
 
-impl Decide for First {
+impl Policy for First {
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Arrival(a) => {
@@ -648,32 +664,32 @@
     let ends = std::rc::Rc::default();
     let mut engine: Engine<First, u32, u32> = Engine::new(First(std::rc::Rc::clone(&ends)), &settings(false));
     let start = Time(1_000_000_000);
-    engine.list(start, ListKind::Full, vec![entry(0, ServerState::Ready)]);
+    engine.update_servers(start, ListKind::Full, vec![entry(0, ServerState::Ready)]);
     let incoming = Incoming {
-        whole: false,
+        body_complete: false,
         class: ClassId(UNSAFE),
         tenant: TenantId(0),
         work: None,
-        due: start + 100_000 * MS,
-        last: start + 100_000 * MS,
-        name: b"r".to_vec().into(),
+        deadline: start + 100_000 * MS,
+        answer_deadline: start + 100_000 * MS,
+        external_id: b"r".to_vec().into(),
         request: 7,
     };
-    let request = engine.arrive(start, incoming).expect("a new name");
+    let request = engine.submit(start, incoming).expect("a new name");
     let attempt = AttemptId { request, number: 0 };
-    assert!(matches!(engine.command(), Some(Command::Start { .. })));
-    assert!(matches!(engine.clear(start, attempt), Clearance::Go(_)));
+    assert!(matches!(engine.next_command(), Some(Command::Start { .. })));
+    assert!(matches!(engine.permit_send(start, attempt), SendPermit::Granted(_)));
     let whole = start + 5000 * MS;
     engine.wake(whole);
-    assert!(engine.command().is_none(), "it still comes");
+    assert!(engine.next_command().is_none(), "it still comes");
     engine.written(whole, attempt);
-    engine.set_due(request, whole + 100 * MS, whole + 105 * MS);
+    engine.set_deadlines(request, whole + 100 * MS, whole + 105 * MS);
     assert_eq!(engine.next_wake(), Some(whole + 100 * MS));
     engine.wake(whole + 100 * MS);
-    assert!(matches!(engine.command(), Some(Command::Cancel(a)) if a == attempt));
+    assert!(matches!(engine.next_command(), Some(Command::Cancel(a)) if a == attempt));
     assert_eq!((ends.borrow()[0].outcome, ends.borrow()[0].latency), (Outcome::TimedOut, 100 * MS));
     engine.wake(whole + 105 * MS);
-    assert!(matches!(engine.command(), Some(Command::Answer { answer: Answer::Failed, .. })));
-    engine.set_due(request, whole + 900 * MS, whole + 900 * MS);
-    assert_eq!((engine.next_wake(), engine.in_hand()), (None, 0), "it is over");
+    assert!(matches!(engine.next_command(), Some(Command::Answer { answer: Answer::Failed, .. })));
+    engine.set_deadlines(request, whole + 900 * MS, whole + 900 * MS);
+    assert_eq!((engine.next_wake(), engine.active_requests()), (None, 0), "it is over");
 }
--- a/crates/host/src/commands.rs
+++ b/crates/host/src/commands.rs
@@ -1,7 +1,7 @@
 //! Carries out what the engine asks for, and wakes it when something is due.
 
 use crate::tickets::Asker;
-use crate::{Host, ProbeTicket, Ticket, Upstream};
+use crate::{AttemptHandle, Host, ProbeHandle, Upstream};
 use birchswitch_engine::{Answer, Command};
 use birchswitch_figures::Disposition;
 use finchvale::Outcome;
@@ -12,14 +12,14 @@
 impl<U: Upstream> Host<U> {
     pub(crate) fn carry_out(&self) {
         while !self.closed.get() {
-            let command = self.engine.borrow_mut().command();
+            let command = self.engine.borrow_mut().next_command();
             match command {
                 Some(command) => self.obey(command),
                 None => break,
             }
         }
         if let Some(witness) = self.witness.borrow().as_ref() {
-            for (server, outcome, latency) in self.engine.borrow_mut().ends() {
+            for (server, outcome, latency) in self.engine.borrow_mut().take_attempt_ends() {
                 witness.ended(self.now(), server, outcome, latency);
             }
         }
@@ -33,7 +33,7 @@
     fn obey(&self, command: Command<U::Request, U::Answer>) {
         match command {
             Command::Start { attempt, server, request } => {
-                let ticket = Ticket { host: self.me.clone(), attempt, server };
+                let ticket = AttemptHandle { host: self.me.clone(), attempt, server };
                 let task = spawn_local(self.upstream.clone().attempt(server, request, ticket));
                 self.attempts.borrow_mut().insert(attempt, task.abort_handle());
             }
@@ -53,10 +53,10 @@
             Command::Probe { probe, server } => {
                 if self.health.borrow_mut().as_mut().is_some_and(|h| h.spares(server)) {
                     let now = self.now();
-                    return self.engine.borrow_mut().probed(now, probe, Outcome::Unreachable, None);
+                    return self.engine.borrow_mut().probe_ended(now, probe, Outcome::Unreachable, None);
                 }
                 self.figures.probes.inc();
-                let ticket = ProbeTicket { host: self.me.clone(), asker: Asker::Decisions(probe) };
+                let ticket = ProbeHandle { host: self.me.clone(), asker: Asker::Decisions(probe) };
                 let task = spawn_local(self.upstream.clone().probe(server, ticket));
                 self.probes.borrow_mut().insert(probe, (server, task.abort_handle()));
             }
@@ -66,9 +66,9 @@
                     self.met(server, Outcome::TimedOut);
                 }
             }
-            Command::Over { request, ran } => {
+            Command::Completed { request, may_have_run } => {
                 let pass = self.passes.borrow_mut().remove(&request);
-                pass.into_iter().for_each(|pass| pass.over(ran));
+                pass.into_iter().for_each(|pass| pass.finish(may_have_run));
             }
             Command::Watch => (self.watch.borrow())(),
             Command::Log(line) => self.log(format_args!("{line}")),
--- a/crates/host/src/door.rs
+++ b/crates/host/src/door.rs
@@ -11,7 +11,7 @@
 
 /// A request that wants to come in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entering {
+pub struct AdmissionRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -24,29 +24,29 @@
 
 /// A request is turned away: it never ran, and trying again is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turned {
+pub struct Rejection {
     /// When it may be worth coming again.
-    pub wait: Duration,
+    pub retry_after: Duration,
     /// Why, in a few words for the client.
-    pub why: &'static str,
+    pub message: &'static str,
 }
 
 /// See the module's words. Asked on the node's own thread: it must not wait for anybody.
-pub trait Door {
+pub trait Admission {
     /// Lets a request in, or turns it away. What is returned is told when nothing more can come of the request; none: nobody wants to know.
-    fn enter(&self, entering: &Entering) -> Result<Option<Box<dyn Pass>>, Turned>;
+    fn admit(&self, entering: &AdmissionRequest) -> Result<Option<Box<dyn AdmissionPermit>>, Rejection>;
 }
 
 /// What a request took on its way in.
-pub trait Pass {
+pub trait AdmissionPermit {
     /// Asked right before each attempt's first byte: whether it may still go, long after it was let in perhaps.
-    fn fit(&self) -> Result<(), Turned> {
+    fn check(&self) -> Result<(), Rejection> {
         Ok(())
     }
 
     /// An attempt goes to a server now.
-    fn sent(&self) {}
+    fn attempt_sent(&self) {}
 
-    /// Nothing more can come of it. `ran`: it ran, or may have run, at a server.
-    fn over(self: Box<Self>, ran: bool);
+    /// Nothing more can come of it. `may_have_run`: it ran, or may have run, at a server.
+    fn finish(self: Box<Self>, may_have_run: bool);
 }
--- a/crates/host/src/health.rs
+++ b/crates/host/src/health.rs
@@ -1,7 +1,7 @@
 //! What this node met at its servers, for those who ask on behalf of a whole fleet, and which of its own questions are spared.
 
 use crate::tickets::Asker;
-use crate::{Host, ProbeTicket, Upstream};
+use crate::{Host, ProbeHandle, Upstream};
 use birchswitch_health::{Short, Spare};
 use finchvale::{Outcome, ServerEntry, ServerId, ServerState};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -86,31 +86,31 @@
 
 impl<U: Upstream> Host<U> {
     /// From now on servers that fall silent are reported, by the hashes of their names, and questions to those that are
-    /// [told of](Host::told_silent) as silent are spared. To be called before any list comes.
-    pub fn on_silence(&self, report: impl Fn(u64) + 'static) {
+    /// [told of](Host::set_silent_servers) as silent are spared. To be called before any list comes.
+    pub fn on_server_silent(&self, report: impl Fn(u64) + 'static) {
         *self.health.borrow_mut() = Some(Health::new(Box::new(report)));
     }
 
     /// Another node asks these for this one, and they do not answer it. Servers of which that was said and is no more are asked once.
-    pub fn told_silent(&self, silent: &[Short]) {
+    pub fn set_silent_servers(&self, silent: &[Short]) {
         let back = self.health.borrow_mut().as_mut().map(|h| h.told(silent)).unwrap_or_default();
         for server in back {
-            self.with(|engine, now| engine.ask(now, server));
+            self.with(|engine, now| engine.probe_server(now, server));
         }
     }
 
-    /// Servers that take new requests, by the hashes of their names; none unless [`Host::on_silence`] was called.
-    pub fn servers_to_ask(&self) -> FxHashSet<u64> {
+    /// Servers that take new requests, by the hashes of their names; none unless [`Host::on_server_silent`] was called.
+    pub fn servers_to_probe(&self) -> FxHashSet<u64> {
         self.health.borrow().as_ref().map(Health::listed).unwrap_or_default()
     }
 
     /// Asks a server on behalf of others: whether it says anything within that time. None: it takes no new requests, or this
     /// node has no room.
-    pub async fn ask(&self, name: u64, patience: Duration) -> Option<bool> {
+    pub async fn probe_for_others(&self, name: u64, patience: Duration) -> Option<bool> {
         let server = self.health.borrow().as_ref()?.id(name)?;
         let (tell, told) = oneshot::channel();
         self.figures.probes.inc();
-        let ticket = ProbeTicket { host: self.me.clone(), asker: Asker::Others(tell) };
+        let ticket = ProbeHandle { host: self.me.clone(), asker: Asker::Others(tell) };
         let asking = tokio::time::timeout(patience, self.upstream.clone().probe(server, ticket));
         match asking.await {
             Ok(()) => match told.await.ok()? {
@@ -122,7 +122,7 @@
     }
 
     /// Questions spared so far; none: nobody asks for this node.
-    pub fn spared(&self) -> Option<u64> {
+    pub fn spared_probes(&self) -> Option<u64> {
         self.health.borrow().as_ref().map(|h| h.spared)
     }
 
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,7 +1,7 @@
 //! Runs an [`Engine`] on one thread of tokio.
 //!
 //! The engine says what is to be done; this carries it out with one task for each attempt and probe, one timer for
-//! everything that is due, and a clock. A protocol comes in twice: its front calls [`Host::arrive`], and its servers'
+//! everything that is due, and a clock. A protocol comes in twice: its front calls [`Host::submit`], and its servers'
 //! side is an [`Upstream`].
 //!
 //! It decides nothing, and never waits while the engine is borrowed. Everything runs on a `LocalSet`.
@@ -27,7 +27,7 @@
 pub use birchswitch_figures::Figures;
 use birchswitch_membership::{Directory, Target};
 use clock::Clock;
-pub use door::{key_hash, Door, Entering, Pass, Turned};
+pub use door::{key_hash, Admission, AdmissionPermit, AdmissionRequest, Rejection};
 use finchvale::{Balancer, RequestId, ServerId, Settings, SettingsError, Time};
 use health::Health;
 use requests::Owed;
@@ -39,12 +39,12 @@
 use std::io::Write;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
-pub use tickets::{ProbeTicket, Taken, Ticket};
+pub use tickets::{AttemptHandle, PendingRequest, ProbeHandle};
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 use witness::Witness;
-pub use witness::{End, Said};
+pub use witness::{AttemptRecord, NamedServerAdjustment};
 
 /// The servers' side of a protocol.
 pub trait Upstream: Sized + 'static {
@@ -54,26 +54,26 @@
     type Answer: 'static;
 
     /// Takes in what became of servers.
-    fn learn(&self, targets: &[Target]);
+    fn update_servers(&self, targets: &[Target]);
 
     /// Where to count new connections, told once at the start.
-    fn count(&self, figures: Rc<Figures>);
+    fn set_figures(&self, figures: Rc<Figures>);
 
-    /// Makes one attempt: gets a connection, asks [`Ticket::clear`] right before the first byte, sends once, and tells
-    /// [`Ticket::end`]. What it does after that is its own affair. Dropped when the attempt is given up: its connection
+    /// Makes one attempt: gets a connection, asks [`AttemptHandle::permit_send`] right before the first byte, sends once, and tells
+    /// [`AttemptHandle::finish`]. What it does after that is its own affair. Dropped when the attempt is given up: its connection
     /// has to go with it.
     fn attempt(
         self: Rc<Self>,
         server: ServerId,
         request: Rc<Self::Request>,
-        ticket: Ticket<Self>,
+        ticket: AttemptHandle<Self>,
     ) -> impl Future<Output = ()> + 'static;
 
-    /// Asks a server for its load and tells [`ProbeTicket::end`]. Dropped when it takes too long.
+    /// Asks a server for its load and tells [`ProbeHandle::finish`]. Dropped when it takes too long.
     fn probe(
         self: Rc<Self>,
         server: ServerId,
-        ticket: ProbeTicket<Self>,
+        ticket: ProbeHandle<Self>,
     ) -> impl Future<Output = ()> + 'static;
 }
 
@@ -103,8 +103,8 @@
     listed: Notify,
     /// Nothing more is begun: the tasks that would do it are going.
     closed: Cell<bool>,
-    door: RefCell<Option<Rc<dyn Door>>>,
-    passes: RefCell<FxHashMap<RequestId, Box<dyn Pass>>>,
+    door: RefCell<Option<Rc<dyn Admission>>>,
+    passes: RefCell<FxHashMap<RequestId, Box<dyn AdmissionPermit>>>,
     /// Longest wait that clients may be told; none: they are told none.
     max_wait: Option<Duration>,
     warm_up: Duration,
@@ -113,7 +113,7 @@
 }
 
 impl<U: Upstream> Host<U> {
-    /// Starts with no servers and no requests. The decisions are owed [`Host::known`] first.
+    /// Starts with no servers and no requests. The decisions are owed [`Host::load_cached_list`] first.
     pub fn new(
         name: String,
         settings: Settings,
@@ -122,7 +122,7 @@
         upstream: Rc<U>,
         figures: Rc<Figures>,
     ) -> Result<Rc<Self>, SettingsError> {
-        upstream.count(figures.clone());
+        upstream.set_figures(figures.clone());
         let clock = Clock::new();
         let balancer = Balancer::new(settings.clone(), seed, clock.time(Instant::now()))?;
         let host = Rc::new_cyclic(|me: &Weak<Self>| Host {
@@ -156,8 +156,8 @@
     }
 
     /// From now on every request passes this door. To be called before any comes.
-    pub fn set_door(&self, door: Rc<dyn Door>) {
-        self.engine.borrow_mut().tell_over();
+    pub fn set_admission(&self, door: Rc<dyn Admission>) {
+        self.engine.borrow_mut().report_completion();
         *self.door.borrow_mut() = Some(door);
     }
 
@@ -192,8 +192,8 @@
     }
 
     /// Requests in hand.
-    pub fn in_hand(&self) -> usize {
-        self.engine.borrow().in_hand()
+    pub fn active_requests(&self) -> usize {
+        self.engine.borrow().active_requests()
     }
 
     /// Begins nothing more, whatever still ends. For the process's own end.
@@ -202,10 +202,10 @@
     }
 
     /// The process ends at that time: what is in hand then, or is taken from now on, is due by then.
-    pub fn end_by(&self, end: Instant) {
+    pub fn cap_deadlines(&self, end: Instant) {
         self.end.set(Some(end));
         let end = self.clock.time(end);
-        self.with(|engine, _| engine.end_by(end));
+        self.with(|engine, _| engine.cap_deadlines(end));
     }
 
     fn before_end(&self, at: Instant) -> Instant {
--- a/crates/host/src/lists.rs
+++ b/crates/host/src/lists.rs
@@ -6,13 +6,13 @@
 
 impl<U: Upstream> Host<U> {
     /// Takes in the list as last known before the start. The decisions are owed one, be it empty.
-    pub fn known(&self, list: Option<&ServerList>) {
+    pub fn load_cached_list(&self, list: Option<&ServerList>) {
         let entries = list.map(|l| self.take(l)).unwrap_or_default();
         self.told(ListKind::Cached, entries);
     }
 
     /// Takes in what discovery says.
-    pub fn list(&self, list: &ServerList) {
+    pub fn apply_list(&self, list: &ServerList) {
         self.figures.lists.inc();
         let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
         let first = !self.ready();
@@ -30,34 +30,34 @@
     }
 
     /// Whether a server of this name is listed, or was taken out by hand.
-    pub fn knows(&self, server: &str) -> bool {
+    pub fn knows_server(&self, server: &str) -> bool {
         self.directory.borrow().knows(server)
     }
 
     /// Takes a server out by hand, or lets it in again, whatever lists say of it meanwhile.
-    pub fn set_out(&self, server: &str, out: bool) {
+    pub fn set_suspended(&self, server: &str, out: bool) {
         let update = self.directory.borrow_mut().set_out(server, out);
         if !update.entries.is_empty() {
-            self.upstream.learn(&update.targets);
+            self.upstream.update_servers(&update.targets);
             self.told(ListKind::Changes, update.entries);
         }
     }
 
     /// Where this node stands among those that live: the part of the ring of servers at which it begins, and nodes as last
     /// agreed.
-    pub fn place(&self, begins: f64, nodes: u32) {
-        self.with(|engine, now| engine.place(now, begins, nodes));
+    pub fn set_ring_position(&self, begins: f64, nodes: u32) {
+        self.with(|engine, now| engine.set_ring_position(now, begins, nodes));
     }
 
     /// Servers listed, and how many of them were taken out by hand.
-    pub fn servers(&self) -> (usize, usize) {
+    pub fn server_counts(&self) -> (usize, usize) {
         self.directory.borrow().count()
     }
 
     fn take(&self, list: &ServerList) -> Vec<ServerEntry> {
         self.revision.set(list.revision);
         let update = self.directory.borrow_mut().take(list);
-        self.upstream.learn(&update.targets);
+        self.upstream.update_servers(&update.targets);
         self.servers_listed.set(self.servers_listed.get() || !update.entries.is_empty());
         if self.ready() {
             self.listed.notify_waiters();
@@ -72,6 +72,6 @@
         if let Some(witness) = self.witness.borrow_mut().as_mut() {
             witness.list(matches!(kind, ListKind::Full | ListKind::Cached), &entries);
         }
-        self.with(|engine, now| engine.list(now, kind, entries));
+        self.with(|engine, now| engine.update_servers(now, kind, entries));
     }
 }
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -28,19 +28,19 @@
     /// After this a server closes an idle connection.
     pub conn_idle: Duration,
     /// Before it is used again a connection has to be quiet for so long.
-    pub rest: Duration,
+    pub reuse_delay: Duration,
 }
 
 /// A connection that a pool keeps.
-pub trait Pooled {
+pub trait PooledConnection {
     /// Whether it is open and empty, as far as the system knows by now.
-    fn good(&self) -> bool;
-    /// That of the [`Fresh`] one that it was made of.
+    fn is_usable(&self) -> bool;
+    /// That of the [`NewConnection`] one that it was made of.
     fn generation(&self) -> u64;
 }
 
 /// A connection that has just come up.
-pub struct Fresh {
+pub struct NewConnection {
     /// Its socket.
     pub stream: TcpStream,
     /// Its place among those that the process may hold. To be kept as long as the socket.
@@ -85,7 +85,7 @@
     figures: OnceCell<Rc<Figures>>,
 }
 
-impl<C: Pooled> Pool<C> {
+impl<C: PooledConnection> Pool<C> {
     /// Starts with no servers.
     pub fn new(limits: Limits) -> Self {
         let slots = Arc::new(Semaphore::new(limits.connections));
@@ -93,7 +93,7 @@
     }
 
     /// Counts connections there from now on; only the first word on it holds.
-    pub fn count(&self, figures: Rc<Figures>) {
+    pub fn set_figures(&self, figures: Rc<Figures>) {
         let _ = self.figures.set(figures);
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Takes in what became of servers.
-    pub fn learn(&self, targets: &[Target]) {
+    pub fn update_servers(&self, targets: &[Target]) {
         let mut servers = self.servers.borrow_mut();
         for target in targets {
             if target.state == ServerState::Gone {
@@ -130,13 +130,13 @@
     }
 
     /// The most recently used idle connection that has rested and is good. Those that are not good go.
-    pub fn idle(&self, server: &Server<C>) -> Option<C> {
-        let rested = self.limits.rest..self.retire_after();
+    pub fn take_idle(&self, server: &Server<C>) -> Option<C> {
+        let rested = self.limits.reuse_delay..self.retire_after();
         loop {
             let mut idle = server.idle.borrow_mut();
             let at = idle.iter().rposition(|i| rested.contains(&i.since.elapsed()))?;
             let connection = idle.remove(at).connection;
-            if connection.good() {
+            if connection.is_usable() {
                 return Some(connection);
             }
         }
@@ -146,7 +146,7 @@
     ///
     /// Errors: [`Outcome::NotSent`] where the process has no room, or the server moved or restarted meanwhile;
     /// [`Outcome::Unreachable`] where the server is not to be had.
-    pub async fn connect(&self, server: &Server<C>) -> Result<Fresh, Outcome> {
+    pub async fn connect(&self, server: &Server<C>) -> Result<NewConnection, Outcome> {
         let slot = self.slot().await.ok_or(Outcome::NotSent)?;
         let generation = server.generation.get();
         let stream =
@@ -162,7 +162,7 @@
             return Err(Outcome::NotSent);
         }
         let _ = stream.set_nodelay(true);
-        Ok(Fresh { stream, slot, generation })
+        Ok(NewConnection { stream, slot, generation })
     }
 
     /// Takes back a connection on which nothing is under way. Whether it is good is asked when it is used again.
@@ -177,7 +177,7 @@
         let mut every = tokio::time::interval(LOOK);
         loop {
             every.tick().await;
-            let fit = |i: &Idle<C>| i.since.elapsed() < self.retire_after() && i.connection.good();
+            let fit = |i: &Idle<C>| i.since.elapsed() < self.retire_after() && i.connection.is_usable();
             for server in self.servers.borrow().values() {
                 server.idle.borrow_mut().retain(fit);
             }
--- a/crates/host/src/socket.rs
+++ b/crates/host/src/socket.rs
@@ -16,13 +16,13 @@
 const MOST_LINGERING: usize = 256 << 10;
 
 /// Whether a socket is open and nothing has come on it. Asks the system itself: what the runtime knows may be older.
-pub fn quiet(socket: &TcpStream) -> bool {
+pub fn is_open_and_idle(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     SockRef::from(socket).peek(&mut byte).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
 /// Whether the system has told that the other side ended its sending, be there unread bytes before that or not.
-pub async fn read_closed(socket: &TcpStream) -> bool {
+pub async fn is_read_closed(socket: &TcpStream) -> bool {
     tokio::select! {
         biased;
         ready = socket.ready(Interest::READABLE) => ready.is_ok_and(|r| r.is_read_closed()),
@@ -31,8 +31,8 @@
 }
 
 /// Waits until the other side has ended its sending, on a socket that nobody reads meanwhile.
-pub async fn left(socket: &TcpStream) {
-    while !read_closed(socket).await {
+pub async fn wait_read_closed(socket: &TcpStream) {
+    while !is_read_closed(socket).await {
         sleep(LOOK).await;
     }
 }
@@ -57,7 +57,7 @@
 
 /// The connections that the system has queued for a listener by now, whatever the runtime knows of that. The listener closes
 /// after the last.
-pub fn queued(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
+pub fn queued_connections(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
     let listener = listener.into_std().ok();
     std::iter::from_fn(move || Some(listener.as_ref()?.accept().ok()?.0))
         .filter_map(|stream| stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)).ok())
--- a/crates/host/src/witness.rs
+++ b/crates/host/src/witness.rs
@@ -7,7 +7,7 @@
 
 /// How an attempt ended at a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct End {
+pub struct AttemptRecord {
     /// The hash of the server's name.
     pub name: u64,
     /// How.
@@ -19,19 +19,19 @@
 }
 
 /// Told of an end.
-pub type Tell = dyn Fn(End);
+pub type Tell = dyn Fn(AttemptRecord);
 
 /// What is said of a server: its name's hash, and the rest as in [`ServerAdjustment`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said {
+pub struct NamedServerAdjustment {
     /// The hash of its name.
     pub name: u64,
     /// See [`ServerAdjustment::share_limit`].
-    pub open: f64,
+    pub share_limit: f64,
     /// See [`ServerAdjustment::weight_factor`].
-    pub weight: f64,
+    pub weight_factor: f64,
     /// See [`ServerAdjustment::confidence`].
-    pub sure: f64,
+    pub confidence: f64,
 }
 
 /// Names of servers, both ways.
@@ -75,7 +75,7 @@
     /// Tells of an end, where the server is still listed.
     pub(crate) fn ended(&self, now: Time, server: ServerId, outcome: Outcome, latency: Duration) {
         if let Some(&name) = self.names.get(&server) {
-            (self.tell)(End { name, outcome, latency, warm: self.warm(name, now) });
+            (self.tell)(AttemptRecord { name, outcome, latency, warm: self.warm(name, now) });
         }
     }
 
@@ -91,14 +91,14 @@
         self.ready
     }
 
-    pub(crate) fn advice(&self, said: &[Said]) -> Vec<ServerAdjustment> {
+    pub(crate) fn advice(&self, said: &[NamedServerAdjustment]) -> Vec<ServerAdjustment> {
         let each = said.iter().filter_map(|s| {
             let server = *self.ids.get(&s.name)?;
             Some(ServerAdjustment {
                 server,
-                share_limit: s.open,
-                weight_factor: s.weight,
-                confidence: s.sure,
+                share_limit: s.share_limit,
+                weight_factor: s.weight_factor,
+                confidence: s.confidence,
             })
         });
         each.collect()
@@ -107,30 +107,30 @@
 
 impl<U: Upstream> Host<U> {
     /// From now on the end of each attempt is told. To be called before any list comes.
-    pub fn on_ends(&self, tell: impl Fn(End) + 'static) {
-        self.engine.borrow_mut().tell_ends();
+    pub fn on_attempt_end(&self, tell: impl Fn(AttemptRecord) + 'static) {
+        self.engine.borrow_mut().record_attempt_ends();
         *self.witness.borrow_mut() = Some(Witness::new(Box::new(tell), self.warm_up));
     }
 
-    /// What the whole fleet knows of servers, in the place of all that was said so before; only where [`Host::on_ends`] was called.
-    pub fn advise(&self, said: &[Said]) {
+    /// What the whole fleet knows of servers, in the place of all that was said so before; only where [`Host::on_attempt_end`] was called.
+    pub fn advise(&self, said: &[NamedServerAdjustment]) {
         let advice = self.witness.borrow().as_ref().map(|w| w.advice(said));
         advice.into_iter().for_each(|advice| self.with(|engine, now| engine.advise(now, advice)));
     }
 
-    /// Whether a server of that name's hash takes new requests, and how many do; only where [`Host::on_ends`] was called.
-    pub fn takes(&self, name: u64) -> bool {
+    /// Whether a server of that name's hash takes new requests, and how many do; only where [`Host::on_attempt_end`] was called.
+    pub fn is_ready_server(&self, name: u64) -> bool {
         self.witness.borrow().as_ref().is_some_and(|w| w.knows(name))
     }
 
     /// Whether it does, and is warm by now.
-    pub fn warm(&self, name: u64) -> bool {
+    pub fn is_warm_server(&self, name: u64) -> bool {
         let now = self.now();
         self.witness.borrow().as_ref().is_some_and(|w| w.warm(name, now))
     }
 
-    /// Servers that take new requests; none unless [`Host::on_ends`] was called.
-    pub fn ready_servers(&self) -> usize {
+    /// Servers that take new requests; none unless [`Host::on_attempt_end`] was called.
+    pub fn ready_server_count(&self) -> usize {
         self.witness.borrow().as_ref().map_or(0, Witness::ready)
     }
 }
--- a/crates/http/src/front/answer.rs
+++ b/crates/http/src/front/answer.rs
@@ -7,7 +7,7 @@
 use crate::gate::{Problem, ENDING};
 use crate::upstream::HttpUpstream;
 use birchswitch_engine::{Answer, Incoming};
-use birchswitch_host::{socket, Request as Taking, Taken};
+use birchswitch_host::{socket, PendingRequest, Request as Taking};
 use bytes::Bytes;
 use finchvale::Time;
 use hyper::body::Incoming as Body;
@@ -60,8 +60,8 @@
         // A request's time counts from its last byte, which may have waited behind another request.
         let margin = MARGIN.min(order.wait / MARGIN_PART);
         let times = |last_byte: Instant| {
-            let due = last_byte + order.wait - margin;
-            (due, due + margin / OVERDUE)
+            let deadline = last_byte + order.wait - margin;
+            (deadline, deadline + margin / OVERDUE)
         };
         let (payload, upload) = match first.whole {
             true => (Payload::Whole(first.joined()), None),
@@ -70,7 +70,7 @@
                 (Payload::Streamed(upload.clone()), Some(upload))
             }
         };
-        let (due, last) = match &upload {
+        let (deadline, answer_deadline) = match &upload {
             None => times(client.take_last_byte().unwrap_or_else(Instant::now)),
             Some(_) => (head + UPLOAD, head + UPLOAD),
         };
@@ -78,13 +78,21 @@
         *outgoing.method_mut() = parts.method;
         *outgoing.uri_mut() = order.target;
         *outgoing.headers_mut() = end_to_end(parts.headers);
-        let Order { class, tenant, work, key, id: name, .. } = order;
+        let Order { class, tenant, work, key, id: external_id, .. } = order;
         // The host fills in the times.
         let (no_due, no_last) = (Time(0), Time(0));
-        let whole = upload.is_none();
-        let incoming =
-            Incoming { class, tenant, work, whole, due: no_due, last: no_last, name, request: outgoing };
-        let Ok(mut taken) = self.host.arrive(Taking { incoming, due, last, key }) else {
+        let body_complete = upload.is_none();
+        let incoming = Incoming {
+            class,
+            tenant,
+            work,
+            body_complete,
+            deadline: no_due,
+            answer_deadline: no_last,
+            external_id,
+            request: outgoing,
+        };
+        let Ok(mut taken) = self.host.submit(Taking { incoming, deadline, answer_deadline, key }) else {
             return turned_down(StatusCode::CONFLICT, "a request of this X-Request-ID is open");
         };
         let answer = match upload {
@@ -96,7 +104,7 @@
                 answer
             }
         };
-        into_response(answer, taken.why())
+        into_response(answer, taken.rejection_message())
     }
 
     /// Reads a body, or as much of it as is held whole. A node that ends waits no longer.
@@ -115,13 +123,13 @@
 
 /// Waits for the answer. A client that ends its sending meanwhile has gone: its request is given up, and begins no further
 /// attempt.
-async fn while_wanted(taken: &mut Taken<HttpUpstream>, client: &Client) -> Answer<Response<Reply>> {
+async fn while_wanted(taken: &mut PendingRequest<HttpUpstream>, client: &Client) -> Answer<Response<Reply>> {
     tokio::select! {
         biased;
         answer = taken.answer() => return answer,
         () = client.left() => {}
     }
-    taken.give_up();
+    taken.abandon();
     taken.answer().await
 }
 
@@ -152,7 +160,7 @@
 /// comes or is taken. A client that ends its sending has gone, be all of the body read or not. As long as no attempt reads the body,
 /// some of it is read ahead, so that the system learns of the connection's end.
 async fn uploading(
-    taken: &mut Taken<HttpUpstream>,
+    taken: &mut PendingRequest<HttpUpstream>,
     client: &Client,
     upload: &Rc<Upload>,
     times: impl Fn(Instant) -> (Instant, Instant),
@@ -162,11 +170,11 @@
         tokio::select! {
             biased;
             answer = taken.answer() => return answer,
-            () = socket::left(&client.socket) => break,
+            () = socket::wait_read_closed(&client.socket) => break,
             () = upload.whole(), if open => {
                 open = false;
-                let (due, last) = times(Instant::now());
-                taken.set_due(due, last);
+                let (deadline, answer_deadline) = times(Instant::now());
+                taken.set_deadlines(deadline, answer_deadline);
             }
             ahead = upload.read_ahead(), if unread => {
                 unread = false;
@@ -177,12 +185,12 @@
             () = tokio::time::sleep(UPLOAD_LOOK), if open => {
                 if upload.stuck() {
                     open = false;
-                    taken.set_due(Instant::now(), Instant::now());
+                    taken.set_deadlines(Instant::now(), Instant::now());
                 }
             }
         }
     }
-    taken.give_up();
+    taken.abandon();
     taken.answer().await
 }
 
--- a/crates/http/src/front/client.rs
+++ b/crates/http/src/front/client.rs
@@ -1,7 +1,7 @@
 //! One client's connection: where it stands, what is owed on it, and what its gate may read.
 
 use crate::gate::{self, Guard, Head, Next, Problem, Reading};
-use birchswitch_host::socket::{self, quiet};
+use birchswitch_host::socket::{self, is_open_and_idle};
 use hyper::StatusCode;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -148,7 +148,7 @@
 
     /// Whether nothing is owed on it and nothing has come on it.
     pub(super) fn rests(&self) -> bool {
-        self.stage.get() == Stage::Idle && !self.more_is_owed() && quiet(&self.socket)
+        self.stage.get() == Stage::Idle && !self.more_is_owed() && is_open_and_idle(&self.socket)
     }
 
     /// Whether it may be closed for others that need its place.
@@ -159,7 +159,7 @@
             Stage::Idle => IDLE_LEAST,
             Stage::Busy | Stage::Passing | Stage::Leaving => return false,
         };
-        self.age(Instant::now()) >= least && quiet(&self.socket)
+        self.age(Instant::now()) >= least && is_open_and_idle(&self.socket)
     }
 
     /// Has the connection closed.
@@ -176,7 +176,7 @@
         if self.stage.get() != Stage::Leaving {
             return false;
         }
-        if let Some((stage, since)) = self.silent_before.get().filter(|_| !quiet(&self.socket)) {
+        if let Some((stage, since)) = self.silent_before.get().filter(|_| !is_open_and_idle(&self.socket)) {
             self.stage.set(stage);
             self.since.set(since);
             return false;
@@ -189,9 +189,9 @@
         let age = self.age(now);
         match self.stage.get() {
             // Never one on which a request has come that was not read yet.
-            Stage::New if age >= FIRST && quiet(&self.socket) => self.leave(),
+            Stage::New if age >= FIRST && is_open_and_idle(&self.socket) => self.leave(),
             Stage::Passing if age >= TAKING => self.leave(),
-            Stage::Idle if age >= IDLE && quiet(&self.socket) => self.leave(),
+            Stage::Idle if age >= IDLE && is_open_and_idle(&self.socket) => self.leave(),
             Stage::Head if age >= FIRST => {
                 self.stage.set(Stage::Late);
                 self.wake.notify_one();
@@ -214,7 +214,7 @@
 
     /// Whether the client has ended its sending, as far as is known at once.
     pub(super) async fn has_gone(&self) -> bool {
-        self.gone.get() || socket::read_closed(&self.socket).await
+        self.gone.get() || socket::is_read_closed(&self.socket).await
     }
 
     /// Waits until the client has ended its sending.
@@ -222,7 +222,7 @@
         while !self.gone.get() {
             tokio::select! {
                 () = self.leaving.notified() => {}
-                () = socket::left(&self.socket), if self.unread.get() => return,
+                () = socket::wait_read_closed(&self.socket), if self.unread.get() => return,
             }
         }
     }
--- a/crates/http/src/front/mod.rs
+++ b/crates/http/src/front/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::body::BufferBudget;
 use crate::upstream::HttpUpstream;
-use birchswitch_host::socket::queued;
+use birchswitch_host::socket::queued_connections;
 use birchswitch_host::Host;
 use birchswitch_site::Names;
 use client::Client;
@@ -118,7 +118,7 @@
                 () = &mut closing => break,
             }
         }
-        for stream in queued(listener) {
+        for stream in queued_connections(listener) {
             let permit = self.slot().await;
             self.clone().connected(stream, permit);
         }
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -2,12 +2,12 @@
 
 use crate::body::{BodyPrefix, BufferBudget, Outgoing, Payload, Reply, StreamedBody};
 use crate::gate::{self, Gate, Guard, Head, Next, Problem};
-use birchswitch_engine::{Clearance, Ended};
-use birchswitch_host::pool::{self, Fresh, Pool, Pooled, Server};
-use birchswitch_host::socket::quiet;
-use birchswitch_host::{Figures, ProbeTicket, Ticket, Upstream};
+use birchswitch_engine::{AttemptResult, SendPermit};
+use birchswitch_host::pool::{self, NewConnection, Pool, PooledConnection, Server};
+use birchswitch_host::socket::is_open_and_idle;
+use birchswitch_host::{AttemptHandle, Figures, ProbeHandle, Upstream};
 use birchswitch_membership::Target;
-use birchswitch_site::{Field, Names};
+use birchswitch_site::{Names, ReportField};
 use finchvale::{LoadReport, Outcome, ServerId};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
@@ -59,10 +59,12 @@
     All,
 }
 
-impl Pooled for Connection {
+impl PooledConnection for Connection {
     /// Whether the server has neither closed it nor sent what nobody asked for.
-    fn good(&self) -> bool {
-        !self.more.get() && self.sender.is_ready() && self.socket.upgrade().is_some_and(|s| quiet(&s))
+    fn is_usable(&self) -> bool {
+        !self.more.get()
+            && self.sender.is_ready()
+            && self.socket.upgrade().is_some_and(|s| is_open_and_idle(&s))
     }
 
     fn generation(&self) -> u64 {
@@ -119,7 +121,7 @@
 pub struct HttpUpstream {
     pool: Pool<Connection>,
     names: Rc<Names>,
-    fields: Vec<Field>,
+    fields: Vec<ReportField>,
     /// For what clients have not taken yet of large answers.
     room: Rc<BufferBudget>,
 }
@@ -145,9 +147,14 @@
 impl HttpUpstream {
     /// Starts with no servers. The names and fields tell how to read load reports; what clients have not taken yet of large
     /// answers waits in `room`.
-    pub fn new(limits: Limits, names: Rc<Names>, fields: Vec<Field>, room: Rc<BufferBudget>) -> Rc<Self> {
+    pub fn new(
+        limits: Limits,
+        names: Rc<Names>,
+        fields: Vec<ReportField>,
+        room: Rc<BufferBudget>,
+    ) -> Rc<Self> {
         let Limits { connections, connect_timeout, conn_idle } = limits;
-        let limits = pool::Limits { connections, connect_timeout, conn_idle, rest: QUARANTINE };
+        let limits = pool::Limits { connections, connect_timeout, conn_idle, reuse_delay: QUARANTINE };
         Rc::new(HttpUpstream { pool: Pool::new(limits), names, fields, room })
     }
 
@@ -158,10 +165,10 @@
 
     /// The most recently used idle connection that has been quiet since, or a new one.
     async fn checkout(&self, server: &Server<Connection>) -> Result<Connection, Outcome> {
-        if let Some(connection) = self.pool.idle(server) {
+        if let Some(connection) = self.pool.take_idle(server) {
             return Ok(connection);
         }
-        let Fresh { stream, slot, generation } = self.pool.connect(server).await?;
+        let NewConnection { stream, slot, generation } = self.pool.connect(server).await?;
         let (stream, more) = (Rc::new(stream), Rc::new(Cell::new(false)));
         let socket = Rc::downgrade(&stream);
         let sending = Rc::new(Cell::new(Sending::Nothing));
@@ -213,24 +220,31 @@
     type Request = Request<Payload>;
     type Answer = Response<Reply>;
 
-    fn learn(&self, targets: &[Target]) {
-        self.pool.learn(targets);
+    fn update_servers(&self, targets: &[Target]) {
+        self.pool.update_servers(targets);
     }
 
-    fn count(&self, figures: Rc<Figures>) {
-        self.pool.count(figures);
+    fn set_figures(&self, figures: Rc<Figures>) {
+        self.pool.set_figures(figures);
     }
 
-    async fn attempt(self: Rc<Self>, server: ServerId, request: Rc<Request<Payload>>, ticket: Ticket<Self>) {
-        let Some(server) = self.pool.get(server) else { return ticket.end(Ended::bare(Outcome::NotSent)) };
+    async fn attempt(
+        self: Rc<Self>,
+        server: ServerId,
+        request: Rc<Request<Payload>>,
+        ticket: AttemptHandle<Self>,
+    ) {
+        let Some(server) = self.pool.get(server) else {
+            return ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
+        };
         let connection = match self.checkout(&server).await {
             Ok(connection) => connection,
-            Err(outcome) => return ticket.end(Ended::bare(outcome)),
+            Err(outcome) => return ticket.finish(AttemptResult::from_outcome(outcome)),
         };
         // Connecting took time, in which word may have come that the server drains, or the time may have passed for
         // which duplicates are dropped.
-        let Clearance::Go(left) = ticket.clear() else {
-            ticket.end(Ended::bare(Outcome::NotSent));
+        let SendPermit::Granted(left) = ticket.permit_send() else {
+            ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
             return self.pool.give_back(&server, connection);
         };
         let (body, left) = match request.body() {
@@ -241,10 +255,10 @@
             Payload::Streamed(upload) => {
                 // Nothing of it is left to be sent from the start: this ends as if it had not been tried.
                 let Some(mut reader) = upload.reader() else {
-                    ticket.end(Ended::bare(Outcome::NotSent));
+                    ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
                     return self.pool.give_back(&server, connection);
                 };
-                reader.written = Some(Box::new(ticket.once_written()));
+                reader.written = Some(Box::new(ticket.written_callback()));
                 (Outgoing::Streamed(reader), left.min(upload.wait))
             }
         };
@@ -258,7 +272,7 @@
         let Exchanged { head, first, rest, connection } =
             match Self::exchange(connection, outgoing, left).await {
                 Ok(exchanged) => exchanged,
-                Err(outcome) => return ticket.end(Ended::bare(outcome)),
+                Err(outcome) => return ticket.finish(AttemptResult::from_outcome(outcome)),
             };
         let outcome = outcome(head.status, &head.headers);
         let report = head.headers.get(LOAD).and_then(|v| self.load_report(v.as_bytes()));
@@ -271,34 +285,34 @@
             let since = if matches!(request.body(), Payload::Whole(_)) { sent } else { Instant::now() };
             let coming = StreamedBody::new(first.parts, rest, room, since + left + OVERTIME, end);
             let answer = Response::from_parts(head, Reply::Streamed(coming));
-            return ticket.end(Ended { outcome, report, answer: Some(answer) });
+            return ticket.finish(AttemptResult { outcome, report, answer: Some(answer) });
         }
         let served = outcome == Outcome::Served;
         let answer = served.then(|| Response::from_parts(head, Reply::Whole(first.joined())));
-        ticket.end(Ended { outcome, report, answer });
+        ticket.finish(AttemptResult { outcome, report, answer });
         // The rest of any other answer is nobody's.
         if whole {
             self.pool.give_back(&server, connection);
         }
     }
 
-    async fn probe(self: Rc<Self>, server: ServerId, ticket: ProbeTicket<Self>) {
-        let Some(server) = self.pool.get(server) else { return ticket.end(Outcome::NotSent, None) };
+    async fn probe(self: Rc<Self>, server: ServerId, ticket: ProbeHandle<Self>) {
+        let Some(server) = self.pool.get(server) else { return ticket.finish(Outcome::NotSent, None) };
         let connection = match self.checkout(&server).await {
             Ok(connection) => connection,
-            Err(outcome) => return ticket.end(outcome, None),
+            Err(outcome) => return ticket.finish(outcome, None),
         };
         let request = Request::get("/stats").header("host", server.address().to_string());
         let request = request.body(Outgoing::Whole(None)).expect("a fixed path and an address are valid");
         let exchanged = match Self::exchange(connection, request, PROBE).await {
             Ok(exchanged) if exchanged.first.whole => exchanged,
-            Ok(_) => return ticket.end(Outcome::Broken, None),
-            Err(outcome) => return ticket.end(outcome, None),
+            Ok(_) => return ticket.finish(Outcome::Broken, None),
+            Err(outcome) => return ticket.finish(outcome, None),
         };
         let outcome = outcome(exchanged.head.status, &exchanged.head.headers);
         let body = exchanged.first.joined();
         let report = (outcome == Outcome::Served).then(|| self.load_report(&body)).flatten();
-        ticket.end(outcome, report);
+        ticket.finish(outcome, report);
         self.pool.give_back(&server, exchanged.connection);
     }
 }
@@ -325,7 +339,7 @@
         let mut report = LoadReport::default();
         while let Some(name) = values.next_key::<Cow<str>>()? {
             match self.0.names.fields.iter().position(|f| *f == name).and_then(|at| self.0.fields.get(at)) {
-                Some(field) => field.put(values.next_value()?, &mut report),
+                Some(field) => field.store(values.next_value()?, &mut report),
                 None => drop(values.next_value::<IgnoredAny>()?),
             }
         }
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -19,7 +19,7 @@
 
 use crate::chance::Chance;
 use crate::hall::Hall;
-use birchswitch_engine::Decide;
+use birchswitch_engine::Policy;
 use finchvale::{
     Action, Arrival, Balancer, Effect, Event, ListKind, Outcome, Refusal, RequestId, ServerEntry, ServerId,
     ServerState, Settings, SettingsError, Time,
@@ -99,7 +99,7 @@
         now: Time,
         hall: &Rc<RefCell<Hall>>,
         together: &Rc<RefCell<Together>>,
-    ) -> Result<Box<dyn Decide>, SettingsError> {
+    ) -> Result<Box<dyn Policy>, SettingsError> {
         settings.check()?;
         let chance = Chance::new(seed, 77);
         let pick: Box<dyn Pick> = match self {
@@ -196,7 +196,7 @@
     }
 }
 
-impl Decide for Chooser {
+impl Policy for Chooser {
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::List { kind, entries } => {
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -92,15 +92,15 @@
             lost: false,
         });
         self.book.tries += 1;
-        let due = Time(ends.0.saturating_sub(MARGIN.as_nanos() as u64));
+        let deadline = Time(ends.0.saturating_sub(MARGIN.as_nanos() as u64));
         let incoming = Incoming {
-            whole: true,
+            body_complete: true,
             class: ClassId(o.class),
             tenant: TenantId(o.tenant),
             work: self.scenario.hints.then(|| seconds(o.work)),
-            due,
-            last: due,
-            name: of.to_be_bytes().into(),
+            deadline,
+            answer_deadline: deadline,
+            external_id: of.to_be_bytes().into(),
             request: of,
         };
         let node = self.places[o.place];
@@ -110,7 +110,7 @@
             return;
         }
         self.book.events += 1;
-        if let Ok(id) = self.nodes[node].engine.arrive(self.now, incoming) {
+        if let Ok(id) = self.nodes[node].engine.submit(self.now, incoming) {
             self.nodes[node].requests.insert(id, of);
         }
         self.pump(node);
--- a/crates/lab/src/world/health.rs
+++ b/crates/lab/src/world/health.rs
@@ -77,7 +77,7 @@
     /// A node's own question to a server that is said to be back.
     pub(super) fn ask_back(&mut self, node: usize, name: u64) {
         if !self.nodes[node].dead {
-            self.nodes[node].engine.ask(self.now, finchvale::ServerId(server(name) as u32));
+            self.nodes[node].engine.probe_server(self.now, finchvale::ServerId(server(name) as u32));
             self.pump(node);
         }
     }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -16,7 +16,7 @@
 use crate::model::{Job, Model, Progress};
 use crate::policy::{Peer, Together};
 use crate::scenario::{seconds, ClassOf, Scenario, Size};
-use birchswitch_engine::{Decide, Ended, Engine, ProbeId};
+use birchswitch_engine::{AttemptResult, Engine, Policy, ProbeId};
 use birchswitch_health::{Rounds, Spare};
 use finchvale::{ListKind, Outcome, RequestId, ServerEntry, ServerId, ServerState, SettingsError, Time};
 use rustc_hash::FxHashMap;
@@ -28,7 +28,7 @@
 const MARGIN: Duration = Duration::from_millis(5);
 
 struct Node {
-    engine: Engine<Box<dyn Decide>, usize, ()>,
+    engine: Engine<Box<dyn Policy>, usize, ()>,
     zone: u8,
     wake: Option<Time>,
     requests: FxHashMap<RequestId, usize>,
@@ -247,7 +247,11 @@
                     self.released(node, server, outcome);
                     self.met(node, server, outcome);
                     self.came_to(node, attempt, outcome);
-                    self.nodes[node].engine.ended(self.now, attempt, Ended { outcome, report, answer });
+                    self.nodes[node].engine.attempt_ended(
+                        self.now,
+                        attempt,
+                        AttemptResult { outcome, report, answer },
+                    );
                     self.pump(node);
                 }
             }
@@ -258,7 +262,7 @@
                     if self.nodes[node].asked.remove(&probe).is_some() {
                         self.met(node, server, outcome);
                     }
-                    self.nodes[node].engine.probed(self.now, probe, outcome, report);
+                    self.nodes[node].engine.probe_ended(self.now, probe, outcome, report);
                     self.pump(node);
                 }
             }
@@ -288,7 +292,7 @@
                         _ => drop(told.entry(e.server).or_insert(self.now)),
                     }
                 }
-                self.nodes[node].engine.list(self.now, ListKind::Changes, entries.to_vec());
+                self.nodes[node].engine.update_servers(self.now, ListKind::Changes, entries.to_vec());
                 self.pump(node);
             }
             Happening::Begin(fault) => self.begin(fault),
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/world/nodes.rs
@@ -6,7 +6,7 @@
 use crate::book::Cause;
 use crate::chance::Chance;
 use crate::scenario::{seconds, IDLE};
-use birchswitch_engine::{Answer, AttemptId, Clearance, Command, Ended, Engine};
+use birchswitch_engine::{Answer, AttemptId, AttemptResult, Command, Engine, SendPermit};
 use birchswitch_health::Spare;
 use finchvale::{Outcome, ServerId, SettingsError};
 use rustc_hash::FxHashMap;
@@ -91,7 +91,7 @@
 
     /// Carries out what an engine wants, until it wants nothing more.
     pub(super) fn pump(&mut self, node: usize) {
-        while let Some(command) = self.nodes[node].engine.command() {
+        while let Some(command) = self.nodes[node].engine.next_command() {
             match command {
                 Command::Start { attempt, server, request } => self.send(node, attempt, server, *request),
                 Command::Answer { request, answer } => {
@@ -104,7 +104,7 @@
                     let server = server.0 as usize;
                     let zone = self.nodes[node].zone;
                     if self.spares(node, server) {
-                        self.nodes[node].engine.probed(self.now, probe, Outcome::Unreachable, None);
+                        self.nodes[node].engine.probe_ended(self.now, probe, Outcome::Unreachable, None);
                         continue;
                     }
                     self.book.probes += 1;
@@ -122,7 +122,7 @@
                     }
                 }
                 Command::Cancel(attempt) => self.came_to(node, attempt, Outcome::TimedOut),
-                Command::Watch | Command::Log(_) | Command::Over { .. } => {}
+                Command::Watch | Command::Log(_) | Command::Completed { .. } => {}
             }
         }
         let n = &mut self.nodes[node];
@@ -134,8 +134,12 @@
     }
 
     pub(super) fn send(&mut self, node: usize, attempt: AttemptId, server: ServerId, of: usize) {
-        let Clearance::Go(_) = self.nodes[node].engine.clear(self.now, attempt) else {
-            return self.nodes[node].engine.ended(self.now, attempt, Ended::bare(Outcome::NotSent));
+        let SendPermit::Granted(_) = self.nodes[node].engine.permit_send(self.now, attempt) else {
+            return self.nodes[node].engine.attempt_ended(
+                self.now,
+                attempt,
+                AttemptResult::from_outcome(Outcome::NotSent),
+            );
         };
         let grace = self.hall.borrow().rules.drain_grace;
         let zone = self.nodes[node].zone;
--- a/crates/lab/src/world/registry.rs
+++ b/crates/lab/src/world/registry.rs
@@ -31,7 +31,7 @@
         let servers = self.hall.borrow().machines.len();
         let listed = (0..servers).map(|s| self.entry(s)).filter(|e| e.state != ServerState::Gone);
         let entries = listed.collect();
-        self.nodes[node].engine.list(self.now, ListKind::Full, entries);
+        self.nodes[node].engine.update_servers(self.now, ListKind::Full, entries);
         self.pump(node);
     }
 
--- a/crates/membership/src/discovery.rs
+++ b/crates/membership/src/discovery.rs
@@ -24,7 +24,7 @@
 
 /// How long discovery may take, and how soon it is called again.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct DiscoveryTimeouts {
     /// For a connection to come up.
     pub connect: Duration,
     /// For an answer to begin.
@@ -35,17 +35,17 @@
     pub longest_pause: Duration,
 }
 
-impl Patience {
+impl DiscoveryTimeouts {
     /// An agent on the node's own machine. It answers at once and at no cost, or not at all; what it hears while it says
     /// nothing counts as told from the moment in which it can be reached again.
-    pub const AGENT: Patience = Patience {
+    pub const AGENT: DiscoveryTimeouts = DiscoveryTimeouts {
         connect: Duration::from_millis(250),
         answer: Duration::from_millis(500),
         first_pause: Duration::from_millis(100),
         longest_pause: Duration::from_millis(200),
     };
     /// One service for all nodes, which works through calls in turn.
-    pub const SERVICE: Patience = Patience {
+    pub const SERVICE: DiscoveryTimeouts = DiscoveryTimeouts {
         connect: Duration::from_secs(1),
         answer: SILENCE,
         first_pause: Duration::from_millis(100),
@@ -84,19 +84,19 @@
 
 /// What discovery says, or what became of asking it.
 #[derive(Debug)]
-pub enum Told {
+pub enum DiscoveryEvent {
     /// A list, whole or changes.
     List(ServerList),
     /// A watch that was asked for ended, or never came up.
-    Failed(WatchError),
+    WatchFailed(WatchError),
     /// A watch that is kept open ended, and is opened again after a pause.
-    Again(WatchError, Duration),
+    Reconnecting(WatchError, Duration),
 }
 
 /// Follows discovery in a task of its own, on a `LocalSet`.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    patience: Patience,
+    patience: DiscoveryTimeouts,
     /// The list held is not from where the list is now: changes to it are no use.
     moved: Cell<bool>,
     /// Version of the list held.
@@ -104,16 +104,16 @@
     lists_taken: Cell<u64>,
     /// The watch, or the task that keeps one open.
     task: RefCell<Option<AbortHandle>>,
-    tell: Box<dyn Fn(Told)>,
+    tell: Box<dyn Fn(DiscoveryEvent)>,
 }
 
 impl Discovery {
     /// Starts from a list of this revision, 0 for none. What is said goes to `tell`.
     pub fn new(
         address: SocketAddr,
-        patience: Patience,
+        patience: DiscoveryTimeouts,
         revision: u64,
-        tell: impl Fn(Told) + 'static,
+        tell: impl Fn(DiscoveryEvent) + 'static,
     ) -> Rc<Self> {
         Rc::new(Discovery {
             address: Cell::new(address),
@@ -132,18 +132,18 @@
         self.replace(async move { me.keep_watching().await });
     }
 
-    /// Opens one watch; its end is told as [`Told::Failed`].
+    /// Opens one watch; its end is told as [`DiscoveryEvent::WatchFailed`].
     pub fn watch_once(self: &Rc<Self>) {
         let me = self.clone();
         self.replace(async move {
             let error = me.watch().await;
-            (me.tell)(Told::Failed(error));
+            (me.tell)(DiscoveryEvent::WatchFailed(error));
         });
     }
 
     /// The list of servers is elsewhere from now on. False: it was there before. Nothing that the old address still
     /// says is heard; the new one is asked for its whole list by the next watch, which the caller opens.
-    pub fn move_to(&self, address: SocketAddr) -> bool {
+    pub fn set_address(&self, address: SocketAddr) -> bool {
         let moved = self.address.replace(address) != address;
         if moved {
             self.moved.set(true);
@@ -163,11 +163,11 @@
         self.lists_taken.set(self.lists_taken.get() + 1);
         self.revision.set(list.revision);
         self.moved.set(self.moved.get() && !list.complete);
-        (self.tell)(Told::List(list));
+        (self.tell)(DiscoveryEvent::List(list));
     }
 
     async fn keep_watching(&self) {
-        let Patience { first_pause, longest_pause, .. } = self.patience;
+        let DiscoveryTimeouts { first_pause, longest_pause, .. } = self.patience;
         let mut pause = first_pause;
         loop {
             let before = self.lists_taken.get();
@@ -175,7 +175,7 @@
             if self.lists_taken.get() != before {
                 pause = first_pause;
             }
-            (self.tell)(Told::Again(error, pause));
+            (self.tell)(DiscoveryEvent::Reconnecting(error, pause));
             tokio::time::sleep(pause).await;
             pause = (pause * 2).min(longest_pause);
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -14,4 +14,4 @@
 pub mod list;
 
 pub use directory::{Directory, Target, Update};
-pub use discovery::{Discovery, Patience, Told, WatchError};
+pub use discovery::{Discovery, DiscoveryEvent, DiscoveryTimeouts, WatchError};
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -35,7 +35,7 @@
 
 /// A position in a load report and the figure found there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Field {
+pub enum ReportField {
     /// Busy part of the cores.
     Utilization,
     /// Requests served a second.
@@ -50,16 +50,16 @@
     Other,
 }
 
-impl Field {
+impl ReportField {
     /// Writes the figure found at this position into a report.
-    pub fn put(self, value: f64, report: &mut LoadReport) {
+    pub fn store(self, value: f64, report: &mut LoadReport) {
         match self {
-            Field::Utilization => report.busy = Some(value),
-            Field::Throughput => report.rate = Some(value),
-            Field::Backlog => report.waiting = Some(value),
-            Field::Outstanding => report.held = Some(value),
-            Field::RecentMs => report.service = Some(value / 1e3),
-            Field::Other => {}
+            ReportField::Utilization => report.busy = Some(value),
+            ReportField::Throughput => report.rate = Some(value),
+            ReportField::Backlog => report.waiting = Some(value),
+            ReportField::Outstanding => report.held = Some(value),
+            ReportField::RecentMs => report.service = Some(value / 1e3),
+            ReportField::Other => {}
         }
     }
 }
@@ -85,7 +85,7 @@
     /// For the balancer.
     pub settings: Settings,
     /// For reading load reports.
-    pub fields: Vec<Field>,
+    pub fields: Vec<ReportField>,
     /// For reading messages that name things.
     pub names: Names,
 }
@@ -257,7 +257,7 @@
     let doc: Doc = serde_path_to_error::deserialize(&mut reader)
         .map_err(|e| ConfigError::Json { path: e.path().to_string(), problem: e.inner().to_string() })?;
     reader.end().map_err(|e| ConfigError::Json { path: ".".into(), problem: e.to_string() })?;
-    let fields: Vec<Field> = doc.report.fields.iter().map(|name| field(name)).collect();
+    let fields: Vec<ReportField> = doc.report.fields.iter().map(|name| field(name)).collect();
     let ns = Duration::from_nanos;
     let classes = doc.profiles.iter().map(|p| Class {
         effect: match p.effect {
@@ -297,7 +297,7 @@
             How::Pull => Reports::ByProbe,
             How::Silent => Reports::Absent,
         },
-        reports_rate: fields.contains(&Field::Utilization) && fields.contains(&Field::Throughput),
+        reports_rate: fields.contains(&ReportField::Utilization) && fields.contains(&ReportField::Throughput),
         subscribe_to_lists: matches!(doc.registry_mode, Mode::Subscribe),
         max_attempts: doc.limits.try_limit,
         may_cancel: doc.limits.may_cancel,
@@ -325,13 +325,13 @@
     Ok(Config { settings, fields, names })
 }
 
-fn field(name: &str) -> Field {
+fn field(name: &str) -> ReportField {
     match name {
-        "utilization" => Field::Utilization,
-        "throughput" => Field::Throughput,
-        "backlog" => Field::Backlog,
-        "outstanding" => Field::Outstanding,
-        "recent_ms" => Field::RecentMs,
-        _ => Field::Other,
+        "utilization" => ReportField::Utilization,
+        "throughput" => ReportField::Throughput,
+        "backlog" => ReportField::Backlog,
+        "outstanding" => ReportField::Outstanding,
+        "recent_ms" => ReportField::RecentMs,
+        _ => ReportField::Other,
     }
 }
--- a/crates/site/tests/names.rs
+++ b/crates/site/tests/names.rs
@@ -1,6 +1,6 @@
 //! The names that the settings give, by which messages refer to positions.
 
-use birchswitch_site::{parse, Field};
+use birchswitch_site::{parse, ReportField};
 
 #[test]
 fn names_are_kept_in_the_order_of_the_settings() {
@@ -19,7 +19,7 @@
     assert_eq!(config.names.zones, ["x", "y"]);
     assert_eq!(config.names.kinds, ["k"]);
     assert_eq!(config.names.fields, ["backlog", "other"]);
-    assert_eq!(config.fields, [Field::Backlog, Field::Other]);
+    assert_eq!(config.fields, [ReportField::Backlog, ReportField::Other]);
 }
 
 /// A price says what a site counts, never what a node may: one that makes no sense counts as none.
--- a/crates/thrift-proxy/benches/allocations.rs
+++ b/crates/thrift-proxy/benches/allocations.rs
@@ -89,11 +89,11 @@
     let site = compiled.site(site.settings);
     let figures = Figures::new(&[]).expect("fixed names");
     let host = Host::new("bench".into(), site, 1, directory, upstream, figures).expect("settings");
-    host.known(None);
+    host.load_cached_list(None);
     let server = TcpListener::bind("127.0.0.1:0").expect("a port");
     let member = scripted::member("s", server.local_addr().expect("an address"), "active");
     let list = json!({"revision": 1, "complete": true, "members": [member]});
-    host.list(&ServerList::parse(list.to_string().as_bytes()).expect("a list"));
+    host.apply_list(&ServerList::parse(list.to_string().as_bytes()).expect("a list"));
     std::thread::spawn(move || serve(server));
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/crates/thrift-proxy/src/front/call.rs
+++ b/crates/thrift-proxy/src/front/call.rs
@@ -46,7 +46,7 @@
     pub(super) dialect: Dialect,
     pub(super) bytes: Bytes,
     pub(super) options: CallOptions,
-    pub(super) name: Box<[u8]>,
+    pub(super) external_id: Box<[u8]>,
     pub(super) arrived: Instant,
 }
 
@@ -149,30 +149,30 @@
 
     /// Has a call decided on and answered. None: nobody waits for a reply.
     pub(super) async fn call(&self, call: AcceptedCall) -> Option<Vec<u8>> {
-        let AcceptedCall { dialect, bytes, options, name, arrived } = call;
+        let AcceptedCall { dialect, bytes, options, external_id, arrived } = call;
         let margin = MARGIN.min(options.wait / MARGIN_PART);
-        let due = arrived + options.wait - margin;
+        let deadline = arrived + options.wait - margin;
         let call = Call { protocol: dialect.protocol, message: bytes.clone(), oneway: options.oneway };
         // The host fills in the times.
         let incoming = Incoming {
             class: options.class,
             tenant: options.tenant,
             work: options.work,
-            whole: true,
-            due: Time(0),
-            last: Time(0),
-            name,
+            body_complete: true,
+            deadline: Time(0),
+            answer_deadline: Time(0),
+            external_id,
             request: call,
         };
-        let taken = self.host.arrive(Request {
+        let taken = self.host.submit(Request {
             incoming,
-            due,
-            last: due + margin / ANSWER_MARGIN_PART,
+            deadline,
+            answer_deadline: deadline + margin / ANSWER_MARGIN_PART,
             key: options.key,
         });
         let answer = match taken {
             Ok(mut taken) => taken.answer().await,
-            Err(birchswitch_engine::Duplicate) => Answer::Failed,
+            Err(birchswitch_engine::DuplicateRequest) => Answer::Failed,
         };
         if options.oneway {
             return None;
@@ -191,7 +191,7 @@
             Answer::Refused(None) => {
                 (ExceptionType::MissingResult, "refused: it was not carried out, try again".to_owned())
             }
-            Answer::Failed if Instant::now() >= due => {
+            Answer::Failed if Instant::now() >= deadline => {
                 (ExceptionType::Unknown, "timed out: it may have been carried out".to_owned())
             }
             Answer::Failed => {
--- a/crates/thrift-proxy/src/front/connection.rs
+++ b/crates/thrift-proxy/src/front/connection.rs
@@ -3,7 +3,7 @@
 use super::call::{AcceptedCall, Rejection};
 use super::{Front, EVICT_IDLE_AFTER, EVICT_NEW_AFTER};
 use crate::messages::Messages;
-use birchswitch_host::socket::{left, linger, quiet};
+use birchswitch_host::socket::{is_open_and_idle, linger, wait_read_closed};
 use rustc_hash::FxHashSet;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -183,15 +183,20 @@
             // Nothing is read meanwhile.
             let room = tokio::select! {
                 room = self.turn(&in_flight, calls, (oneway, seqid), bytes.len()) => room,
-                () = left(reading.as_ref()) => None,
+                () = wait_read_closed(reading.as_ref()) => None,
             };
             let Some(room) = room else { return ConnectionEnd::Abandoned };
             in_flight.begin(oneway, seqid);
             client.idle_since.set(None);
             number += 1;
-            let name = [client.number.to_be_bytes(), number.to_be_bytes()].concat();
-            let call =
-                AcceptedCall { dialect, bytes: bytes.clone(), options, name: name.into(), arrived: came };
+            let external_id = [client.number.to_be_bytes(), number.to_be_bytes()].concat();
+            let call = AcceptedCall {
+                dialect,
+                bytes: bytes.clone(),
+                options,
+                external_id: external_id.into(),
+                arrived: came,
+            };
             let (me, client) = (self.clone(), client.clone());
             let (in_flight, replies) = (in_flight.clone(), replies.clone());
             calls.spawn_local(async move {
@@ -245,7 +250,7 @@
         let (mut overdue, mut ending) = (false, false);
         loop {
             // Never one on which a call has come that was not read yet.
-            if (overdue || ending) && (under_way.is_some() || quiet(reading.as_ref())) {
+            if (overdue || ending) && (under_way.is_some() || is_open_and_idle(reading.as_ref())) {
                 return Some(ConnectionEnd::Drain);
             }
             // While calls are in flight the client need not send anything.
@@ -267,7 +272,7 @@
                         Err(_) => return Some(ConnectionEnd::Abandoned),
                     }
                 }
-                () = client.evicted.notified() => if under_way.is_none() && quiet(reading.as_ref()) {
+                () = client.evicted.notified() => if under_way.is_none() && is_open_and_idle(reading.as_ref()) {
                     return Some(ConnectionEnd::Drain);
                 },
                 () = sleep_until(limit.unwrap_or_else(Instant::now)), if limit.is_some() && !overdue => {
--- a/crates/thrift-proxy/src/front/mod.rs
+++ b/crates/thrift-proxy/src/front/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::settings::Compiled;
 use crate::upstream::ThriftUpstream;
-use birchswitch_host::socket::queued;
+use birchswitch_host::socket::queued_connections;
 use birchswitch_host::Host;
 use birchswitch_site::Names;
 use connection::Client;
@@ -83,7 +83,7 @@
                 _ = closing.wait_for(|c| *c) => break,
             }
         }
-        for stream in queued(listener) {
+        for stream in queued_connections(listener) {
             let permit = self.slot().await;
             self.clone().connected(stream, permit);
         }
--- a/crates/thrift-proxy/src/upstream.rs
+++ b/crates/thrift-proxy/src/upstream.rs
@@ -2,10 +2,10 @@
 
 use crate::messages::Messages;
 use crate::settings::Compiled;
-use birchswitch_engine::{Clearance, Ended};
-use birchswitch_host::pool::{Fresh, Limits, Pool, Pooled, Server};
-use birchswitch_host::socket::quiet;
-use birchswitch_host::{Figures, ProbeTicket, Ticket, Upstream};
+use birchswitch_engine::{AttemptResult, SendPermit};
+use birchswitch_host::pool::{Limits, NewConnection, Pool, PooledConnection, Server};
+use birchswitch_host::socket::is_open_and_idle;
+use birchswitch_host::{AttemptHandle, Figures, ProbeHandle, Upstream};
 use birchswitch_membership::Target;
 use birchswitch_thrift::walk::{self, Header, Paths, Value};
 use birchswitch_thrift::write::{self, Writer};
@@ -37,9 +37,9 @@
     _slot: OwnedSemaphorePermit,
 }
 
-impl Pooled for Connection {
-    fn good(&self) -> bool {
-        self.messages.is_empty() && quiet(&self.stream)
+impl PooledConnection for Connection {
+    fn is_usable(&self) -> bool {
+        self.messages.is_empty() && is_open_and_idle(&self.stream)
     }
 
     fn generation(&self) -> u64 {
@@ -69,7 +69,7 @@
     pub fn new(settings: Rc<Compiled>, connect_timeout: Duration, conn_idle: Duration) -> Rc<Self> {
         let connections = settings.settings.servers.connections as usize;
         // Replies are told apart by their sequence ids: no connection has to rest.
-        let limits = Limits { connections, connect_timeout, conn_idle, rest: Duration::ZERO };
+        let limits = Limits { connections, connect_timeout, conn_idle, reuse_delay: Duration::ZERO };
         Rc::new(ThriftUpstream { pool: Pool::new(limits), settings, next_seqid: Cell::new(1) })
     }
 
@@ -79,10 +79,10 @@
     }
 
     async fn checkout(&self, server: &Server<Connection>) -> Result<Connection, Outcome> {
-        if let Some(connection) = self.pool.idle(server) {
+        if let Some(connection) = self.pool.take_idle(server) {
             return Ok(connection);
         }
-        let Fresh { stream, slot, generation } = self.pool.connect(server).await?;
+        let NewConnection { stream, slot, generation } = self.pool.connect(server).await?;
         let messages = Messages::new(Some(self.settings.servers), self.settings.limits);
         Ok(Connection { stream, messages, generation, _slot: slot })
     }
@@ -151,19 +151,21 @@
     }
 
     /// What a reply comes to.
-    fn ended(&self, reply: Bytes) -> Ended<Bytes> {
+    fn ended(&self, reply: Bytes) -> AttemptResult<Bytes> {
         let (protocol, limits) = (self.settings.servers.protocol, &self.settings.limits);
-        let Ok(header) = walk::header(protocol, &reply, limits) else { return Ended::bare(Outcome::Broken) };
+        let Ok(header) = walk::header(protocol, &reply, limits) else {
+            return AttemptResult::from_outcome(Outcome::Broken);
+        };
         if header.kind == MessageType::Exception {
             let kind = Paths::new([[2i16]]);
             let read = walk::message(protocol, &reply, &kind, limits);
             let kind = read.ok().and_then(|m| m.values[0]?.integer());
             let proof = |n: &crate::settings::ExceptionName| kind == Some(*n as i64);
             let never_ran = self.settings.settings.servers.never_ran.iter().any(proof);
-            return Ended::bare(if never_ran { Outcome::Rejected } else { Outcome::Error });
+            return AttemptResult::from_outcome(if never_ran { Outcome::Rejected } else { Outcome::Error });
         }
         let report = self.settings.report.as_ref().and_then(|paths| self.report(&reply, paths));
-        Ended { outcome: Outcome::Served, report, answer: Some(reply) }
+        AttemptResult { outcome: Outcome::Served, report, answer: Some(reply) }
     }
 
     fn report(&self, reply: &[u8], paths: &Paths) -> Option<LoadReport> {
@@ -183,27 +185,29 @@
     type Request = Call;
     type Answer = Bytes;
 
-    fn learn(&self, targets: &[Target]) {
-        self.pool.learn(targets);
+    fn update_servers(&self, targets: &[Target]) {
+        self.pool.update_servers(targets);
     }
 
-    fn count(&self, figures: Rc<Figures>) {
-        self.pool.count(figures);
+    fn set_figures(&self, figures: Rc<Figures>) {
+        self.pool.set_figures(figures);
     }
 
-    async fn attempt(self: Rc<Self>, server: ServerId, call: Rc<Call>, ticket: Ticket<Self>) {
-        let Some(server) = self.pool.get(server) else { return ticket.end(Ended::bare(Outcome::NotSent)) };
+    async fn attempt(self: Rc<Self>, server: ServerId, call: Rc<Call>, ticket: AttemptHandle<Self>) {
+        let Some(server) = self.pool.get(server) else {
+            return ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
+        };
         let mut connection = match self.checkout(&server).await {
             Ok(connection) => connection,
-            Err(outcome) => return ticket.end(Ended::bare(outcome)),
+            Err(outcome) => return ticket.finish(AttemptResult::from_outcome(outcome)),
         };
         let seqid = self.seqid();
         // The front has walked over it: what can't be written here is no call.
         let Ok(bytes) = self.outgoing(&call, seqid) else {
-            return ticket.end(Ended::bare(Outcome::NotSent));
+            return ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
         };
-        if ticket.clear() == Clearance::Stop {
-            ticket.end(Ended::bare(Outcome::NotSent));
+        if ticket.permit_send() == SendPermit::Denied {
+            ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
             return self.pool.give_back(&server, connection);
         }
         let exchanged = match Self::write(&mut connection, &bytes).await {
@@ -212,7 +216,11 @@
             Err(_) => Exchanged::Broken,
             Ok(()) if call.oneway => {
                 ticket.written();
-                ticket.end(Ended { outcome: Outcome::Served, report: None, answer: Some(Bytes::new()) });
+                ticket.finish(AttemptResult {
+                    outcome: Outcome::Served,
+                    report: None,
+                    answer: Some(Bytes::new()),
+                });
                 return self.pool.give_back(&server, connection);
             }
             Ok(()) => {
@@ -225,20 +233,20 @@
         };
         match exchanged {
             Exchanged::Reply(reply) => {
-                ticket.end(self.ended(reply));
+                ticket.finish(self.ended(reply));
                 self.pool.give_back(&server, connection);
             }
-            Exchanged::Unsent => ticket.end(Ended::bare(Outcome::Unreachable)),
-            Exchanged::Broken => ticket.end(Ended::bare(Outcome::Broken)),
+            Exchanged::Unsent => ticket.finish(AttemptResult::from_outcome(Outcome::Unreachable)),
+            Exchanged::Broken => ticket.finish(AttemptResult::from_outcome(Outcome::Broken)),
         }
     }
 
-    async fn probe(self: Rc<Self>, server: ServerId, ticket: ProbeTicket<Self>) {
-        let Some((method, paths)) = &self.settings.load else { return ticket.end(Outcome::NotSent, None) };
-        let Some(server) = self.pool.get(server) else { return ticket.end(Outcome::NotSent, None) };
+    async fn probe(self: Rc<Self>, server: ServerId, ticket: ProbeHandle<Self>) {
+        let Some((method, paths)) = &self.settings.load else { return ticket.finish(Outcome::NotSent, None) };
+        let Some(server) = self.pool.get(server) else { return ticket.finish(Outcome::NotSent, None) };
         let mut connection = match self.checkout(&server).await {
             Ok(connection) => connection,
-            Err(outcome) => return ticket.end(outcome, None),
+            Err(outcome) => return ticket.finish(outcome, None),
         };
         let seqid = self.seqid();
         let dialect = self.settings.servers;
@@ -255,7 +263,7 @@
             frame::seal(&mut bytes);
         }
         if Self::write(&mut connection, &bytes).await.is_err() {
-            return ticket.end(Outcome::Unreachable, None);
+            return ticket.finish(Outcome::Unreachable, None);
         }
         let name = method.rsplit(':').next().unwrap_or(method);
         match self.read(&mut connection, seqid, name).await {
@@ -263,10 +271,10 @@
                 let header = walk::header(dialect.protocol, &reply, &self.settings.limits);
                 let served = header.is_ok_and(|h| h.kind == MessageType::Reply);
                 let report = self.report(&reply, paths).filter(|_| served);
-                ticket.end(if served { Outcome::Served } else { Outcome::Error }, report);
+                ticket.finish(if served { Outcome::Served } else { Outcome::Error }, report);
                 self.pool.give_back(&server, connection);
             }
-            Exchanged::Unsent | Exchanged::Broken => ticket.end(Outcome::Broken, None),
+            Exchanged::Unsent | Exchanged::Broken => ticket.finish(Outcome::Broken, None),
         }
     }
 }
--- a/drill/src/host.rs
+++ b/drill/src/host.rs
@@ -1,7 +1,7 @@
 //! The table of instances: each event goes to its instance's balancer, its actions into the reply.
 
 use crate::wire::{frame_length, Batch, Record, Reply, WireError, HEADER};
-use birchswitch_site::{self as site, ConfigError, Field};
+use birchswitch_site::{self as site, ConfigError, ReportField};
 use finchvale::{Action, Balancer, SettingsError};
 use rustc_hash::FxHashMap;
 use std::io::{self, Read, Write};
@@ -50,7 +50,7 @@
 
 struct Instance {
     balancer: Balancer,
-    fields: Vec<Field>,
+    fields: Vec<ReportField>,
 }
 
 /// All instances of this process.
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,6 +1,6 @@
 //! The simulator's binary frames: big-endian records of fixed size and one shared tail.
 
-use birchswitch_site::Field;
+use birchswitch_site::ReportField;
 use finchvale::{
     Action, Arrival, AttemptEnded, CellId, ClassId, Event, KindId, ListKind, LoadReport, Outcome, ProbeEnded,
     RequestId, ServerEntry, ServerId, ServerState, TenantId, Time, TimerId, ZoneId,
@@ -138,7 +138,7 @@
     }
 
     /// Reads record `at`; `fields` is the order of figures in the current instance's load reports.
-    pub fn record(&self, at: usize, fields: &[Field]) -> Result<Record<'a>, WireError> {
+    pub fn record(&self, at: usize, fields: &[ReportField]) -> Result<Record<'a>, WireError> {
         let r = &self.records[at * EVENT..(at + 1) * EVENT];
         let request = || RequestId(int::<8>(r, 1));
         let ns = |offset| Duration::from_nanos(int::<8>(r, offset));
@@ -248,7 +248,7 @@
     })
 }
 
-fn report(at: usize, bytes: &[u8], fields: &[Field]) -> Result<Option<LoadReport>, WireError> {
+fn report(at: usize, bytes: &[u8], fields: &[ReportField]) -> Result<Option<LoadReport>, WireError> {
     let n = usize::from(bytes[0]);
     if n == 0 {
         return Ok(None);
@@ -258,7 +258,7 @@
     }
     let mut report = LoadReport::default();
     for (i, field) in fields[..n].iter().enumerate() {
-        field.put(f64::from(f32::from_bits(int::<4>(bytes, 1 + 4 * i) as u32)), &mut report);
+        field.store(f64::from(f32::from_bits(int::<4>(bytes, 1 + 4 * i) as u32)), &mut report);
     }
     Ok(Some(report))
 }
--- a/drill/tests/wire.rs
+++ b/drill/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire page's byte examples, malformed frames, and the table of instances.
 
-use birchswitch_site::{parse, Field};
+use birchswitch_site::{parse, ReportField};
 use finchvale::*;
 use finchvale_drill::host::{Host, HostError};
 use finchvale_drill::wire::{Batch, Record, Reply, WireError, EVENT, HEADER};
@@ -8,7 +8,8 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-const FIELDS: [Field; 4] = [Field::Utilization, Field::Throughput, Field::Backlog, Field::Outstanding];
+const FIELDS: [ReportField; 4] =
+    [ReportField::Utilization, ReportField::Throughput, ReportField::Backlog, ReportField::Outstanding];
 
 const SETTINGS: &str = r#"{"balancers": 4, "unheard_of": {"a": 1},
  "limits": {"may_cancel": true, "may_probe": false, "max_retry_after_ns": 1500000000, "retry_after": true,
--- a/node/src/fleet/advice.rs
+++ b/node/src/fleet/advice.rs
@@ -1,17 +1,17 @@
 //! What the whole fleet knows of servers, put together for the decisions: the one place where it enters them.
 
-use birchswitch_host::{Host, Said, Upstream};
+use birchswitch_host::{Host, NamedServerAdjustment, Upstream};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// Takes what is said of servers.
 trait Advises {
-    fn advise(&self, said: &[Said]);
+    fn advise(&self, said: &[NamedServerAdjustment]);
 }
 
 impl<U: Upstream> Advises for Host<U> {
-    fn advise(&self, said: &[Said]) {
+    fn advise(&self, said: &[NamedServerAdjustment]) {
         Host::advise(self, said);
     }
 }
@@ -53,16 +53,17 @@
     }
 
     fn tell(&self) {
-        let none = |name| Said { name, open: 1.0, weight: 1.0, sure: 0.0 };
-        let mut all: BTreeMap<u64, Said> = BTreeMap::new();
+        let none =
+            |name| NamedServerAdjustment { name, share_limit: 1.0, weight_factor: 1.0, confidence: 0.0 };
+        let mut all: BTreeMap<u64, NamedServerAdjustment> = BTreeMap::new();
         for (name, open) in self.open.borrow().iter() {
-            all.entry(*name).or_insert_with(|| none(*name)).open = *open;
+            all.entry(*name).or_insert_with(|| none(*name)).share_limit = *open;
         }
         for (name, weight, sure) in self.weights.borrow().iter() {
             let said = all.entry(*name).or_insert_with(|| none(*name));
-            (said.weight, said.sure) = (*weight, *sure);
+            (said.weight_factor, said.confidence) = (*weight, *sure);
         }
-        let all: Vec<Said> = all.into_values().collect();
+        let all: Vec<NamedServerAdjustment> = all.into_values().collect();
         self.hosts.borrow().iter().for_each(|host| host.advise(&all));
     }
 }
--- a/node/src/fleet/gate.rs
+++ b/node/src/fleet/gate.rs
@@ -1,7 +1,7 @@
 //! What each request passes before the decisions.
 
 use super::wallet::{AccountGuard, Charge};
-use birchswitch_host::{Door, Entering, Pass, Turned};
+use birchswitch_host::{Admission, AdmissionPermit, AdmissionRequest, Rejection};
 use birchswitch_quota as quota;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,29 +23,29 @@
 }
 
 /// What clients read whom a limit turned away.
-fn over_a_limit(turned: quota::Turned) -> Turned {
-    let why = "refused: over a limit of the whole fleet; trying again later is harmless";
-    Turned { wait: turned.wait, why }
+fn over_a_limit(turned: quota::Turned) -> Rejection {
+    let message = "refused: over a limit of the whole fleet; trying again later is harmless";
+    Rejection { retry_after: turned.wait, message }
 }
 
-impl Pass for Taken {
-    fn fit(&self) -> Result<(), Turned> {
+impl AdmissionPermit for Taken {
+    fn check(&self) -> Result<(), Rejection> {
         self.limits.as_ref().map_or(Ok(()), |taken| taken.fit().map_err(over_a_limit))
     }
 
-    fn sent(&self) {
+    fn attempt_sent(&self) {
         self.limits.iter().for_each(quota::Taken::sent);
         let again = self.sent.replace(true);
         self.charge.iter().for_each(|charge| charge.sent(again));
     }
 
-    fn over(self: Box<Self>, ran: bool) {
-        self.charge.into_iter().for_each(|charge| charge.settle(ran));
+    fn finish(self: Box<Self>, may_have_run: bool) {
+        self.charge.into_iter().for_each(|charge| charge.settle(may_have_run));
     }
 }
 
-impl Door for Gate {
-    fn enter(&self, entering: &Entering) -> Result<Option<Box<dyn Pass>>, Turned> {
+impl Admission for Gate {
+    fn admit(&self, entering: &AdmissionRequest) -> Result<Option<Box<dyn AdmissionPermit>>, Rejection> {
         let charge = self.accounts.as_ref().map(|accounts| accounts.enter(entering)).transpose()?.flatten();
         let limits = self.limits.as_ref().map(|door| door.enter(entering.tenant.0, entering.class.0));
         let limits = match limits.transpose() {
@@ -57,6 +57,6 @@
         };
         let sent = Cell::new(false);
         let any = limits.is_some() || charge.is_some();
-        Ok(any.then(|| Box::new(Taken { limits, charge, sent }) as Box<dyn Pass>))
+        Ok(any.then(|| Box::new(Taken { limits, charge, sent }) as Box<dyn AdmissionPermit>))
     }
 }
--- a/node/src/fleet/health.rs
+++ b/node/src/fleet/health.rs
@@ -71,7 +71,7 @@
     let (host, cluster, began) = (host.clone(), cluster.clone(), Instant::now());
     let asks = Rc::new(Asks { host, cluster, times, began, rounds: RefCell::default(), task: task.clone() });
     let reports = asks.clone();
-    asks.host.on_silence(move |name| reports.report(name));
+    asks.host.on_server_silent(move |name| reports.report(name));
     let takes = asks.clone();
     asks.cluster.open_lane(
         LANE,
@@ -127,7 +127,7 @@
             let told =
                 self.asker(|r| r.value(Topic::Silent).map(decode).unwrap_or_default()).unwrap_or_default();
             if told != known {
-                self.host.told_silent(&told);
+                self.host.set_silent_servers(&told);
                 known = told;
             }
         }
@@ -164,14 +164,14 @@
                     if term.guard().is_none() {
                         return;
                     }
-                    let listed = self.host.servers_to_ask();
+                    let listed = self.host.servers_to_probe();
                     let due = self.rounds.borrow_mut().as_mut().map(|rounds| {
                         rounds.list(&listed);
                         rounds.due(self.now())
                     });
                     for name in due.into_iter().flatten() {
                         let host = self.host.clone();
-                        questions.spawn_local(async move { (name, host.ask(name, PATIENCE).await) });
+                        questions.spawn_local(async move { (name, host.probe_for_others(name, PATIENCE).await) });
                     }
                 }
             }
--- a/node/src/fleet/members.rs
+++ b/node/src/fleet/members.rs
@@ -46,7 +46,7 @@
 
 impl<U: Upstream> Placed for Host<U> {
     fn place(&self, begins: f64, nodes: u32) {
-        Host::place(self, begins, nodes);
+        Host::set_ring_position(self, begins, nodes);
     }
 }
 
--- a/node/src/fleet/mod.rs
+++ b/node/src/fleet/mod.rs
@@ -104,7 +104,7 @@
         if verdicts.is_none() && tuned.is_none() {
             return;
         }
-        host.on_ends(move |end| {
+        host.on_attempt_end(move |end| {
             verdicts.iter().for_each(|v| v.met(end));
             if end.outcome == Outcome::Served {
                 tuned.iter().for_each(|t| t.served(end.name, end.latency));
@@ -151,5 +151,5 @@
 
 /// Lets what is on stand before a host's decisions.
 pub fn guard<U: Upstream>(host: &Host<U>, gate: Option<&Rc<Gate>>) {
-    gate.iter().for_each(|gate| host.set_door((*gate).clone()));
+    gate.iter().for_each(|gate| host.set_admission((*gate).clone()));
 }
--- a/node/src/fleet/tuner.rs
+++ b/node/src/fleet/tuner.rs
@@ -53,7 +53,7 @@
                     errand = todo.recv() => match errand {
                         Some(Errand::Report(tell)) => {
                             let mut spans = sketches.borrow_mut().take();
-                            spans.retain(|(name, _)| host.warm(*name) && !advised.withholds(*name));
+                            spans.retain(|(name, _)| host.is_warm_server(*name) && !advised.withholds(*name));
                             // Whoever asked is gone with the mesh.
                             let _ = tell.send((mesh.clock().now(), Report { heard: weights.heard(), spans }));
                         }
--- a/node/src/fleet/verdicts.rs
+++ b/node/src/fleet/verdicts.rs
@@ -2,7 +2,7 @@
 
 use super::advice::Advised;
 use super::reign::Reigning;
-use birchswitch_host::{End, Host, Upstream};
+use birchswitch_host::{AttemptRecord, Host, Upstream};
 use birchswitch_lease::{task_id, Task};
 use birchswitch_lease_host::Tasks;
 use birchswitch_mesh::{report, Errand, Mesh, Reports};
@@ -33,7 +33,7 @@
     }
 
     /// An attempt ended.
-    pub fn met(&self, End { name, outcome, latency, warm }: End) {
+    pub fn met(&self, AttemptRecord { name, outcome, latency, warm }: AttemptRecord) {
         let met = match outcome {
             // One that has just started is slow by itself.
             Outcome::Served if !warm => return,
@@ -64,7 +64,7 @@
                         Some(Errand::Report(tell)) => {
                             let now = mesh.clock().now();
                             let counts = tally.borrow_mut().counts(now);
-                            let report = Report { heard: obeyed.heard(), listed: host.ready_servers() as u32, counts };
+                            let report = Report { heard: obeyed.heard(), listed: host.ready_server_count() as u32, counts };
                             // Whoever asked is gone with the mesh.
                             let _ = tell.send((now, report));
                         }
@@ -77,8 +77,12 @@
                     },
                     _ = every.tick() => {}
                 }
-                let open =
-                    obeyed.now(&terms, mesh.clock().now(), &|name| host.takes(name), host.ready_servers());
+                let open = obeyed.now(
+                    &terms,
+                    mesh.clock().now(),
+                    &|name| host.is_ready_server(name),
+                    host.ready_server_count(),
+                );
                 advised.withheld(open);
             }
         });
--- a/node/src/fleet/wallet.rs
+++ b/node/src/fleet/wallet.rs
@@ -133,8 +133,8 @@
     /// Reserves a request's price, if it has one.
     pub fn enter(
         &self,
-        entering: &birchswitch_host::Entering,
-    ) -> Result<Option<Charge>, birchswitch_host::Turned> {
+        entering: &birchswitch_host::AdmissionRequest,
+    ) -> Result<Option<Charge>, birchswitch_host::Rejection> {
         let who = (entering.tenant.0, entering.class.0);
         let now = self.mesh.clock().now();
         let reserved = self.allotments.borrow_mut().reserve(now, who, entering.key, entering.work);
@@ -152,15 +152,15 @@
     }
 
     /// What a client is told.
-    fn rejection(&self, reason: RejectionReason) -> birchswitch_host::Turned {
-        let (wait, why) = match reason {
+    fn rejection(&self, reason: RejectionReason) -> birchswitch_host::Rejection {
+        let (retry_after, message) = match reason {
             RejectionReason::Paused => (RETRY_PAUSED, "refused: the prepaid balance has run out"),
             RejectionReason::Frozen => (RETRY_PAUSED, "refused: the account is stopped"),
             RejectionReason::NoAllotment => {
                 (self.renew, "refused: nothing of the prepaid balance is here now")
             }
         };
-        birchswitch_host::Turned { wait, why }
+        birchswitch_host::Rejection { retry_after, message }
     }
 }
 
--- a/node/src/lists.rs
+++ b/node/src/lists.rs
@@ -2,7 +2,7 @@
 
 use birchswitch_host::{Host, Upstream};
 use birchswitch_membership::list::ServerList;
-use birchswitch_membership::{Discovery, Patience, Told};
+use birchswitch_membership::{Discovery, DiscoveryEvent, DiscoveryTimeouts};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -16,20 +16,20 @@
 ) -> Rc<Discovery> {
     let telling = host.clone();
     let revision = known.map_or(0, |list| list.revision);
-    let patience = if asked { Patience::SERVICE } else { Patience::AGENT };
+    let patience = if asked { DiscoveryTimeouts::SERVICE } else { DiscoveryTimeouts::AGENT };
     let discovery = Discovery::new(address, patience, revision, move |told| match told {
-        Told::List(list) => telling.list(&list),
-        Told::Again(error, pause) => {
+        DiscoveryEvent::List(list) => telling.apply_list(&list),
+        DiscoveryEvent::Reconnecting(error, pause) => {
             telling.log(format_args!("watch: {error}; again in {} ms", pause.as_millis()));
         }
-        Told::Failed(error) => {
+        DiscoveryEvent::WatchFailed(error) => {
             telling.log(format_args!("watch: {error}"));
             telling.watch_failed();
         }
     });
     let watching = discovery.clone();
     host.on_watch(move || watch(&watching, asked));
-    host.known(known);
+    host.load_cached_list(known);
     if !asked {
         discovery.follow();
     }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -224,8 +224,8 @@
     }
     host.log(format_args!("leaving"));
     let end = Instant::now() + LEAVE + LAST_CHANCE + longest.min(LONGEST_STAY);
-    host.end_by(end);
-    listeners.iter().for_each(|l| l.host().end_by(end));
+    host.cap_deadlines(end);
+    listeners.iter().for_each(|l| l.host().cap_deadlines(end));
     if let Some(leases) = &leases {
         leases.close();
     }
@@ -271,7 +271,7 @@
     host.figures().reloaded.inc();
     host.log(format_args!("configuration read again"));
     let Some(address) = config.discovery_in_file else { return false };
-    let moved = discovery.move_to(address);
+    let moved = discovery.set_address(address);
     if moved {
         host.log(format_args!("discovery is now {address}"));
     }
--- a/node/src/operations.rs
+++ b/node/src/operations.rs
@@ -24,11 +24,11 @@
 
 impl<U: Upstream> Follows for Host<U> {
     fn knows(&self, server: &str) -> bool {
-        Host::knows(self, server)
+        Host::knows_server(self, server)
     }
 
     fn set_out(&self, server: &str, out: bool) {
-        Host::set_out(self, server, out);
+        Host::set_suspended(self, server, out);
     }
 }
 
@@ -105,7 +105,7 @@
 
     /// Lets calls count for these servers too.
     pub fn add<U: Upstream>(&self, host: Rc<Host<U>>) {
-        self.bans.borrow().names().for_each(|name| host.set_out(name, true));
+        self.bans.borrow().names().for_each(|name| host.set_suspended(name, true));
         self.followers.borrow_mut().push(host);
     }
 
@@ -154,11 +154,11 @@
     }
 
     fn figures(&self) -> String {
-        let (listed, out) = self.host.servers();
+        let (listed, out) = self.host.server_counts();
         self.figures.discovered.set(listed as i64);
         self.figures.ejected.set(out as i64);
         self.parts.iter().for_each(|p| p.figures(&self.figures));
-        self.host.spared().iter().for_each(|n| self.figures.spared(*n));
+        self.host.spared_probes().iter().for_each(|n| self.figures.spared(*n));
         self.figures.text()
     }
 
