--- a/crates/cluster-host/src/lib.rs
+++ b/crates/cluster-host/src/lib.rs
@@ -8,11 +8,12 @@
 
 mod settings;
 
-pub use settings::{Compiled, Drill, Places, Span, Table, Wrong};
+pub use settings::{ClusterSettings, ClusterTable, Drill, HumanDuration, SettingError, SettingSpans};
 
-use birchswitch_cluster::ring::Place;
+use birchswitch_cluster::ring::RingPosition;
 use birchswitch_cluster::{
-    Action, Change, Core, Event, Life, MemberId, Record, SettingsError, Standing, State, Topic, Trouble,
+    Action, Change, Core, Event, Generation, LocalEvent, MemberId, Record, SettingsError, Standing, State,
+    Topic,
 };
 use socket2::{Domain, Protocol, Socket, Type};
 use std::cell::{Cell, RefCell};
@@ -70,7 +71,7 @@
     socket: UdpSocket,
     began: Instant,
     earlier: Notify,
-    place: Cell<Option<Place>>,
+    place: Cell<Option<RingPosition>>,
     ring: bool,
     lanes: RefCell<Vec<(u8, Rc<Lane>)>>,
 }
@@ -80,7 +81,7 @@
 
 impl Cluster {
     /// Binds the socket; nothing is sent before [`Cluster::run`]. Has to be called inside a runtime.
-    pub fn open(compiled: &Compiled, who: &Identity) -> Result<Rc<Self>, ClusterError> {
+    pub fn open(compiled: &ClusterSettings, who: &Identity) -> Result<Rc<Self>, ClusterError> {
         let bind = |source| ClusterError::Bind { address: compiled.bind, source };
         let socket = bound(compiled.bind).map_err(bind)?;
         let local = socket.local_addr().map_err(bind)?;
@@ -93,7 +94,7 @@
             address: compiled.advertise.unwrap_or(local),
             zone: compiled.zone.clone(),
             program: who.program.to_owned(),
-            life: Life { started: since.as_millis() as u64, draw },
+            generation: Generation { started: since.as_millis() as u64, draw },
             incarnation: 1,
             values: Vec::new(),
             tail: Vec::new(),
@@ -160,7 +161,7 @@
             match action {
                 // What does not go is lost, as on the way.
                 Action::Send { to, bytes } => drop(self.socket.try_send_to(&bytes, to)),
-                Action::Carried { from, lane, bytes } => {
+                Action::PayloadReceived { from, lane, bytes } => {
                     let takes = self.lanes.borrow().iter().find(|l| l.0 == lane).map(|l| l.1.clone());
                     takes.iter().for_each(|takes| takes(from, &bytes));
                 }
@@ -175,20 +176,20 @@
         if !self.ring || !matches!(core.standing(), Standing::Majority | Standing::Minority) {
             return;
         }
-        let (rank, agreed) = (core.rank(), core.agreed() as u32);
+        let (rank, agreed) = (core.rank(), core.agreed_size() as u32);
         drop(core);
-        let mut place = self.place.get().unwrap_or(Place::new(now, rank));
-        let moved = self.place.get().is_none() | place.step(now, rank);
+        let mut place = self.place.get().unwrap_or(RingPosition::new(now, rank));
+        let moved = self.place.get().is_none() | place.advance(now, rank);
         self.place.set(Some(place));
         if moved {
-            placed(place.at(), agreed);
-            tracing::info!(target: "cluster", kind = "place", at = place.at(), index = rank.0, of = rank.1);
+            placed(place.fraction(), agreed);
+            tracing::info!(target: "cluster", kind = "place", at = place.fraction(), index = rank.0, of = rank.1);
         }
     }
 
     /// Tells others something of this node.
-    pub fn tell(&self, topic: Topic, bytes: Vec<u8>) {
-        self.handle(Event::Tell { topic, bytes });
+    pub fn publish(&self, topic: Topic, bytes: Vec<u8>) {
+        self.handle(Event::Publish { topic, bytes });
         self.earlier.notify_one();
     }
 
@@ -198,8 +199,8 @@
     }
 
     /// Sends something to another part of a program, once.
-    pub fn carry(&self, to: SocketAddr, lane: u8, bytes: Vec<u8>) {
-        self.handle(Event::Carry { to, lane, bytes });
+    pub fn send_payload(&self, to: SocketAddr, lane: u8, bytes: Vec<u8>) {
+        self.handle(Event::SendPayload { to, lane, bytes });
     }
 
     /// Says farewell. False: it was no member any more.
@@ -221,24 +222,24 @@
 
     /// All members, a line each, this node's first: name, state, seconds since, zone, address, program, life, incarnation, and
     /// the list of servers that it holds.
-    pub fn text(&self) -> String {
+    pub fn members_text(&self) -> String {
         let (core, now) = (self.core.borrow(), self.began.elapsed());
         let standing = format!("{:?}", core.standing()).to_lowercase();
         let mut text = format!(
             "# {} of {} members as last agreed, {standing}, health {}\n# name state since_s zone address program started incarnation list\n",
-            core.fleet(), core.agreed(), core.health()
+            core.live_count(), core.agreed_size(), core.health_score()
         );
         let mut line = |record: &Record, state: &str, since: Duration, incarnation: u64| {
             let list =
                 record.value(Topic::ServerList).and_then(|b| b.try_into().ok()).map(u64::from_le_bytes);
             let list = list.map_or("-".to_owned(), |l| l.to_string());
-            let Record { name, zone, address, program, life, .. } = record;
+            let Record { name, zone, address, program, generation, .. } = record;
             let since = now.saturating_sub(since).as_secs();
             // Writing to a string never fails.
             let _ = writeln!(
                 text,
                 "{name} {state} {since} {zone} {address} {program} {} {incarnation} {list}",
-                life.started
+                generation.started
             );
         };
         line(core.own(), "own", Duration::ZERO, core.own().incarnation);
@@ -253,7 +254,7 @@
     fn log(&self, change: &Change) {
         let core = self.core.borrow();
         let named = |id: &MemberId| core.member(*id).map_or(String::new(), |m| m.record.name.clone());
-        let draw = |id: &MemberId| core.member(*id).map_or(0, |m| m.record.life.draw);
+        let draw = |id: &MemberId| core.member(*id).map_or(0, |m| m.record.generation.draw);
         macro_rules! about {
             ($kind:literal, $id:expr) => {
                 tracing::info!(target: "cluster", kind = $kind, member = named($id), draw = draw($id))
@@ -268,19 +269,21 @@
             Change::Died { member, own: true } => about!("verdict", member),
             Change::Died { member, own: false } => about!("dead", member),
             Change::Left(id) => about!("left", id),
-            Change::Own(trouble) => match trouble {
-                Trouble::HeldUp(late) => {
+            Change::Local(trouble) => match trouble {
+                LocalEvent::Stalled(late) => {
                     tracing::warn!(target: "cluster", kind = "held_up", ms = late.as_millis() as u64, incarnation);
                 }
-                Trouble::CutOff => tracing::warn!(target: "cluster", kind = "cut_off"),
-                Trouble::Hears => tracing::info!(target: "cluster", kind = "hears"),
-                Trouble::Refuted { held, incarnation } => {
+                LocalEvent::CutOff => tracing::warn!(target: "cluster", kind = "cut_off"),
+                LocalEvent::Reconnected => tracing::info!(target: "cluster", kind = "hears"),
+                LocalEvent::Refuted { held, incarnation } => {
                     tracing::info!(target: "cluster", kind = "refuted", held = state_name(*held), incarnation);
                 }
-                Trouble::Twin(other) => tracing::error!(target: "cluster", kind = "twin", other = %other),
-                Trouble::Yielded(to) => tracing::error!(target: "cluster", kind = "yielded", to = %to),
-                Trouble::Standing(standing) => {
-                    let (fleet, agreed) = (core.fleet(), core.agreed());
+                LocalEvent::DuplicateName(other) => {
+                    tracing::error!(target: "cluster", kind = "twin", other = %other)
+                }
+                LocalEvent::Yielded(to) => tracing::error!(target: "cluster", kind = "yielded", to = %to),
+                LocalEvent::Standing(standing) => {
+                    let (fleet, agreed) = (core.live_count(), core.agreed_size());
                     let standing = format!("{standing:?}").to_lowercase();
                     tracing::info!(target: "cluster", kind = "standing", standing, fleet, agreed);
                 }
--- a/crates/cluster-host/src/settings.rs
+++ b/crates/cluster-host/src/settings.rs
@@ -10,36 +10,41 @@
 /// A time with its unit, such as `400ms` or `1h`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(transparent)]
-pub struct Span(#[serde(with = "humantime_serde")] Duration);
+pub struct HumanDuration(#[serde(with = "humantime_serde")] Duration);
 
 /// Where in a table settings are that others are checked beside.
 #[derive(Debug)]
-pub struct Places {
+pub struct SettingSpans {
     spans: Vec<(&'static str, Range<usize>)>,
 }
 
-impl Places {
+impl SettingSpans {
     /// Knows of one setting, which stands for those that are not given.
     pub fn new<T>(key: &'static str, setting: &Spanned<T>) -> Self {
-        Places { spans: vec![(key, setting.span())] }
+        SettingSpans { spans: vec![(key, setting.span())] }
     }
 
     /// Knows of a setting, if it is given; which is then returned.
-    pub fn note<'a, T>(&mut self, key: &'static str, given: &'a Option<Spanned<T>>) -> Option<&'a T> {
+    pub fn record<'a, T>(&mut self, key: &'static str, given: &'a Option<Spanned<T>>) -> Option<&'a T> {
         let given = given.as_ref()?;
         self.spans.push((key, given.span()));
         Some(given.get_ref())
     }
 
     /// Takes up a time, if it is given.
-    pub fn time(&mut self, key: &'static str, given: &Option<Spanned<Span>>, time: &mut Duration) {
-        self.note(key, given).iter().for_each(|given| *time = given.0);
+    pub fn apply_duration(
+        &mut self,
+        key: &'static str,
+        given: &Option<Spanned<HumanDuration>>,
+        time: &mut Duration,
+    ) {
+        self.record(key, given).iter().for_each(|given| *time = given.0);
     }
 
     /// What is wrong with a setting.
-    pub fn wrong(&self, key: &str, problem: impl ToString) -> Wrong {
+    pub fn error_at(&self, key: &str, problem: impl ToString) -> SettingError {
         let span = self.spans.iter().find(|s| s.0 == key).unwrap_or(&self.spans[0]).1.clone();
-        Wrong { span, problem: problem.to_string() }
+        SettingError { span, problem: problem.to_string() }
     }
 }
 
@@ -53,7 +58,7 @@
 
 impl<W: PartialEq> Drill<W> {
     /// Whether a safeguard is on: all are where nothing is said.
-    pub fn on(drill: &Option<Self>, safeguard: W) -> bool {
+    pub fn enabled(drill: &Option<Self>, safeguard: W) -> bool {
         drill.as_ref().is_none_or(|d| !d.without.contains(&safeguard))
     }
 }
@@ -61,7 +66,7 @@
 /// The table as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Table {
+pub struct ClusterTable {
     name: Spanned<String>,
     node: Option<Spanned<String>>,
     bind: Spanned<SocketAddr>,
@@ -69,11 +74,11 @@
     #[serde(default)]
     seeds: Option<Spanned<Vec<SocketAddr>>>,
     zone: Spanned<String>,
-    probe: Option<Spanned<Span>>,
-    timeout: Option<Spanned<Span>>,
-    suspicion: Option<Spanned<Span>>,
-    exchange: Option<Spanned<Span>>,
-    forget: Option<Spanned<Span>>,
+    probe: Option<Spanned<HumanDuration>>,
+    timeout: Option<Spanned<HumanDuration>>,
+    suspicion: Option<Spanned<HumanDuration>>,
+    exchange: Option<Spanned<HumanDuration>>,
+    forget: Option<Spanned<HumanDuration>>,
     members: Option<Spanned<usize>>,
     #[serde(default = "yes")]
     ring: bool,
@@ -85,7 +90,7 @@
 
 /// What is wrong, and where in the file, in bytes from its beginning.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct SettingError {
     /// From where to where.
     pub span: Range<usize>,
     /// What, in one line.
@@ -94,7 +99,7 @@
 
 /// The table, checked.
 #[derive(Clone, Debug)]
-pub struct Compiled {
+pub struct ClusterSettings {
     /// The member's own settings.
     pub settings: Settings,
     /// Its name, if it isn't the node's.
@@ -109,28 +114,30 @@
     pub ring: bool,
 }
 
-impl Table {
+impl ClusterTable {
     /// Checks each setting by itself and beside the others.
-    pub fn compile(self) -> Result<Compiled, Wrong> {
+    pub fn compile(self) -> Result<ClusterSettings, SettingError> {
         let seeds = self.seeds.as_ref().map(|s| s.get_ref().clone()).unwrap_or_default();
         let mut settings = Settings::new(self.name.get_ref().clone(), seeds);
-        let mut places = Places::new("name", &self.name);
-        places.time("probe", &self.probe, &mut settings.probe);
-        places.time("timeout", &self.timeout, &mut settings.timeout);
-        places.time("suspicion", &self.suspicion, &mut settings.suspicion);
-        places.time("exchange", &self.exchange, &mut settings.exchange);
-        places.time("forget", &self.forget, &mut settings.forget);
-        settings.members = places.note("members", &self.members).copied().unwrap_or(settings.members);
-        places.note("seeds", &self.seeds);
+        let mut places = SettingSpans::new("name", &self.name);
+        places.apply_duration("probe", &self.probe, &mut settings.probe);
+        places.apply_duration("timeout", &self.timeout, &mut settings.timeout);
+        places.apply_duration("suspicion", &self.suspicion, &mut settings.suspicion);
+        places.apply_duration("exchange", &self.exchange, &mut settings.exchange);
+        places.apply_duration("forget", &self.forget, &mut settings.forget);
+        settings.members = places.record("members", &self.members).copied().unwrap_or(settings.members);
+        places.record("seeds", &self.seeds);
         settings.check().map_err(|error| {
             let (SettingsError::Text(key, _) | SettingsError::Time(key, _) | SettingsError::Count(key, _)) =
                 &error;
-            places.wrong(key, &error)
+            places.error_at(key, &error)
         })?;
         let text = |given: &Spanned<String>, key: &str| {
             let fits = |t: &str| (1..=64).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
             let wrong = || format!("`{key}` has to be 1 to 64 visible ASCII characters");
-            fits(given.get_ref()).then_some(()).ok_or_else(|| Wrong { span: given.span(), problem: wrong() })
+            fits(given.get_ref())
+                .then_some(())
+                .ok_or_else(|| SettingError { span: given.span(), problem: wrong() })
         };
         text(&self.zone, "zone")?;
         self.node.iter().try_for_each(|n| text(n, "node"))?;
@@ -138,18 +145,18 @@
             let address = at.get_ref();
             let fits = !address.ip().is_unspecified() && address.port() != 0;
             let problem = "others have to be able to send there: name an address and a port".to_owned();
-            fits.then_some(()).ok_or_else(|| Wrong { span: at.span(), problem })
+            fits.then_some(()).ok_or_else(|| SettingError { span: at.span(), problem })
         };
         match &self.advertise {
             Some(advertise) => reachable(advertise)?,
             None if self.bind.get_ref().ip().is_unspecified() => {
                 let problem = "`bind` is every address: name in `advertise` where others send to".to_owned();
-                return Err(Wrong { span: self.bind.span(), problem });
+                return Err(SettingError { span: self.bind.span(), problem });
             }
             // A port that the system chooses is told to others as it comes.
             None => {}
         }
-        Ok(Compiled {
+        Ok(ClusterSettings {
             settings,
             node: self.node.map(Spanned::into_inner),
             bind: self.bind.into_inner(),
--- a/crates/cluster-host/tests/settings.rs
+++ b/crates/cluster-host/tests/settings.rs
@@ -1,12 +1,12 @@
 //! The `[cluster]` table: what is taken, and where in the file a mistake is.
 
-use birchswitch_cluster_host::{Compiled, Table, Wrong};
+use birchswitch_cluster_host::{ClusterSettings, ClusterTable, SettingError};
 use std::time::Duration;
 
 const GOOD: &str = "name = \"shop\"\nbind = \"127.0.0.1:0\"\nseeds = [\"10.0.0.1:7946\"]\nzone = \"a\"\n";
 
-fn compile(text: &str) -> Result<Compiled, Wrong> {
-    toml::from_str::<Table>(text).expect("its form is right").compile()
+fn compile(text: &str) -> Result<ClusterSettings, SettingError> {
+    toml::from_str::<ClusterTable>(text).expect("its form is right").compile()
 }
 
 #[test]
@@ -46,6 +46,6 @@
         assert!(wrong.problem.contains(problem), "{}: {text}", wrong.problem);
     }
     for text in [format!("{GOOD}probes = 1"), GOOD.replace("zone", "zones"), format!("{GOOD}probe = 400")] {
-        assert!(toml::from_str::<Table>(&text).is_err(), "{text}");
+        assert!(toml::from_str::<ClusterTable>(&text).is_err(), "{text}");
     }
 }
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -2,12 +2,12 @@
 
 use crate::exchange::Joining;
 use crate::fitness::Fitness;
-use crate::member::{Life, MemberId, Record, State, Topic, Value};
+use crate::member::{Generation, MemberId, Record, State, Topic, Value};
 use crate::news::Queue;
 use crate::rounds::Probing;
 use crate::settings::{Settings, SettingsError};
 use crate::table::{Member, Table};
-use crate::wire::{self, Body, Held, Message, News, Said, Sender};
+use crate::wire::{self, Body, Held, Message, Report, Sender, Update};
 use crate::Time;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -37,14 +37,14 @@
         bytes: Vec<u8>,
     },
     /// Tell this of oneself from now on.
-    Tell {
+    Publish {
         /// What about.
         topic: Topic,
         /// What.
         bytes: Vec<u8>,
     },
     /// Carry this to another part of a program, once, with no promise that it arrives. What is too long for a datagram is dropped.
-    Carry {
+    SendPayload {
         /// Where to.
         to: SocketAddr,
         /// For which part.
@@ -67,7 +67,7 @@
         bytes: Vec<u8>,
     },
     /// This came for another part of the program, from whoever sends there.
-    Carried {
+    PayloadReceived {
         /// Whence.
         from: SocketAddr,
         /// For which part.
@@ -100,18 +100,18 @@
     /// It said farewell.
     Left(MemberId),
     /// Of oneself.
-    Own(Trouble),
+    Local(LocalEvent),
 }
 
 /// What a member notices of itself.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum LocalEvent {
     /// Its process did not run for so long.
-    HeldUp(Duration),
+    Stalled(Duration),
     /// It asked and heard nobody.
     CutOff,
     /// It hears members again.
-    Hears,
+    Reconnected,
     /// Others held it for suspect, dead or gone; it says otherwise.
     Refuted {
         /// As what.
@@ -120,7 +120,7 @@
         incarnation: u64,
     },
     /// Another process bears its name, or did; that one yields.
-    Twin(SocketAddr),
+    DuplicateName(SocketAddr),
     /// Another process that started later bears its name: this one is no member any more.
     Yielded(SocketAddr),
     /// Where it stands in the fleet changed.
@@ -215,7 +215,7 @@
     }
 
     /// Puts members in as if they had always been known: for the laboratory's fleets that are up already.
-    pub fn acquaint(&mut self, now: Time, records: &[Arc<Record>]) {
+    pub fn insert_known(&mut self, now: Time, records: &[Arc<Record>]) {
         for record in records.iter().filter(|r| r.id() != self.own.id()) {
             self.table.put(record.id(), fresh(record.clone(), now));
         }
@@ -236,14 +236,14 @@
             return;
         }
         let late = now.saturating_sub(self.next_wake());
-        if late > self.settings.late() && !self.settings.careless {
+        if late > self.settings.late() && !self.settings.without_safeguards {
             self.held_up(now, late, actions);
         }
         match event {
             Event::Wake => {}
             Event::Received { from, bytes } => self.received(now, from, &bytes, actions),
-            Event::Tell { topic, bytes } => self.tell(topic, bytes),
-            Event::Carry { to, lane, bytes } => self.carry(to, lane, bytes, actions),
+            Event::Publish { topic, bytes } => self.tell(topic, bytes),
+            Event::SendPayload { to, lane, bytes } => self.carry(to, lane, bytes, actions),
             Event::Leave => return self.leave(actions),
         }
         if !self.gone {
@@ -278,17 +278,17 @@
     }
 
     /// Members that count, oneself included.
-    pub fn fleet(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.table.counting() + 1
     }
 
     /// Addresses by which it joins: without any it is a fleet of its own until others come.
-    pub fn seeds(&self) -> usize {
+    pub fn seed_count(&self) -> usize {
         self.settings.seeds.len()
     }
 
     /// Members of the fleet as last agreed, oneself included: it shrinks only where a majority of it stood for 30 s.
-    pub fn agreed(&self) -> usize {
+    pub fn agreed_size(&self) -> usize {
         self.agreed.0
     }
 
@@ -298,7 +298,7 @@
     }
 
     /// How bad this node has been at hearing others of late: 0 (well) to 8.
-    pub fn health(&self) -> u32 {
+    pub fn health_score(&self) -> u32 {
         self.fitness.score()
     }
 
@@ -310,8 +310,8 @@
     /// This node's index among the members that count, in the order of their ids, and how many they are.
     pub fn rank(&self) -> (usize, usize) {
         let own = self.own.id();
-        let before = self.table.iter().filter(|(id, m)| m.state.counts() && *id < own).count();
-        (before, self.fleet())
+        let before = self.table.iter().filter(|(id, m)| m.state.is_live() && *id < own).count();
+        (before, self.live_count())
     }
 
     // ---- what others say ----
@@ -326,9 +326,9 @@
         if sender.id == self.own.id() {
             return self.namesake(from, sender, actions);
         }
-        let known = self.table.get(sender.id).is_some_and(|m| m.record.life == sender.life);
-        for piece in &message.news {
-            match News::decode(piece) {
+        let known = self.table.get(sender.id).is_some_and(|m| m.record.generation == sender.generation);
+        for piece in &message.updates {
+            match Update::decode(piece) {
                 Some(news) => self.absorb(now, news, actions),
                 None => self.counts.unread += 1,
             }
@@ -337,17 +337,17 @@
             }
         }
         match self.table.get(sender.id) {
-            Some(member) if member.record.life == sender.life => {
+            Some(member) if member.record.generation == sender.generation => {
                 self.table.heard(sender.id, now);
                 if self.fitness.hears(now) {
-                    actions.push(own(Trouble::Hears));
+                    actions.push(own(LocalEvent::Reconnected));
                     self.settle(actions);
                 }
             }
             _ => self.joining.stranger(from),
         }
-        if let Body::Carried { lane, bytes } = message.body {
-            return actions.push(Action::Carried { from, lane, bytes });
+        if let Body::Payload { lane, bytes } = message.body {
+            return actions.push(Action::PayloadReceived { from, lane, bytes });
         }
         // What a datagram says of its sender makes it no better known at once.
         let most = if known { wire::LONGEST } else { bytes.len() };
@@ -356,9 +356,9 @@
 
     /// Another process under this name spoke here.
     fn namesake(&mut self, from: SocketAddr, sender: Sender, actions: &mut Vec<Action>) {
-        if sender.life > self.own.life {
+        if sender.generation > self.own.generation {
             self.yield_to(from, actions);
-        } else if sender.life < self.own.life {
+        } else if sender.generation < self.own.generation {
             self.notice_twin(from, actions);
             self.send(from, Body::Welcome, Vec::new(), actions);
         }
@@ -369,36 +369,37 @@
         let message = self.message(Body::Records);
         self.dispatch(other, &message, actions);
         self.gone = true;
-        actions.push(own(Trouble::Yielded(other)));
+        actions.push(own(LocalEvent::Yielded(other)));
         self.settle(actions);
     }
 
     fn notice_twin(&mut self, other: SocketAddr, actions: &mut Vec<Action>) {
         if other != self.own.address && self.twins.len() < 16 && !self.twins.contains(&other) {
             self.twins.push(other);
-            actions.push(own(Trouble::Twin(other)));
+            actions.push(own(LocalEvent::DuplicateName(other)));
         }
     }
 
     /// Takes in one statement. The later life counts, then the higher incarnation, then the graver state.
-    pub(crate) fn absorb(&mut self, now: Time, news: News, actions: &mut Vec<Action>) {
+    pub(crate) fn absorb(&mut self, now: Time, news: Update, actions: &mut Vec<Action>) {
         match news {
-            News::Alive(record) if record.id() == self.own.id() => self.alive_self(&record, actions),
-            News::Alive(record) => self.alive(now, record, actions),
-            News::Said(said) if said.id == self.own.id() => {
-                let held = Held { life: said.life, incarnation: said.incarnation, state: said.state };
+            Update::Alive(record) if record.id() == self.own.id() => self.alive_self(&record, actions),
+            Update::Alive(record) => self.alive(now, record, actions),
+            Update::Report(said) if said.id == self.own.id() => {
+                let held =
+                    Held { generation: said.generation, incarnation: said.incarnation, state: said.state };
                 self.held_as(now, held, actions);
             }
-            News::Said(said) => self.said(now, &said, false, actions),
+            Update::Report(said) => self.said(now, &said, false, actions),
         }
     }
 
     fn alive_self(&mut self, record: &Record, actions: &mut Vec<Action>) {
-        if record.life == self.own.life {
+        if record.generation == self.own.generation {
             return;
         }
         let elsewhere = record.address != self.own.address;
-        if record.life < self.own.life {
+        if record.generation < self.own.generation {
             if elsewhere {
                 self.notice_twin(record.address, actions);
             }
@@ -406,21 +407,21 @@
             self.yield_to(record.address, actions);
         } else {
             // A predecessor at this very address, whose clock was ahead: it can't live beside this process.
-            self.outlive(record.life);
+            self.outlive(record.generation);
         }
     }
 
-    fn outlive(&mut self, other: Life) {
-        self.own.life.started = other.started.saturating_add(1);
+    fn outlive(&mut self, other: Generation) {
+        self.own.generation.started = other.started.saturating_add(1);
         self.announce();
     }
 
     /// What somebody holds of this node.
     pub(crate) fn held_as(&mut self, now: Time, held: Held, actions: &mut Vec<Action>) {
-        if held.life > self.own.life {
-            return self.outlive(held.life);
+        if held.generation > self.own.generation {
+            return self.outlive(held.generation);
         }
-        if held.life < self.own.life || held.state == State::Alive {
+        if held.generation < self.own.generation || held.state == State::Alive {
             return;
         }
         // Also where it was refuted already: then the refutation is not heard, or not yet.
@@ -432,7 +433,7 @@
             self.counts.refutations += 1;
             self.announce();
             let incarnation = self.own.incarnation;
-            actions.push(own(Trouble::Refuted { held: held.state, incarnation }));
+            actions.push(own(LocalEvent::Refuted { held: held.state, incarnation }));
         }
     }
 
@@ -443,7 +444,7 @@
                 self.counts.refused += 1;
                 return;
             }
-            self.queue.tell(id, &News::Alive(record.clone()));
+            self.queue.tell(id, &Update::Alive(record.clone()));
             self.table.put(id, fresh(Arc::new(record), now));
             self.joining.learnt();
             actions.push(Action::Changed(Change::Joined(id)));
@@ -456,12 +457,12 @@
             }
             return;
         }
-        let (before, same) = (member.state, member.record.life == record.life);
+        let (before, same) = (member.state, member.record.generation == record.generation);
         let heard = member.heard.filter(|_| same);
-        self.queue.tell(id, &News::Alive(record.clone()));
+        self.queue.tell(id, &Update::Alive(record.clone()));
         self.probing.cleared(id);
         let mut member = Member { heard, ..fresh(Arc::new(record), now) };
-        if before.counts() && same {
+        if before.is_live() && same {
             // Alive all along.
             member.since = self.table.get(id).map_or(now, |m| m.since);
         }
@@ -478,15 +479,15 @@
         }
     }
 
-    pub(crate) fn said(&mut self, now: Time, said: &Said, verdict: bool, actions: &mut Vec<Action>) {
+    pub(crate) fn said(&mut self, now: Time, said: &Report, verdict: bool, actions: &mut Vec<Action>) {
         let Some(member) = self.table.get(said.id) else { return };
         // Of another life only its own word is taken; the comparison of tables brings that.
         let newer = said.incarnation > member.incarnation;
-        if said.life != member.record.life || said.incarnation < member.incarnation {
+        if said.generation != member.record.generation || said.incarnation < member.incarnation {
             return;
         }
         if said.state == State::Suspect {
-            if !member.state.counts() {
+            if !member.state.is_live() {
                 return;
             }
             let known = if newer { &[][..] } else { &member.witnesses };
@@ -497,14 +498,14 @@
                 return;
             }
             let first = member.state == State::Alive;
-            let told = Said { witnesses: witnesses.clone(), ..said.clone() };
+            let told = Report { witnesses: witnesses.clone(), ..said.clone() };
             self.table.change(said.id, |m| {
                 (m.state, m.incarnation, m.witnesses) = (State::Suspect, told.incarnation, witnesses);
                 if first {
                     m.since = now;
                 }
             });
-            self.queue.tell(said.id, &News::Said(told));
+            self.queue.tell(said.id, &Update::Report(told));
             if first {
                 self.counts.suspicions += 1;
                 actions.push(Action::Changed(Change::Suspected(said.id)));
@@ -517,7 +518,7 @@
                 m.witnesses.clear();
             });
             self.probing.cleared(said.id);
-            self.queue.tell(said.id, &News::Said(said.clone()));
+            self.queue.tell(said.id, &Update::Report(said.clone()));
             if said.state == State::Left {
                 // It is no longer of the fleet.
                 if before != State::Left {
@@ -532,7 +533,7 @@
 
     // ---- oneself ----
     fn announce(&mut self) {
-        self.queue.tell(self.own.id(), &News::Alive(self.own.clone()));
+        self.queue.tell(self.own.id(), &Update::Alive(self.own.clone()));
     }
 
     fn tell(&mut self, topic: Topic, bytes: Vec<u8>) {
@@ -557,14 +558,14 @@
             self.own.incarnation += 1;
             self.announce();
         }
-        actions.push(own(Trouble::HeldUp(late)));
+        actions.push(own(LocalEvent::Stalled(late)));
     }
 
     fn leave(&mut self, actions: &mut Vec<Action>) {
-        let (id, life, incarnation) = (self.own.id(), self.own.life, self.own.incarnation);
-        let said = Said { id, life, incarnation, state: State::Left, witnesses: Vec::new() };
-        let news = News::Said(said).encode();
-        for to in self.some(FAREWELLS, |_, m| m.state.counts()) {
+        let (id, generation, incarnation) = (self.own.id(), self.own.generation, self.own.incarnation);
+        let said = Report { id, generation, incarnation, state: State::Left, witnesses: Vec::new() };
+        let news = Update::Report(said).encode();
+        for to in self.some(FAREWELLS, |_, m| m.state.is_live()) {
             self.send(to.1, Body::Welcome, vec![news.clone()], actions);
         }
         self.gone = true;
@@ -593,7 +594,7 @@
                 self.table.remove(id);
             }
         }
-        let (fleet, (agreed, fewer)) = (self.fleet(), self.agreed);
+        let (fleet, (agreed, fewer)) = (self.live_count(), self.agreed);
         self.agreed = match fewer {
             _ if fleet >= agreed => (fleet, None),
             _ if self.fitness.cut_off() || fleet * 2 <= agreed => (agreed, None),
@@ -609,26 +610,26 @@
             () if self.gone => Standing::Gone,
             () if self.table.len() == 0 => Standing::Alone,
             () if self.fitness.cut_off() => Standing::CutOff,
-            () if self.fleet() * 2 > self.agreed.0 => Standing::Majority,
+            () if self.live_count() * 2 > self.agreed.0 => Standing::Majority,
             () => Standing::Minority,
         };
         if standing != self.standing {
             self.standing = standing;
-            actions.push(own(Trouble::Standing(standing)));
+            actions.push(own(LocalEvent::Standing(standing)));
         }
     }
 
     /// Makes room by forgetting who has been dead or gone for longest.
     fn evict(&mut self) -> bool {
-        let oldest = self.table.iter().filter(|(_, m)| !m.state.counts()).min_by_key(|(_, m)| m.since);
+        let oldest = self.table.iter().filter(|(_, m)| !m.state.is_live()).min_by_key(|(_, m)| m.since);
         let id = oldest.map(|(id, _)| id);
         id.inspect(|id| self.table.remove(*id)).is_some()
     }
 
     // ---- sending ----
     pub(crate) fn message(&self, body: Body) -> Message {
-        let Record { life, incarnation, .. } = self.own;
-        Message { sender: Sender { id: self.own.id(), life, incarnation }, body, news: Vec::new() }
+        let Record { generation, incarnation, .. } = self.own;
+        Message { sender: Sender { id: self.own.id(), generation, incarnation }, body, updates: Vec::new() }
     }
 
     /// Sends a message with these pieces of news, and with others that fit.
@@ -639,17 +640,17 @@
         first: Vec<Vec<u8>>,
         actions: &mut Vec<Action>,
     ) {
-        let mut message = Message { news: first, ..self.message(body) };
+        let mut message = Message { updates: first, ..self.message(body) };
         // Half a datagram: news come in bursts, and probes are many.
         let room = wire::room(&self.settings.cluster, &message);
         let room = room.saturating_sub(wire::LONGEST - self.longest).min(wire::LONGEST / 2);
-        let fleet = self.fleet();
-        self.queue.take(room, fleet, &mut message.news);
+        let fleet = self.live_count();
+        self.queue.take(room, fleet, &mut message.updates);
         self.dispatch(to, &message, actions);
     }
 
     fn carry(&mut self, to: SocketAddr, lane: u8, bytes: Vec<u8>, actions: &mut Vec<Action>) {
-        let message = self.message(Body::Carried { lane, bytes });
+        let message = self.message(Body::Payload { lane, bytes });
         if wire::room(&self.settings.cluster, &message) > 0 {
             self.dispatch(to, &message, actions);
         }
@@ -713,8 +714,8 @@
     Member { record, incarnation, state: State::Alive, since: now, heard: None, witnesses: Vec::new() }
 }
 
-pub(crate) fn own(trouble: Trouble) -> Action {
-    Action::Changed(Change::Own(trouble))
+pub(crate) fn own(trouble: LocalEvent) -> Action {
+    Action::Changed(Change::Local(trouble))
 }
 
 fn uniform(rng: &mut Xoshiro256PlusPlus) -> f64 {
--- a/crates/cluster/src/exchange.rs
+++ b/crates/cluster/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::core::{Action, Core};
 use crate::member::State;
 use crate::table::{bucket, BUCKETS};
-use crate::wire::{self, Body, Message, News, Said};
+use crate::wire::{self, Body, Message, Report, Update};
 use crate::Time;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -73,8 +73,9 @@
             let mut doors = std::mem::take(&mut self.joining.strangers);
             let seeds = self.settings.seeds.len();
             let turn = (self.random() * seeds as f64) as usize;
-            let known =
-                |at: &SocketAddr| self.table.iter().any(|(_, m)| m.record.address == *at && m.state.counts());
+            let known = |at: &SocketAddr| {
+                self.table.iter().any(|(_, m)| m.record.address == *at && m.state.is_live())
+            };
             let unknown = (0..seeds).map(|n| self.settings.seeds[(n + turn) % seeds]).filter(|at| !known(at));
             doors.extend(unknown.take(if alone { SEEDS } else { 1 }));
             doors.retain(|at| *at != self.own.address);
@@ -94,7 +95,7 @@
 
     fn knock(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
         let mut message = self.message(Body::Join { padding: Vec::new() });
-        message.news.push(News::Alive(self.own.clone()).encode());
+        message.updates.push(Update::Alive(self.own.clone()).encode());
         let room = wire::room(&self.settings.cluster, &message);
         message.body = Body::Join { padding: vec![0; room] };
         self.dispatch(to, &message, actions);
@@ -140,20 +141,22 @@
     /// As many members as the question is long.
     fn welcome(&mut self, from: SocketAddr, question: &Message, actions: &mut Vec<Action>) {
         let mut welcome = self.message(Body::Welcome);
-        welcome.news.push(News::Alive(self.own.clone()).encode());
+        welcome.updates.push(Update::Alive(self.own.clone()).encode());
         // It may stand in the shadow of a predecessor.
-        let shadow = self.table.get(question.sender.id).filter(|m| m.record.life > question.sender.life);
-        welcome.news.extend(shadow.map(|m| News::Alive((*m.record).clone()).encode()));
-        for (id, _) in self.some(24, |id, m| id != question.sender.id && m.state.counts()) {
+        let shadow =
+            self.table.get(question.sender.id).filter(|m| m.record.generation > question.sender.generation);
+        welcome.updates.extend(shadow.map(|m| Update::Alive((*m.record).clone()).encode()));
+        for (id, _) in self.some(24, |id, m| id != question.sender.id && m.state.is_live()) {
             let Some(member) = self.table.get(id) else { continue };
-            let piece = News::Alive((*member.record).clone()).encode();
+            let piece = Update::Alive((*member.record).clone()).encode();
             if piece.len() + 2 < wire::room(&self.settings.cluster, &welcome) {
-                welcome.news.push(piece);
+                welcome.updates.push(piece);
             }
         }
-        while wire::encode(&self.settings.cluster, &welcome).len() > self.longest && !welcome.news.is_empty()
+        while wire::encode(&self.settings.cluster, &welcome).len() > self.longest
+            && !welcome.updates.is_empty()
         {
-            welcome.news.pop();
+            welcome.updates.pop();
         }
         self.dispatch(from, &welcome, actions);
     }
@@ -171,17 +174,20 @@
         }
         let mut pieces = Vec::new();
         if differs[bucket(self.own.id())] {
-            pieces.push(News::Alive(self.own.clone()).encode());
+            pieces.push(Update::Alive(self.own.clone()).encode());
         }
         let mut ids = self.shuffled();
         ids.retain(|id| differs[bucket(*id)]);
         for id in ids {
             let Some(m) = self.table.get(id) else { continue };
-            pieces.push(News::Alive((*m.record).clone()).encode());
-            let (life, incarnation) = m.age();
+            pieces.push(Update::Alive((*m.record).clone()).encode());
+            let (generation, incarnation) = m.age();
             if m.state != State::Alive {
                 let witnesses = m.witnesses.clone();
-                pieces.push(News::Said(Said { id, life, incarnation, state: m.state, witnesses }).encode());
+                pieces.push(
+                    Update::Report(Report { id, generation, incarnation, state: m.state, witnesses })
+                        .encode(),
+                );
             }
         }
         let mut pieces = pieces.into_iter().peekable();
@@ -190,9 +196,9 @@
             let mut room = wire::room(&self.settings.cluster, &part);
             while let Some(piece) = pieces.next_if(|p| p.len() + 2 < room) {
                 room -= piece.len() + 2;
-                part.news.push(piece);
+                part.updates.push(piece);
             }
-            if part.news.is_empty() {
+            if part.updates.is_empty() {
                 return;
             }
             self.dispatch(to, &part, actions);
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -29,8 +29,10 @@
 mod table;
 pub mod wire;
 
-pub use crate::core::{Action, Change, Core, Counts, Event, Standing, Trouble};
-pub use crate::member::{fingerprint, Life, MemberId, Record, State, Topic, Value, RECORD_MOST, VALUES_MOST};
+pub use crate::core::{Action, Change, Core, Counts, Event, LocalEvent, Standing};
+pub use crate::member::{
+    fingerprint, Generation, MemberId, Record, State, Topic, Value, RECORD_MOST, VALUES_MOST,
+};
 pub use crate::settings::{Settings, SettingsError};
 pub use crate::table::Member;
 
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -29,7 +29,7 @@
 
 /// One process under a name; of two the greater counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Generation {
     /// When it started, in Unix milliseconds. Only compared with other lives under the same name, and raised above
     /// those that a clock that went back would put after it.
     pub started: u64,
@@ -52,7 +52,7 @@
 
 impl State {
     /// Alive or merely suspected.
-    pub fn counts(self) -> bool {
+    pub fn is_live(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
@@ -108,7 +108,7 @@
     /// Version of the program.
     pub program: String,
     /// Which process.
-    pub life: Life,
+    pub generation: Generation,
     /// Rises whenever it refutes or tells something new.
     pub incarnation: u64,
     /// At most [`VALUES_MOST`] bytes.
@@ -125,8 +125,8 @@
     }
 
     /// Life and incarnation: which of two records is newer.
-    pub fn age(&self) -> (Life, u64) {
-        (self.life, self.incarnation)
+    pub fn age(&self) -> (Generation, u64) {
+        (self.generation, self.incarnation)
     }
 
     /// A value, by its topic.
@@ -150,8 +150,8 @@
 }
 
 /// What two tables have to agree on: who, which life and incarnation, and whether it counts.
-pub fn fingerprint(id: MemberId, age: (Life, u64), state: State) -> u32 {
-    let state = if state.counts() { 0 } else { state as u8 };
+pub fn fingerprint(id: MemberId, age: (Generation, u64), state: State) -> u32 {
+    let state = if state.is_live() { 0 } else { state as u8 };
     let mut bytes = [0; 29];
     bytes[..8].copy_from_slice(&id.0.to_le_bytes());
     bytes[8..16].copy_from_slice(&age.0.started.to_le_bytes());
--- a/crates/cluster/src/news.rs
+++ b/crates/cluster/src/news.rs
@@ -1,7 +1,7 @@
 //! News that ride on other messages: each a few times, those that went least first.
 
 use crate::member::MemberId;
-use crate::wire::News;
+use crate::wire::Update;
 
 /// Times that a piece goes out, over the number of digits of the fleet's size (Das and others, section 4.1).
 const TIMES: u32 = 4;
@@ -18,7 +18,7 @@
 
 impl Queue {
     /// Tells this from now on, in place of what was told of the member.
-    pub(crate) fn tell(&mut self, about: MemberId, news: &News) {
+    pub(crate) fn tell(&mut self, about: MemberId, news: &Update) {
         let item = Item { about, bytes: news.encode(), sent: 0 };
         match self.0.iter_mut().find(|i| i.about == about) {
             Some(old) => *old = item,
--- a/crates/cluster/src/ring.rs
+++ b/crates/cluster/src/ring.rs
@@ -13,24 +13,24 @@
 
 /// A place on the ring, in parts of it from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct RingPosition {
     at: f64,
     stepped: Time,
 }
 
-impl Place {
+impl RingPosition {
     /// Begins where a node stands among so many, counted from 0.
     pub fn new(now: Time, (index, of): (usize, usize)) -> Self {
-        Place { at: index as f64 / of.max(1) as f64, stepped: now }
+        RingPosition { at: index as f64 / of.max(1) as f64, stepped: now }
     }
 
     /// Where it is.
-    pub fn at(&self) -> f64 {
+    pub fn fraction(&self) -> f64 {
         self.at
     }
 
     /// Moves towards where the node stands now, the shorter way round. True: it moved.
-    pub fn step(&mut self, now: Time, (index, of): (usize, usize)) -> bool {
+    pub fn advance(&mut self, now: Time, (index, of): (usize, usize)) -> bool {
         let part = 1.0 - (-now.saturating_sub(self.stepped).as_secs_f64() / APPROACH.as_secs_f64()).exp();
         self.stepped = now;
         let target = index as f64 / of.max(1) as f64;
--- a/crates/cluster/src/rounds.rs
+++ b/crates/cluster/src/rounds.rs
@@ -1,9 +1,9 @@
 //! Probing: rounds, errands for others, and doubts that grow into verdicts.
 
-use crate::core::{own, Action, Core, Trouble};
+use crate::core::{own, Action, Core, LocalEvent};
 use crate::member::{MemberId, State};
 use crate::table::Member;
-use crate::wire::{Body, Held, News, Said};
+use crate::wire::{Body, Held, Report, Update};
 use crate::Time;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
@@ -164,7 +164,7 @@
         }
         for _ in 0..2 {
             while let Some(id) = self.probing.order.pop() {
-                if self.table.get(id).is_some_and(|m| m.state.counts()) {
+                if self.table.get(id).is_some_and(|m| m.state.is_live()) {
                     return Some(id);
                 }
             }
@@ -175,7 +175,7 @@
 
     fn held(&self, id: MemberId) -> Option<Held> {
         let m = self.table.get(id)?;
-        Some(Held { life: m.record.life, incarnation: m.incarnation, state: m.state })
+        Some(Held { generation: m.record.generation, incarnation: m.incarnation, state: m.state })
     }
 
     fn ping(&self, target: MemberId, seq: u32) -> Option<Body> {
@@ -184,7 +184,7 @@
 
     fn begin(&mut self, now: Time, target: MemberId, actions: &mut Vec<Action>) {
         // The dead are asked now and then, without rounds.
-        let Some(member) = self.table.get(target).filter(|m| m.state.counts()) else {
+        let Some(member) = self.table.get(target).filter(|m| m.state.is_live()) else {
             return self.probing.cleared(target);
         };
         if self.probing.rounds.iter().any(|r| r.target == target) {
@@ -216,7 +216,7 @@
         // Where many are gone, those that were heard of late are the likeliest to answer; one is left to chance, who
         // may have roads that they lack.
         let lately = now.saturating_sub(self.settings.suspicion / 2);
-        let chance_alone = self.settings.careless;
+        let chance_alone = self.settings.without_safeguards;
         let hears = |m: &Member| m.heard.is_some_and(|at| at >= lately) && !chance_alone;
         let most = RELAYS[usize::from(again)];
         let mut relays = self.some(most - 1, |id, m| fits(id) && m.state == State::Alive && hears(m));
@@ -224,7 +224,7 @@
         let others = |id: MemberId| fits(id) && !taken.contains(&id);
         relays.extend(self.some(most - relays.len(), |id, m| others(id) && m.state == State::Alive));
         if relays.is_empty() {
-            relays = self.some(most, |id, m| id != target && m.state.counts());
+            relays = self.some(most, |id, m| id != target && m.state.is_live());
         }
         for (_, to) in relays {
             self.send(to, Body::Relay { seq, target, address, held, again }, Vec::new(), actions);
@@ -234,20 +234,20 @@
     /// A round ended without an answer.
     fn in_vain(&mut self, now: Time, round: &Round, actions: &mut Vec<Action>) {
         let target = round.target;
-        let Some(member) = self.table.get(target).filter(|m| m.state.counts()) else { return };
-        let careless = self.settings.careless;
-        if member.heard.is_some_and(|at| at >= round.began) && !careless {
+        let Some(member) = self.table.get(target).filter(|m| m.state.is_live()) else { return };
+        let without_safeguards = self.settings.without_safeguards;
+        if member.heard.is_some_and(|at| at >= round.began) && !without_safeguards {
             return self.probing.cleared(target);
         }
-        if round.nacks == 0 && !careless {
+        if round.nacks == 0 && !without_safeguards {
             self.fitness.unheard();
             if self.fitness.falls_silent(now, self.settings.round() * 4) {
                 self.probing.forget_doubts();
-                actions.push(own(Trouble::CutOff));
+                actions.push(own(LocalEvent::CutOff));
             }
             return;
         }
-        if !careless && !self.fitness.fit(now) {
+        if !without_safeguards && !self.fitness.fit(now) {
             return;
         }
         let room = self.probing.doubts.len() < DOUBTS;
@@ -259,13 +259,13 @@
         doubt.failed += 1;
         let (failed, began, asked_by) =
             (doubt.failed, *doubt.began.get_or_insert(round.began), doubt.asked_by);
-        if failed >= TOLD || careless {
-            let (life, incarnation) = member.age();
+        if failed >= TOLD || without_safeguards {
+            let (generation, incarnation) = member.age();
             let witnesses = vec![self.own.id().short()];
-            let said = Said { id: target, life, incarnation, state: State::Suspect, witnesses };
+            let said = Report { id: target, generation, incarnation, state: State::Suspect, witnesses };
             self.said(now, &said, false, actions);
             if let (Some(to), TOLD) = (asked_by, failed) {
-                self.send(to, Body::Records, vec![News::Said(said).encode()], actions);
+                self.send(to, Body::Records, vec![Update::Report(said).encode()], actions);
             }
         }
         self.judge(now, target, (failed, began), actions);
@@ -283,31 +283,31 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(member) = self.table.get(target) else { return };
-        if member.heard.is_some_and(|at| at >= began) && !self.settings.careless {
+        if member.heard.is_some_and(|at| at >= began) && !self.settings.without_safeguards {
             return self.probing.cleared(target);
         }
         let witnesses = member.witnesses.len();
-        let wanted = self.settings.witnesses(self.fleet());
+        let wanted = self.settings.witnesses(self.live_count());
         if failed < SURE || now < began + self.settings.suspicion || witnesses < wanted {
             return;
         }
-        let (life, incarnation) = member.age();
+        let (generation, incarnation) = member.age();
         let witnesses = member.witnesses.clone();
-        let said = Said { id: target, life, incarnation, state: State::Dead, witnesses };
+        let said = Report { id: target, generation, incarnation, state: State::Dead, witnesses };
         self.counts.verdicts += 1;
         self.said(now, &said, true, actions);
     }
 
     /// Somebody suspects it: some look for themselves at once, so that verdicts need not wait for chance.
     pub(crate) fn look_too(&mut self, now: Time, id: MemberId, actions: &mut Vec<Action>) {
-        if self.random() < LOOK_TOO / self.fleet() as f64 {
+        if self.random() < LOOK_TOO / self.live_count() as f64 {
             self.look(now, id, None, actions);
         }
     }
 
     fn look(&mut self, now: Time, id: MemberId, asked_by: Option<SocketAddr>, actions: &mut Vec<Action>) {
         let doubts = &mut self.probing.doubts;
-        if doubts.len() < DOUBTS && !doubts.contains_key(&id) && !self.settings.careless {
+        if doubts.len() < DOUBTS && !doubts.contains_key(&id) && !self.settings.without_safeguards {
             doubts.insert(id, Doubt { began: None, failed: 0, next: now, asked_by });
             if self.probing.doubts.len() <= AGAIN {
                 self.begin(now, id, actions);
@@ -328,14 +328,15 @@
             Body::Ping { seq, target, held } if target == self.own.id() => {
                 self.held_as(now, held, actions);
                 let mut first = Vec::new();
-                if (held.life, held.incarnation) < self.own.age() {
-                    first.push(News::Alive(self.own.clone()).encode());
+                if (held.generation, held.incarnation) < self.own.age() {
+                    first.push(Update::Alive(self.own.clone()).encode());
                 }
                 // Who is held for dead is told, so that it can refute.
                 first.extend(self.table.get(sender).filter(|m| m.state != State::Alive).map(|m| {
-                    let (life, incarnation) = m.age();
+                    let (generation, incarnation) = m.age();
                     let witnesses = m.witnesses.clone();
-                    News::Said(Said { id: sender, life, incarnation, state: m.state, witnesses }).encode()
+                    Update::Report(Report { id: sender, generation, incarnation, state: m.state, witnesses })
+                        .encode()
                 }));
                 self.send(from, Body::Ack { seq }, first, actions);
             }
@@ -348,11 +349,11 @@
                 } else if let Some(n) = errand {
                     let errand = self.probing.errands.swap_remove(n);
                     if let Some(held) = self.held(sender) {
-                        let Held { life, incarnation, .. } = held;
+                        let Held { generation, incarnation, .. } = held;
                         // What it refuted goes with it.
                         let record =
-                            self.table.get(sender).map(|m| News::Alive((*m.record).clone()).encode());
-                        let vouch = Body::Vouch { seq: errand.theirs, life, incarnation };
+                            self.table.get(sender).map(|m| Update::Alive((*m.record).clone()).encode());
+                        let vouch = Body::Vouch { seq: errand.theirs, generation, incarnation };
                         self.send(errand.whose, vouch, record.into_iter().collect(), actions);
                     }
                 }
@@ -366,11 +367,11 @@
                 self.probing.errands.push(Errand { seq, theirs, target, whose: from, again, ends });
                 self.send(address, Body::Ping { seq, target, held }, Vec::new(), actions);
             }
-            Body::Vouch { seq, life, .. } => {
+            Body::Vouch { seq, generation, .. } => {
                 let of = |r: &Round| r.seq == seq;
                 if let Some(n) = self.probing.rounds.iter().position(of) {
                     let round = self.probing.rounds.swap_remove(n);
-                    if self.table.get(round.target).is_some_and(|m| m.record.life == life) {
+                    if self.table.get(round.target).is_some_and(|m| m.record.generation == generation) {
                         self.fitness.good();
                         self.probing.cleared(round.target);
                     }
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -23,7 +23,7 @@
     /// Most members that are kept, oneself included.
     pub members: usize,
     /// What of its care a member lays off, for comparison in the laboratory and for tests that need a worse one.
-    pub careless: bool,
+    pub without_safeguards: bool,
 }
 
 /// Why settings make no sense.
@@ -52,7 +52,7 @@
             exchange: Duration::from_secs(5),
             forget: Duration::from_secs(24 * 3600),
             members: 8192,
-            careless: false,
+            without_safeguards: false,
         }
     }
 
@@ -100,7 +100,7 @@
     /// Witnesses that a verdict needs in a fleet of so many, the one that declares it included. Each has a third node's
     /// word beside its own.
     pub fn witnesses(&self, fleet: usize) -> usize {
-        if self.careless {
+        if self.without_safeguards {
             1
         } else {
             (fleet / 3).clamp(1, 3)
--- a/crates/cluster/src/table.rs
+++ b/crates/cluster/src/table.rs
@@ -1,6 +1,6 @@
 //! Who is known, and how: plain data with one way in, which keeps the sums that two tables are compared by.
 
-use crate::member::{fingerprint, Life, MemberId, Record, State};
+use crate::member::{fingerprint, Generation, MemberId, Record, State};
 use crate::Time;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
@@ -27,8 +27,8 @@
 
 impl Member {
     /// Which process, and how new.
-    pub fn age(&self) -> (Life, u64) {
-        (self.record.life, self.incarnation)
+    pub fn age(&self) -> (Generation, u64) {
+        (self.record.generation, self.incarnation)
     }
 }
 
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -3,7 +3,7 @@
 //! What may change: fields appended to [`Message`]'s end and to a record's are skipped by programs that don't know them, and
 //! a record's are passed on; new kinds of news are skipped one by one. Anything else is a new [`VERSION`].
 
-use crate::member::{Life, MemberId, Record, State, RECORD_MOST};
+use crate::member::{Generation, MemberId, Record, State, RECORD_MOST};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
@@ -44,7 +44,7 @@
     /// Its name's id.
     pub id: MemberId,
     /// Which process under that name.
-    pub life: Life,
+    pub generation: Generation,
     /// Its incarnation as it speaks.
     pub incarnation: u64,
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The life it knows.
-    pub life: Life,
+    pub generation: Generation,
     /// The incarnation it knows.
     pub incarnation: u64,
     /// In which state.
@@ -95,7 +95,7 @@
         /// The relay's.
         seq: u32,
         /// Which process answered.
-        life: Life,
+        generation: Generation,
         /// With which incarnation.
         incarnation: u64,
     },
@@ -121,7 +121,7 @@
     /// What I hold where we differ, in the news.
     Records,
     /// For another part of the program: membership reads none of it.
-    Carried {
+    Payload {
         /// Which part.
         lane: u8,
         /// Its own.
@@ -136,26 +136,26 @@
     pub sender: Sender,
     /// What it wants.
     pub body: Body,
-    /// Pieces of news, each as [`News::encode`] makes it.
-    pub news: Vec<Vec<u8>>,
+    /// Pieces of news, each as [`Update::encode`] makes it.
+    pub updates: Vec<Vec<u8>>,
 }
 
 /// One statement on a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum Update {
     /// It says of itself that it lives.
     Alive(Record),
     /// Somebody says so of it.
-    Said(Said),
+    Report(Report),
 }
 
 /// A statement on a member by others, or its farewell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Said {
+pub struct Report {
     /// Of whom.
     pub id: MemberId,
     /// Of which life.
-    pub life: Life,
+    pub generation: Generation,
     /// Up to which incarnation.
     pub incarnation: u64,
     /// What; never alive.
@@ -167,33 +167,33 @@
 #[derive(Serialize, Deserialize)]
 enum Piece {
     Alive(Record),
-    Said(Said),
+    Report(Report),
 }
 
-impl News {
+impl Update {
     /// As it travels.
     pub fn encode(&self) -> Vec<u8> {
         // Nothing in these types can fail to be written to memory.
         match self {
-            News::Alive(record) => {
+            Update::Alive(record) => {
                 let mut bytes = postcard::to_stdvec(&Piece::Alive(record.clone())).unwrap_or_default();
                 bytes.extend_from_slice(&record.tail);
                 bytes
             }
-            News::Said(said) => postcard::to_stdvec(&Piece::Said(said.clone())).unwrap_or_default(),
+            Update::Report(said) => postcard::to_stdvec(&Piece::Report(said.clone())).unwrap_or_default(),
         }
     }
 
     /// Reads a piece; none if it is of no kind that this version knows or makes no sense.
-    pub fn decode(bytes: &[u8]) -> Option<News> {
+    pub fn decode(bytes: &[u8]) -> Option<Update> {
         let (piece, rest) = postcard::take_from_bytes(bytes).ok()?;
         match piece {
             Piece::Alive(mut record) if bytes.len() <= RECORD_MOST => {
                 record.tail = rest.to_vec();
-                record.sound().then_some(News::Alive(record))
+                record.sound().then_some(Update::Alive(record))
             }
-            Piece::Said(said) if said.state != State::Alive && said.witnesses.len() <= 16 => {
-                Some(News::Said(said))
+            Piece::Report(said) if said.state != State::Alive && said.witnesses.len() <= 16 => {
+                Some(Update::Report(said))
             }
             _ => None,
         }
--- a/crates/cluster/tests/core.rs
+++ b/crates/cluster/tests/core.rs
@@ -1,11 +1,11 @@
 //! What the format and the core promise by themselves. Fleets of cores are the laboratory's (`crates/lab/tests/members.rs`).
 
-use birchswitch_cluster::ring::Place;
+use birchswitch_cluster::ring::RingPosition;
 use birchswitch_cluster::wire::{
-    decode, encode, Body, Dropped, Held, Message, News, Said, Sender, LONGEST, VERSION,
+    decode, encode, Body, Dropped, Held, Message, Report, Sender, Update, LONGEST, VERSION,
 };
 use birchswitch_cluster::{
-    Action, Core, Event, Life, MemberId, Record, Settings, State, Time, Topic, Value as Told,
+    Action, Core, Event, Generation, MemberId, Record, Settings, State, Time, Topic, Value as Told,
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -19,7 +19,7 @@
         address: ([127, 0, 0, n + 1], 4000).into(),
         zone: "z".into(),
         program: "1".into(),
-        life: Life { started, draw: u32::from(n) },
+        generation: Generation { started, draw: u32::from(n) },
         incarnation,
         values: vec![Told { topic: 900, bytes: vec![n; 3] }],
         tail: Vec::new(),
@@ -27,8 +27,8 @@
 }
 
 fn message(n: u8, body: Body, news: Vec<Vec<u8>>) -> Message {
-    let Record { life, incarnation, .. } = record(n, 1, 1);
-    Message { sender: Sender { id: record(n, 1, 1).id(), life, incarnation }, body, news }
+    let Record { generation, incarnation, .. } = record(n, 1, 1);
+    Message { sender: Sender { id: record(n, 1, 1).id(), generation, incarnation }, body, updates: news }
 }
 
 fn sealed(rest: Vec<u8>) -> Vec<u8> {
@@ -37,11 +37,11 @@
 
 fn core(n: u8) -> Core {
     let mut core = Core::new(Settings::new("c", Vec::new()), record(n, 1, 1), 7, NOW).expect("sound");
-    core.acquaint(NOW, &(0..5).map(|m| record(m, 1, 1).into()).collect::<Vec<_>>());
+    core.insert_known(NOW, &(0..5).map(|m| record(m, 1, 1).into()).collect::<Vec<_>>());
     core
 }
 
-fn told(core: &mut Core, news: &News) {
+fn told(core: &mut Core, news: &Update) {
     let bytes = encode("c", &message(4, Body::Ack { seq: 0 }, vec![news.encode()]));
     let from = record(4, 1, 1).address;
     core.handle(NOW, Event::Received { from, bytes }, &mut Vec::new());
@@ -49,12 +49,12 @@
 
 #[test]
 fn fields_and_news_of_newer_programs_are_skipped_or_passed_on() {
-    let piece = News::Alive(record(9, 1, 1)).encode();
+    let piece = Update::Alive(record(9, 1, 1)).encode();
     let newer = [&piece[..], &[1, 2, 3]].concat();
-    let Some(News::Alive(read)) = News::decode(&newer) else { panic!("it is a record") };
+    let Some(Update::Alive(read)) = Update::decode(&newer) else { panic!("it is a record") };
     assert_eq!((read.name.as_str(), &read.tail[..]), ("n9", &[1, 2, 3][..]));
-    assert_eq!(News::Alive(read).encode(), newer, "passed on as it came");
-    assert_eq!(News::decode(&[200, 1, 2]), None, "of an unknown kind");
+    assert_eq!(Update::Alive(read).encode(), newer, "passed on as it came");
+    assert_eq!(Update::decode(&[200, 1, 2]), None, "of an unknown kind");
 
     let message = message(4, Body::Ack { seq: 3 }, vec![vec![200, 1], newer]);
     let bytes = sealed([&encode("c", &message)[4..], &[5; 40]].concat());
@@ -94,7 +94,7 @@
     let mut core = core(0);
     let before = core.own().incarnation;
     let tell = |core: &mut Core, bytes| {
-        core.handle(NOW, Event::Tell { topic: Topic::Drill, bytes }, &mut Vec::new());
+        core.handle(NOW, Event::Publish { topic: Topic::Drill, bytes }, &mut Vec::new());
     };
     tell(&mut core, vec![1; 8]);
     tell(&mut core, vec![2; 8]);
@@ -105,17 +105,17 @@
 
 #[test]
 fn a_place_on_the_ring_moves_by_degrees_the_shorter_way() {
-    let mut place = Place::new(NOW, (9, 10));
-    let (mut now, mut last, mut steps) = (NOW, place.at(), 0);
+    let mut place = RingPosition::new(NOW, (9, 10));
+    let (mut now, mut last, mut steps) = (NOW, place.fraction(), 0);
     // From 0.9 to 0 is a tenth forward, over the ring's end.
-    while place.step(now, (0, 12)) || steps == 0 {
-        let way = (place.at() - last).rem_euclid(1.0);
+    while place.advance(now, (0, 12)) || steps == 0 {
+        let way = (place.fraction() - last).rem_euclid(1.0);
         assert!(way <= 0.05, "no leap: {way}");
-        last = place.at();
+        last = place.fraction();
         now += Duration::from_millis(500);
         steps += 1;
     }
-    assert_eq!(place.at(), 0.0);
+    assert_eq!(place.fraction(), 0.0);
     assert!((5..40).contains(&steps), "{steps}");
 }
 
@@ -123,11 +123,17 @@
     prop_oneof![Just(State::Suspect), Just(State::Dead), Just(State::Left)]
 }
 
-fn any_news() -> impl Strategy<Value = News> {
-    let alive = (1u8..4, 1u64..3, 1u64..4).prop_map(|(n, s, i)| News::Alive(record(n, s, i)));
+fn any_news() -> impl Strategy<Value = Update> {
+    let alive = (1u8..4, 1u64..3, 1u64..4).prop_map(|(n, s, i)| Update::Alive(record(n, s, i)));
     let said = (1u8..4, 1u64..3, 1u64..4, any_state()).prop_map(|(n, started, incarnation, state)| {
-        let Record { life, .. } = record(n, started, 1);
-        News::Said(Said { id: record(n, 1, 1).id(), life, incarnation, state, witnesses: Vec::new() })
+        let Record { generation, .. } = record(n, started, 1);
+        Update::Report(Report {
+            id: record(n, 1, 1).id(),
+            generation,
+            incarnation,
+            state,
+            witnesses: Vec::new(),
+        })
     });
     prop_oneof![alive, said]
 }
@@ -135,16 +141,20 @@
 fn any_body() -> impl Strategy<Value = Body> {
     let member = || (0u8..6).prop_map(|n| record(n, 1, 1).id());
     let held = || {
-        let life = (0u64..3, 0u32..6).prop_map(|(started, draw)| Life { started, draw });
-        (life, 0u64..9, any_state()).prop_map(|(life, incarnation, state)| Held { life, incarnation, state })
+        let generation = (0u64..3, 0u32..6).prop_map(|(started, draw)| Generation { started, draw });
+        (generation, 0u64..9, any_state()).prop_map(|(generation, incarnation, state)| Held {
+            generation,
+            incarnation,
+            state,
+        })
     };
-    let (life, address) = (Life { started: 1, draw: 1 }, record(3, 1, 1).address);
+    let (generation, address) = (Generation { started: 1, draw: 1 }, record(3, 1, 1).address);
     prop_oneof![
         (any::<u32>(), member(), held()).prop_map(|(seq, target, held)| Body::Ping { seq, target, held }),
         (any::<u32>(), member(), held(), any::<bool>())
             .prop_map(move |(seq, target, held, again)| Body::Relay { seq, target, address, held, again }),
         (0u32..4).prop_map(|seq| Body::Ack { seq }),
-        (0u32..4).prop_map(move |seq| Body::Vouch { seq, life, incarnation: 1 }),
+        (0u32..4).prop_map(move |seq| Body::Vouch { seq, generation, incarnation: 1 }),
         (0u32..4).prop_map(|seq| Body::Nack { seq }),
         Just(Body::Join { padding: vec![0; 30] }),
         Just(Body::Welcome),
@@ -160,7 +170,7 @@
         bytes in prop::collection::vec(any::<u8>(), 0..1300),
         raw: bool,
     ) {
-        let _ = News::decode(&bytes);
+        let _ = Update::decode(&bytes);
         let bytes = if raw { bytes } else { sealed([&[VERSION, 1, b'c'][..], &bytes].concat()) };
         let mut core = core(0);
         core.handle(NOW, Event::Received { from: record(4, 1, 1).address, bytes }, &mut Vec::new());
@@ -178,7 +188,7 @@
         let (mut core, mut now, mut actions) = (core(0), NOW, Vec::new());
         for (n, body, news, ms) in turns {
             now += Duration::from_millis(ms);
-            let bytes = encode("c", &message(n, body, news.iter().map(News::encode).collect()));
+            let bytes = encode("c", &message(n, body, news.iter().map(Update::encode).collect()));
             core.handle(now, Event::Received { from: record(n, 1, 1).address, bytes }, &mut actions);
             core.handle(now, Event::Wake, &mut actions);
             prop_assert!(core.next_wake() > now);
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -1,7 +1,7 @@
 //! Whether servers answer, asked by one node for all of its fleet. No I/O, no clock, no globals.
 //!
 //! A server that fell silent is asked again and again by every node that deals with it. Here one node asks for all
-//! ([`Rounds`]) and tells who is silent; the others spare their own questions to those ([`Spare`]).
+//! ([`ProbeScheduler`]) and tells who is silent; the others spare their own questions to those ([`ProbeSuppressor`]).
 //!
 //! What it claims:
 //!
@@ -17,8 +17,8 @@
 mod rounds;
 mod spare;
 
-pub use rounds::{Rounds, Times};
-pub use spare::Spare;
+pub use rounds::{ProbeIntervals, ProbeScheduler};
+pub use spare::ProbeSuppressor;
 
 use std::time::Duration;
 
@@ -32,24 +32,24 @@
 
 /// A server as it is told of: a part of the hash of its name, the same at all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Short(pub u32);
+pub struct ShortId(pub u32);
 
-impl Short {
+impl ShortId {
     /// Of a name's hash. Two servers share one in so few fleets, and then only a question is spared that claim 2 makes up for.
-    pub fn of(name: u64) -> Self {
-        Short((name >> 32) as u32)
+    pub fn from_hash(name: u64) -> Self {
+        ShortId((name >> 32) as u32)
     }
 }
 
 /// What is told of silent servers, as bytes.
-pub fn encode(silent: impl Iterator<Item = Short>) -> Vec<u8> {
+pub fn encode(silent: impl Iterator<Item = ShortId>) -> Vec<u8> {
     let list: Vec<[u8; 4]> = silent.take(TOLD).map(|s| s.0.to_le_bytes()).collect();
     // Four bytes each and their number: it can't fail.
     postcard::to_stdvec(&list).unwrap_or_default()
 }
 
 /// What another told; nothing where that can't be read.
-pub fn decode(bytes: &[u8]) -> Vec<Short> {
+pub fn decode(bytes: &[u8]) -> Vec<ShortId> {
     let list: Vec<[u8; 4]> = postcard::from_bytes(bytes).unwrap_or_default();
-    list.into_iter().take(TOLD).map(|s| Short(u32::from_le_bytes(s))).collect()
+    list.into_iter().take(TOLD).map(|s| ShortId(u32::from_le_bytes(s))).collect()
 }
--- a/crates/health/src/spare.rs
+++ b/crates/health/src/spare.rs
@@ -1,6 +1,6 @@
 //! Every node's side: whom it found silent, which of its own questions are spared, and whom to ask once it is said to be back.
 
-use crate::{Short, Time, OWN};
+use crate::{ShortId, Time, OWN};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
 
@@ -15,38 +15,39 @@
 
 /// What this node met at servers, and what it was told of them.
 #[derive(Default)]
-pub struct Spare {
+pub struct ProbeSuppressor {
     /// Whose last sign was silence.
     silent: FxHashMap<u64, Silent>,
-    told: FxHashSet<Short>,
+    told: FxHashSet<ShortId>,
 }
 
-impl Spare {
+impl ProbeSuppressor {
     /// From now on just these are told of as silent. Returns servers of which that was told and is no more, and whose last sign to this
     /// node was silence: one question of its own to each shows it whether they are back.
-    pub fn told(&mut self, silent: impl Iterator<Item = Short>) -> Vec<u64> {
+    pub fn update_silent(&mut self, silent: impl Iterator<Item = ShortId>) -> Vec<u64> {
         let before = std::mem::replace(&mut self.told, silent.collect());
-        let no_more =
-            |name: &u64| before.contains(&Short::of(*name)) && !self.told.contains(&Short::of(*name));
+        let no_more = |name: &u64| {
+            before.contains(&ShortId::from_hash(*name)) && !self.told.contains(&ShortId::from_hash(*name))
+        };
         let mut back: Vec<u64> = self.silent.keys().copied().filter(no_more).collect();
         back.sort_unstable();
         back
     }
 
     /// From now on there are just these servers, by the hashes of their names.
-    pub fn list(&mut self, names: &FxHashSet<u64>) {
+    pub fn retain_listed(&mut self, names: &FxHashSet<u64>) {
         self.silent.retain(|name, _| names.contains(name));
     }
 
     /// An attempt or a question of this node's own ended: the server said something, or nothing came. True: this is to be
     /// reported.
-    pub fn met(&mut self, now: Time, name: u64, spoke: bool) -> bool {
+    pub fn record_outcome(&mut self, now: Time, name: u64, spoke: bool) -> bool {
         if spoke {
             // Of those that answer nothing need be kept.
             self.silent.remove(&name);
             return false;
         }
-        let told = self.told.contains(&Short::of(name));
+        let told = self.told.contains(&ShortId::from_hash(name));
         let server = self.silent.entry(name).or_insert(Silent { looked: now, reported: None });
         server.looked = now;
         if told || server.reported.is_some_and(|at| now < at + REPORT) {
@@ -57,9 +58,9 @@
     }
 
     /// Whether a question to a server is spared. If not it goes out now.
-    pub fn spares(&mut self, now: Time, name: u64) -> bool {
+    pub fn should_suppress(&mut self, now: Time, name: u64) -> bool {
         let Some(server) = self.silent.get_mut(&name) else { return false };
-        if now < server.looked + OWN && self.told.contains(&Short::of(name)) {
+        if now < server.looked + OWN && self.told.contains(&ShortId::from_hash(name)) {
             return true;
         }
         server.looked = now;
--- a/crates/host/src/health.rs
+++ b/crates/host/src/health.rs
@@ -2,7 +2,7 @@
 
 use crate::tickets::Asker;
 use crate::{Host, ProbeHandle, Upstream};
-use birchswitch_health::{Short, Spare};
+use birchswitch_health::{ProbeSuppressor, ShortId};
 use finchvale::{Outcome, ServerEntry, ServerId, ServerState};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// See the module's words.
 pub(crate) struct Health {
     began: Instant,
-    spare: Spare,
+    spare: ProbeSuppressor,
     /// Servers that take new requests, by id and by the hash of their names.
     names: FxHashMap<ServerId, u64>,
     ids: FxHashMap<u64, ServerId>,
@@ -25,7 +25,7 @@
 impl Health {
     pub(crate) fn new(report: Box<dyn Fn(u64)>) -> Self {
         let (names, ids) = (FxHashMap::default(), FxHashMap::default());
-        Health { began: Instant::now(), spare: Spare::default(), names, ids, report, spared: 0 }
+        Health { began: Instant::now(), spare: ProbeSuppressor::default(), names, ids, report, spared: 0 }
     }
 
     fn now(&self) -> Duration {
@@ -43,7 +43,7 @@
             }
         }
         self.ids = self.names.iter().map(|(id, name)| (*name, *id)).collect();
-        self.spare.list(&self.listed());
+        self.spare.retain_listed(&self.listed());
     }
 
     /// Hashes of the names of all servers that take new requests.
@@ -56,14 +56,14 @@
     }
 
     /// Returns whom to ask by oneself, since they are said to be back.
-    pub(crate) fn told(&mut self, silent: &[Short]) -> Vec<ServerId> {
-        let back = self.spare.told(silent.iter().copied());
+    pub(crate) fn told(&mut self, silent: &[ShortId]) -> Vec<ServerId> {
+        let back = self.spare.update_silent(silent.iter().copied());
         back.iter().filter_map(|name| self.id(*name)).collect()
     }
 
     pub(crate) fn spares(&mut self, server: ServerId) -> bool {
         let now = self.now();
-        let spares = self.names.get(&server).is_some_and(|name| self.spare.spares(now, *name));
+        let spares = self.names.get(&server).is_some_and(|name| self.spare.should_suppress(now, *name));
         self.spared += u64::from(spares);
         spares
     }
@@ -78,7 +78,7 @@
         else {
             return;
         };
-        if self.spare.met(self.now(), name, outcome.server_responded()) {
+        if self.spare.record_outcome(self.now(), name, outcome.server_responded()) {
             (self.report)(name);
         }
     }
@@ -92,7 +92,7 @@
     }
 
     /// Another node asks these for this one, and they do not answer it. Servers of which that was said and is no more are asked once.
-    pub fn set_silent_servers(&self, silent: &[Short]) {
+    pub fn set_silent_servers(&self, silent: &[ShortId]) {
         let back = self.health.borrow_mut().as_mut().map(|h| h.told(silent)).unwrap_or_default();
         for server in back {
             self.with(|engine, now| engine.probe_server(now, server));
--- a/crates/lab/src/agenda.rs
+++ b/crates/lab/src/agenda.rs
@@ -1,7 +1,7 @@
 //! What is to happen, in order of time.
 
 use birchswitch_engine::{AttemptId, ProbeId};
-use birchswitch_health::Short;
+use birchswitch_health::ShortId;
 use finchvale::{LoadReport, Outcome, ServerEntry, Time};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -51,7 +51,7 @@
     /// A node's word that a server is silent reaches the one that asks for its hall.
     Reported(u8, u64),
     /// Who is silent reaches the nodes of a hall.
-    Silent(u8, Rc<Vec<Short>>),
+    Silent(u8, Rc<Vec<ShortId>>),
     /// A node asks a server that is said to be back.
     AskBack(usize, u64),
     /// A node tells judge and tuner what it met.
--- a/crates/lab/src/leases.rs
+++ b/crates/lab/src/leases.rs
@@ -2,7 +2,7 @@
 //! longer than a lease lives, processes that crash, start from nothing and are paused at any point, and a receiver of what holders do.
 
 use crate::chance::Chance;
-use birchswitch_lease::{Action, Answer, Ask, Candidate, Key, Life, Message, Terms, Voter};
+use birchswitch_lease::{Action, Candidate, CandidateId, Key, Message, Request, Response, Terms, Voter};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -201,7 +201,7 @@
     });
     let mut world = World {
         processes: processes.collect(),
-        sum: terms.sum(),
+        sum: terms.checksum(),
         terms,
         faults,
         key: Key::new("task", 0).expect("a sound name"),
@@ -321,9 +321,9 @@
             p.voter = Some(Voter::new(terms, floor, clock));
             return;
         }
-        let mut candidate = Candidate::new(terms, Life(((n as u64) << 32) + p.starts), floor);
+        let mut candidate = Candidate::new(terms, CandidateId(((n as u64) << 32) + p.starts), floor);
         let mut out = Vec::new();
-        candidate.want(clock, self.key.clone(), &mut out);
+        candidate.acquire(clock, self.key.clone(), &mut out);
         p.candidate = Some(candidate);
         p.wake = Nanos::MAX;
         self.carry_out(n, out);
@@ -367,25 +367,25 @@
         let p = &mut self.processes[n];
         let clock = p.clock(now);
         match message {
-            Message::Ask(sum, ask) => {
+            Message::Request(sum, ask) => {
                 let mut answers = Vec::new();
                 if let Some(voter) = &mut p.voter {
-                    voter.ask(clock, address(from), *sum, ask, &mut answers);
+                    voter.handle_request(clock, address(from), *sum, ask, &mut answers);
                 }
                 answers.into_iter().for_each(|(to, answer)| self.send_answer(n, to, answer));
             }
-            Message::Answer(answer) => {
+            Message::Response(answer) => {
                 let mut out = Vec::new();
                 if let Some(candidate) = &mut p.candidate {
-                    candidate.answer(clock, address(from), answer, &mut out);
+                    candidate.handle_response(clock, address(from), answer, &mut out);
                 }
                 self.carry_out(n, out);
             }
         }
     }
 
-    fn send_answer(&mut self, from: usize, to: SocketAddr, answer: Answer) {
-        self.send(from, to, &Message::Answer(answer));
+    fn send_answer(&mut self, from: usize, to: SocketAddr, answer: Response) {
+        self.send(from, to, &Message::Response(answer));
     }
 
     fn carry_out(&mut self, n: usize, actions: Vec<Action>) {
@@ -431,8 +431,8 @@
         }
     }
 
-    fn ask(&mut self, from: usize, to: SocketAddr, ask: Ask) {
-        self.send(from, to, &Message::Ask(self.sum, ask));
+    fn ask(&mut self, from: usize, to: SocketAddr, ask: Request) {
+        self.send(from, to, &Message::Request(self.sum, ask));
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: &Message) {
--- a/crates/lab/src/members/measure.rs
+++ b/crates/lab/src/members/measure.rs
@@ -2,7 +2,7 @@
 
 use super::{name, Fleet, Network};
 use crate::chance::Chance;
-use birchswitch_cluster::ring::Place;
+use birchswitch_cluster::ring::RingPosition;
 use birchswitch_cluster::{Change, MemberId, Settings, Standing, State};
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 /// The settings that are measured.
 pub fn settings(careless: bool) -> Settings {
-    Settings { careless, ..Settings::new("lab", Vec::new()) }
+    Settings { without_safeguards: careless, ..Settings::new("lab", Vec::new()) }
 }
 
 fn lossy(loss: f64) -> Network {
@@ -164,7 +164,7 @@
     };
     let mut fleet = Fleet::up_of(first, all, settings(false), seed);
     fleet.keep = |_| false;
-    let mut places: Vec<Option<Place>> = vec![None; all];
+    let mut places: Vec<Option<RingPosition>> = vec![None; all];
     let mut chance = Chance::new(seed, 74);
     let mut step = |fleet: &mut Fleet| {
         fleet.run(half);
@@ -176,9 +176,9 @@
             };
             // As the node does: who hears nobody stays where it was.
             if matches!(core.standing(), Standing::Majority | Standing::Minority) {
-                let place = place.get_or_insert(Place::new(fleet.now, core.rank()));
-                place.step(fleet.now, core.rank());
-                lie.push(place.at());
+                let place = place.get_or_insert(RingPosition::new(fleet.now, core.rank()));
+                place.advance(fleet.now, core.rank());
+                lie.push(place.fraction());
             }
         }
         fullest(&lie)
--- a/crates/lab/src/members/mod.rs
+++ b/crates/lab/src/members/mod.rs
@@ -5,7 +5,7 @@
 pub mod measure;
 
 use crate::chance::Chance;
-use birchswitch_cluster::{Action, Change, Core, Event, Life, MemberId, Record, Settings, State, Time};
+use birchswitch_cluster::{Action, Change, Core, Event, Generation, MemberId, Record, Settings, State, Time};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -146,7 +146,7 @@
         for (n, record) in records.iter().enumerate() {
             fleet.begin(n, (**record).clone());
             if let Some(core) = &mut fleet.processes[n].core {
-                core.acquaint(fleet.now, &records);
+                core.insert_known(fleet.now, &records);
             }
         }
         fleet
@@ -159,7 +159,7 @@
             address: address(n),
             zone: format!("z{}", n % 5),
             program: "1".into(),
-            life: Life { started, draw: n as u32 },
+            generation: Generation { started, draw: n as u32 },
             incarnation: 1,
             values: Vec::new(),
             tail: Vec::new(),
@@ -203,7 +203,7 @@
 
     /// A process tells something of itself.
     pub fn tell(&mut self, n: usize, bytes: Vec<u8>) {
-        self.give(n, Event::Tell { topic: birchswitch_cluster::Topic::Drill, bytes });
+        self.give(n, Event::Publish { topic: birchswitch_cluster::Topic::Drill, bytes });
     }
 
     /// A process does not run for so long.
@@ -255,7 +255,7 @@
         let running = self.running();
         running.iter().all(|n| {
             let Some(core) = self.core(*n) else { return false };
-            core.fleet() == running.len()
+            core.live_count() == running.len()
                 && core.count(State::Suspect) == 0
                 && running.iter().all(|m| m == n || self.holds(*n, *m) == Some(State::Alive))
         })
@@ -377,7 +377,7 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { to, bytes } => self.carry(n, to, bytes),
-                Action::Carried { .. } => {}
+                Action::PayloadReceived { .. } => {}
                 Action::Changed(change) if !(self.keep)(&change) => {}
                 Action::Changed(change) => self.noted.push(Noted { at: self.now, by: n, change }),
             }
--- a/crates/lab/src/world/health.rs
+++ b/crates/lab/src/world/health.rs
@@ -4,7 +4,7 @@
 use crate::agenda::Happening;
 use crate::hall::{since_origin, Life};
 use crate::scenario::seconds;
-use birchswitch_health::{Rounds, Short, Times};
+use birchswitch_health::{ProbeIntervals, ProbeScheduler, ShortId};
 use finchvale::Outcome;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
             return;
         }
         for hall in 0..self.scenario.network.halls {
-            self.rounds.push(Rounds::new(Times::default()));
+            self.rounds.push(ProbeScheduler::new(ProbeIntervals::default()));
             self.agenda.put(self.now, Happening::Rounds(hall));
         }
     }
@@ -53,7 +53,7 @@
             let mute = self.mute(hall, server(asked));
             self.book.unheard += u64::from(mute);
             // What comes back within a look comes at once here.
-            changed |= self.rounds[usize::from(hall)].answered(asked, !mute);
+            changed |= self.rounds[usize::from(hall)].record_answer(asked, !mute);
         }
         if changed {
             let silent = Rc::new(self.rounds[usize::from(hall)].silent().collect());
@@ -61,13 +61,13 @@
         }
     }
 
-    pub(super) fn told_silent(&mut self, hall: u8, silent: &[Short]) {
+    pub(super) fn told_silent(&mut self, hall: u8, silent: &[ShortId]) {
         for n in 0..self.nodes.len() {
             let node = &mut self.nodes[n];
             if node.zone != hall || node.dead {
                 continue;
             }
-            for name in node.spare.told(silent.iter().copied()) {
+            for name in node.spare.update_silent(silent.iter().copied()) {
                 let at = self.now + seconds(self.chance.unit() * BACK.as_secs_f64());
                 self.agenda.put(at, Happening::AskBack(n, name));
             }
@@ -88,7 +88,7 @@
         }
         let now = since_origin(self.now);
         let n = &mut self.nodes[node];
-        if n.spare.met(now, name(server), outcome.server_responded()) {
+        if n.spare.record_outcome(now, name(server), outcome.server_responded()) {
             let hall = n.zone;
             self.agenda
                 .put(self.now + seconds(self.scenario.network.same), Happening::Reported(hall, name(server)));
@@ -97,8 +97,8 @@
 
     /// Whether a node spares a question.
     pub(super) fn spares(&mut self, node: usize, server: usize) -> bool {
-        let spares =
-            self.scenario.nodes.health && self.nodes[node].spare.spares(since_origin(self.now), name(server));
+        let spares = self.scenario.nodes.health
+            && self.nodes[node].spare.should_suppress(since_origin(self.now), name(server));
         self.book.spared += u64::from(spares);
         spares
     }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -17,7 +17,7 @@
 use crate::policy::{Peer, Together};
 use crate::scenario::{seconds, ClassOf, Scenario, Size};
 use birchswitch_engine::{AttemptResult, Engine, Policy, ProbeId};
-use birchswitch_health::{Rounds, Spare};
+use birchswitch_health::{ProbeScheduler, ProbeSuppressor};
 use finchvale::{ListKind, Outcome, RequestId, ServerEntry, ServerId, ServerState, SettingsError, Time};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
@@ -39,7 +39,7 @@
     /// It was killed: nothing reaches it any more.
     dead: bool,
     /// What it may spare, and whom it has asked.
-    spare: Spare,
+    spare: ProbeSuppressor,
     asked: FxHashMap<ProbeId, usize>,
     /// What it tells and is told of servers.
     common: Common,
@@ -115,7 +115,7 @@
     silent: bool,
     held_back: Vec<ServerEntry>,
     /// What the one node of each hall asks for all.
-    rounds: Vec<Rounds>,
+    rounds: Vec<ProbeScheduler>,
     /// What judges each hall's servers, and what weighs all.
     seats: Seats,
     /// Which servers each fault has befallen.
@@ -269,7 +269,7 @@
             Happening::Rounds(hall) => self.round(hall),
             Happening::Reported(hall, name) => {
                 let at = since_origin(self.now);
-                self.rounds[usize::from(hall)].reported(at, name);
+                self.rounds[usize::from(hall)].report(at, name);
             }
             Happening::AskBack(node, name) => self.ask_back(node, name),
             Happening::Report(node) => self.report(node),
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/world/nodes.rs
@@ -7,7 +7,7 @@
 use crate::chance::Chance;
 use crate::scenario::{seconds, IDLE};
 use birchswitch_engine::{Answer, AttemptId, AttemptResult, Command, Engine, SendPermit};
-use birchswitch_health::Spare;
+use birchswitch_health::ProbeSuppressor;
 use finchvale::{Outcome, ServerId, SettingsError};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
@@ -30,7 +30,7 @@
             told: FxHashMap::default(),
             idle: FxHashMap::default(),
             dead: false,
-            spare: Spare::default(),
+            spare: ProbeSuppressor::default(),
             asked: FxHashMap::default(),
             common: Common::default(),
         });
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -1,8 +1,8 @@
 //! The claims of `birchswitch_cluster` under faults, in virtual time: twelve members, every seed the same run again.
 
-use birchswitch_cluster::wire::{self, Body, Message, News, Sender};
+use birchswitch_cluster::wire::{self, Body, Message, Sender, Update};
 use birchswitch_cluster::{
-    Action, Change, Core, Event, MemberId, Record, Settings, Standing, State, Topic, Trouble,
+    Action, Change, Core, Event, LocalEvent, MemberId, Record, Settings, Standing, State, Topic,
 };
 use birchswitch_lab::members::measure::{evenness, quiet, settings, Upheaval};
 use birchswitch_lab::members::{address, name, Fleet, Network};
@@ -32,8 +32,8 @@
     fleet.running().into_iter().filter(|other| *other != n).all(|other| fleet.holds(other, n) == Some(state))
 }
 
-fn noticed(fleet: &Fleet, n: usize, trouble: &Trouble) -> bool {
-    fleet.noted.iter().any(|x| x.by == n && matches!(&x.change, Change::Own(t) if t == trouble))
+fn noticed(fleet: &Fleet, n: usize, trouble: &LocalEvent) -> bool {
+    fleet.noted.iter().any(|x| x.by == n && matches!(&x.change, Change::Local(t) if t == trouble))
 }
 
 #[test]
@@ -65,7 +65,7 @@
         fleet.run(10 * SECOND);
         assert_eq!(condemned(&fleet), BTreeSet::from([3]), "seed {seed}");
         assert!(fleet.core(3).expect("it runs").own().incarnation > before, "seed {seed}");
-        let held_up = |x: &&Change| matches!(x, Change::Own(Trouble::HeldUp(d)) if *d > 19 * SECOND);
+        let held_up = |x: &&Change| matches!(x, Change::Local(LocalEvent::Stalled(d)) if *d > 19 * SECOND);
         assert!(fleet.noted.iter().filter(|x| x.by == 3).map(|x| &x.change).any(|c| held_up(&c)));
     }
 }
@@ -111,11 +111,11 @@
         fleet.run(60 * SECOND);
         assert!(fleet.verdicts().all(|(n, _)| n.by != 4), "seed {seed}: the deaf condemn nobody");
         assert!(condemned(&fleet).is_subset(&BTreeSet::from([4])), "seed {seed}: deaf");
-        assert!(noticed(&fleet, 4, &Trouble::CutOff), "seed {seed}");
+        assert!(noticed(&fleet, 4, &LocalEvent::CutOff), "seed {seed}");
         assert_eq!(fleet.core(4).expect("it runs").standing(), Standing::CutOff);
         fleet.heal();
         assert!(fleet.run_for(5 * SECOND, Fleet::agreed).is_some(), "seed {seed}: back");
-        assert!(noticed(&fleet, 4, &Trouble::Hears), "seed {seed}");
+        assert!(noticed(&fleet, 4, &LocalEvent::Reconnected), "seed {seed}");
         // A zone of three hears but isn't heard.
         let mut fleet = up(12, seed);
         fleet.cut(|from, to| from < 3 && to >= 3);
@@ -209,8 +209,8 @@
         fleet.noted.clear();
         fleet.start_as(12, 5);
         fleet.run(20 * SECOND);
-        assert!(noticed(&fleet, 5, &Trouble::Yielded(address(12))), "seed {seed}");
-        assert!(noticed(&fleet, 12, &Trouble::Twin(address(5))), "seed {seed}");
+        assert!(noticed(&fleet, 5, &LocalEvent::Yielded(address(12))), "seed {seed}");
+        assert!(noticed(&fleet, 12, &LocalEvent::DuplicateName(address(5))), "seed {seed}");
         let id = MemberId::of(&name(5));
         for n in (0..12).filter(|n| *n != 5) {
             let of =
@@ -230,16 +230,16 @@
     // The predecessor started a day later, by its own clock.
     let mut record = fleet.core(5).expect("it runs").own().clone();
     (record.name, record.address) = (name(4), address(4));
-    record.life.started += 86_400_000;
-    let news = News::Alive(record.clone()).encode();
-    let sender = Sender { id: MemberId(1), life: record.life, incarnation: 1 };
+    record.generation.started += 86_400_000;
+    let news = Update::Alive(record.clone()).encode();
+    let sender = Sender { id: MemberId(1), generation: record.generation, incarnation: 1 };
     let body = Body::Records;
-    let message = Message { sender, body, news: vec![news] };
+    let message = Message { sender, body, updates: vec![news] };
     fleet.inject(0, address(11), wire::encode("lab", &message));
     fleet.run(SECOND);
     fleet.start(4);
     assert!(fleet.run_for(15 * SECOND, Fleet::agreed).is_some());
-    assert!(fleet.core(4).expect("it runs").own().life > record.life);
+    assert!(fleet.core(4).expect("it runs").own().generation > record.generation);
 }
 
 #[test]
@@ -250,7 +250,7 @@
     assert!(fleet.run_for(10 * SECOND, all).is_some());
     assert_eq!(condemned(&fleet), BTreeSet::new());
     assert!((8..12).all(|n| fleet.core(n).map(|c| c.standing()) == Some(Standing::Majority)));
-    assert!((8..12).all(|n| fleet.core(n).map(|c| c.agreed()) == Some(4)));
+    assert!((8..12).all(|n| fleet.core(n).map(|c| c.agreed_size()) == Some(4)));
 }
 
 /// Three tenths of a fleet see each other and no majority of it, until more are back.
@@ -264,7 +264,7 @@
         assert!((14..20).all(|n| fleet.core(n).map(|c| c.standing()) == Some(Standing::Minority)));
         fleet.run(60 * SECOND);
         assert!(
-            (14..20).all(|n| fleet.core(n).map(|c| c.agreed()) == Some(20)),
+            (14..20).all(|n| fleet.core(n).map(|c| c.agreed_size()) == Some(20)),
             "a minority agrees on nothing"
         );
         (0..14).for_each(|n| fleet.start(n));
@@ -302,7 +302,9 @@
         fleet.network = Network { spoilt: 0.2, doubled: 0.2, held_back: SECOND / 20, ..Network::default() };
         fleet.run(60 * SECOND);
         assert_eq!(condemned(&fleet), BTreeSet::new(), "seed {seed}");
-        assert!((0..12).all(|n| fleet.core(n).is_some_and(|c| c.fleet() == 12 && c.counts().dropped > 0)));
+        assert!(
+            (0..12).all(|n| fleet.core(n).is_some_and(|c| c.live_count() == 12 && c.counts().dropped > 0))
+        );
     }
 }
 
@@ -330,7 +332,7 @@
     }
     assert!(sent > 0);
     fleet.run(3 * SECOND);
-    assert_eq!(fleet.core(0).map(|c| (c.fleet(), c.counts().dropped)), Some((5, sent)));
+    assert_eq!(fleet.core(0).map(|c| (c.live_count(), c.counts().dropped)), Some((5, sent)));
 }
 
 #[test]
--- a/crates/lease-host/src/lib.rs
+++ b/crates/lease-host/src/lib.rs
@@ -9,12 +9,12 @@
 mod settings;
 mod tasks;
 
-pub use settings::{Compiled, Table};
-pub use tasks::{runs, Singleton, Tasks, Term};
+pub use settings::{LeaseSettings, LeaseTable};
+pub use tasks::{running_tasks, SingletonTask, TaskLease, Tasks};
 
 use birchswitch_cluster_host::Cluster;
 use birchswitch_lease::{
-    Action, Candidate, Held, Key, KeyError, Life, Message, Refusal, Terms, Time, Turns, Voter,
+    Action, Candidate, CandidateId, Held, Key, KeyError, Message, Refusal, Terms, Time, Turns, Voter,
 };
 use rustix::time::{clock_gettime, ClockId};
 use std::cell::{Cell, RefCell};
@@ -77,7 +77,7 @@
     cluster: Rc<Cluster>,
     own: SocketAddr,
     voter: RefCell<Option<Voter>>,
-    wishes: RefCell<BTreeMap<Life, Wish>>,
+    wishes: RefCell<BTreeMap<CandidateId, Wish>>,
     /// What this node says to itself.
     local: RefCell<VecDeque<Message>>,
     drawn: Cell<u64>,
@@ -89,22 +89,22 @@
     closed: Cell<bool>,
 }
 
-/// A lease that is waited for or held. Dropped without [`Hold::release`] it is extended no more and runs out by itself: what was done
+/// A lease that is waited for or held. Dropped without [`LeaseHandle::release`] it is extended no more and runs out by itself: what was done
 /// under it may go on.
-pub struct Hold {
+pub struct LeaseHandle {
     leases: Rc<Leases>,
-    life: Life,
+    life: CandidateId,
 }
 
 impl Leases {
     /// Takes up the lane. This node votes if its address among the members is one of the voters'.
-    pub fn open(compiled: &Compiled, cluster: &Rc<Cluster>, seed: u64) -> Rc<Self> {
+    pub fn open(compiled: &LeaseSettings, cluster: &Rc<Cluster>, seed: u64) -> Rc<Self> {
         let terms = Arc::new(compiled.terms.clone());
         let own = cluster.core().own().address;
         let day = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let floor = (day.as_millis() as u64) << FLOOR_BITS;
         let leases = Leases {
-            sum: terms.sum(),
+            sum: terms.checksum(),
             rate: compiled.rate,
             cluster: cluster.clone(),
             own,
@@ -151,7 +151,7 @@
             tokio::select! {
                 () = self.changed.notified() => {}
                 () = tokio::time::sleep(pause) => {
-                    let lives: Vec<Life> = self.wishes.borrow().keys().copied().collect();
+                    let lives: Vec<CandidateId> = self.wishes.borrow().keys().copied().collect();
                     lives.into_iter().for_each(|life| self.with(life, |wish, now, out| wish.candidate.wake(now, out)));
                     self.settle();
                 }
@@ -160,7 +160,7 @@
     }
 
     /// Wants one of so many slots of a name from now on.
-    pub fn want(self: &Rc<Self>, name: &str, slots: u16) -> Result<Hold, String> {
+    pub fn acquire(self: &Rc<Self>, name: &str, slots: u16) -> Result<LeaseHandle, String> {
         Key::new(name, 0).map_err(|e: KeyError| e.to_string())?;
         if self.closed.get() {
             return Err("this node is leaving".to_owned());
@@ -169,7 +169,7 @@
             return Err(format!("{WISHES} leases are wanted here already"));
         }
         self.drawn.set(self.drawn.get() + 1);
-        let life = Life(xxh3_64(&[self.seed.to_le_bytes(), self.drawn.get().to_le_bytes()].concat()));
+        let life = CandidateId(xxh3_64(&[self.seed.to_le_bytes(), self.drawn.get().to_le_bytes()].concat()));
         // Waiting candidates begin at different slots.
         let slot = (life.0 % u64::from(slots.max(1))) as u16;
         let key = Key::new(name, slot).map_err(|e| e.to_string())?;
@@ -183,13 +183,13 @@
             ending: false,
         };
         self.wishes.borrow_mut().insert(life, wish);
-        self.with(life, |wish, now, out| wish.candidate.want(now, key, out));
+        self.with(life, |wish, now, out| wish.candidate.acquire(now, key, out));
         self.settle();
-        Ok(Hold { leases: self.clone(), life })
+        Ok(LeaseHandle { leases: self.clone(), life })
     }
 
     /// Tells whoever has a lease of that name here, or any where none is named, to end what it does. How many were told.
-    pub fn end(&self, name: Option<&str>) -> usize {
+    pub fn request_end(&self, name: Option<&str>) -> usize {
         let mut wishes = self.wishes.borrow_mut();
         let these = wishes.values_mut().filter(|w| name.is_none_or(|n| w.name == n));
         these.map(|w| w.ending = true).count()
@@ -198,10 +198,10 @@
     /// The node leaves: whoever has a lease here is told to end what it does, and nothing more is wanted.
     pub fn close(&self) {
         self.closed.set(true);
-        self.end(None);
+        self.request_end(None);
     }
 
-    fn release(&self, life: Life) {
+    fn release(&self, life: CandidateId) {
         self.with(life, |wish, now, out| {
             let key = wish.key.clone();
             if let State::Held(held) = &wish.state {
@@ -213,7 +213,7 @@
         self.settle();
     }
 
-    fn with(&self, life: Life, act: impl FnOnce(&mut Wish, Time, &mut Vec<Action>)) {
+    fn with(&self, life: CandidateId, act: impl FnOnce(&mut Wish, Time, &mut Vec<Action>)) {
         let (now, mut out) = (self.now(), Vec::new());
         if let Some(wish) = self.wishes.borrow_mut().get_mut(&life) {
             act(wish, now, &mut out);
@@ -221,11 +221,11 @@
         self.apply(life, out);
     }
 
-    fn apply(&self, life: Life, actions: Vec<Action>) {
+    fn apply(&self, life: CandidateId, actions: Vec<Action>) {
         let mut counts = self.counts.get();
         for action in actions {
             match action {
-                Action::Send(to, ask) => self.send(to, Message::Ask(self.sum, ask)),
+                Action::Send(to, ask) => self.send(to, Message::Request(self.sum, ask)),
                 Action::Granted(held) => {
                     counts.granted += 1;
                     self.told(life, "granted", held);
@@ -249,7 +249,7 @@
         self.counts.set(counts);
     }
 
-    fn told(&self, life: Life, kind: &'static str, held: Held) {
+    fn told(&self, life: CandidateId, kind: &'static str, held: Held) {
         let left = held.until.saturating_sub(self.now());
         tracing::info!(target: "lease", kind, lease = %held.key, token = held.token, left_ms = left.as_millis() as u64);
         if let Some(wish) = self.wishes.borrow_mut().get_mut(&life) {
@@ -258,7 +258,7 @@
     }
 
     /// One that would take any slot goes on to the next; after all of them it waits.
-    fn refused(&self, life: Life, key: &Key, why: Refusal) {
+    fn refused(&self, life: CandidateId, key: &Key, why: Refusal) {
         tracing::debug!(target: "lease", kind = "refused", lease = %key, why = ?why);
         let mut out = Vec::new();
         if let Some(wish) = self.wishes.borrow_mut().get_mut(&life) {
@@ -268,7 +268,7 @@
                 let now = self.now();
                 wish.candidate.release(now, key, &mut out);
                 wish.key = next.clone();
-                wish.candidate.want(now, next, &mut out);
+                wish.candidate.acquire(now, next, &mut out);
             }
         }
         self.apply(life, out);
@@ -278,7 +278,7 @@
         if to == self.own {
             self.local.borrow_mut().push_back(message);
         } else {
-            self.cluster.carry(to, LANE, message.encode());
+            self.cluster.send_payload(to, LANE, message.encode());
         }
     }
 
@@ -294,10 +294,10 @@
 
     fn take(&self, from: SocketAddr, message: &Message) {
         match message {
-            Message::Ask(sum, ask) => {
+            Message::Request(sum, ask) => {
                 let mut answers = Vec::new();
                 if let Some(voter) = self.voter.borrow_mut().as_mut() {
-                    voter.ask(self.now(), from, *sum, ask, &mut answers);
+                    voter.handle_request(self.now(), from, *sum, ask, &mut answers);
                 }
                 for (to, answer) in answers {
                     if answer.word == birchswitch_lease::Word::Accepted {
@@ -305,11 +305,13 @@
                         counts.votes += 1;
                         self.counts.set(counts);
                     }
-                    self.send(to, Message::Answer(answer));
+                    self.send(to, Message::Response(answer));
                 }
             }
-            Message::Answer(answer) => {
-                self.with(answer.ballot.life, |wish, now, out| wish.candidate.answer(now, from, answer, out));
+            Message::Response(answer) => {
+                self.with(answer.ballot.life, |wish, now, out| {
+                    wish.candidate.handle_response(now, from, answer, out)
+                });
             }
         }
     }
@@ -320,14 +322,14 @@
     }
 
     /// Wishes that are held, and those that are not.
-    pub fn standing(&self) -> [usize; 2] {
+    pub fn held_and_waiting(&self) -> [usize; 2] {
         let (wishes, now) = (self.wishes.borrow(), self.now());
         let held = wishes.values().filter(|w| w.candidate.held(now).next().is_some()).count();
         [held, wishes.len() - held]
     }
 
     /// A line each: what is held or waited for here, and, where this node votes, what it granted.
-    pub fn text(&self) -> String {
+    pub fn status_text(&self) -> String {
         let now = self.now();
         let mut text = String::from("# lease where state token left_ms\n");
         // Writing to a string never fails.
@@ -354,7 +356,7 @@
     }
 }
 
-impl Hold {
+impl LeaseHandle {
     /// How it stands, by the clock as it is now.
     pub fn state(&self) -> State {
         let (wishes, now) = (self.leases.wishes.borrow(), self.leases.now());
@@ -391,7 +393,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for LeaseHandle {
     fn drop(&mut self) {
         if let Some(wish) = self.leases.wishes.borrow_mut().remove(&self.life) {
             tracing::info!(target: "lease", kind = "abandoned", lease = %wish.key);
--- a/crates/lease-host/src/settings.rs
+++ b/crates/lease-host/src/settings.rs
@@ -1,6 +1,6 @@
 //! The `[lease]` table of an operator's file.
 
-use birchswitch_cluster_host::{Places, Span, Wrong};
+use birchswitch_cluster_host::{HumanDuration, SettingError, SettingSpans};
 use birchswitch_lease::{Safeguards, Terms, TermsError};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 /// The table as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Table {
+pub struct LeaseTable {
     voters: Spanned<Vec<SocketAddr>>,
-    ttl: Option<Spanned<Span>>,
-    round: Option<Spanned<Span>>,
+    ttl: Option<Spanned<HumanDuration>>,
+    round: Option<Spanned<HumanDuration>>,
     drift: Option<Spanned<f64>>,
     drill: Option<Spanned<Drill>>,
 }
@@ -38,23 +38,23 @@
 
 /// The table, checked.
 #[derive(Clone, Debug)]
-pub struct Compiled {
+pub struct LeaseSettings {
     /// The electorate's terms.
     pub terms: Terms,
     /// Thousandths of true time at which this process's lease clock runs: 1000 but in drills.
     pub rate: u32,
 }
 
-impl Table {
+impl LeaseTable {
     /// Checks each setting by itself and beside the others.
-    pub fn compile(self) -> Result<Compiled, Wrong> {
+    pub fn compile(self) -> Result<LeaseSettings, SettingError> {
         let mut terms = Terms::new(self.voters.get_ref().clone());
-        let mut places = Places::new("voters", &self.voters);
-        places.time("ttl", &self.ttl, &mut terms.ttl);
-        places.time("round", &self.round, &mut terms.round);
-        if let Some(drift) = places.note("drift", &self.drift) {
+        let mut places = SettingSpans::new("voters", &self.voters);
+        places.apply_duration("ttl", &self.ttl, &mut terms.ttl);
+        places.apply_duration("round", &self.round, &mut terms.round);
+        if let Some(drift) = places.record("drift", &self.drift) {
             if !(0.001..=0.2).contains(drift) {
-                return Err(places.wrong("drift", "`drift` has to be 0.001 to 0.2"));
+                return Err(places.error_at("drift", "`drift` has to be 0.001 to 0.2"));
             }
             terms.drift = (drift * 1000.0).round() as u32;
         }
@@ -63,13 +63,13 @@
                 TermsError::Time(key, _) => *key,
                 TermsError::Voters(_) | TermsError::Twice(_) => "voters",
             };
-            places.wrong(key, &error)
+            places.error_at(key, &error)
         })?;
         let mut rate = 1000;
-        if let Some(drill) = places.note("drill", &self.drill) {
+        if let Some(drill) = places.record("drill", &self.drill) {
             let given = drill.rate.unwrap_or(1.0);
             if !(0.5..=2.0).contains(&given) {
-                return Err(places.wrong("drill", "`rate` has to be 0.5 to 2"));
+                return Err(places.error_at("drill", "`rate` has to be 0.5 to 2"));
             }
             rate = (given * 1000.0).round() as u32;
             let on = |w| !drill.without.contains(&w);
@@ -81,6 +81,6 @@
                 floor: on(Without::Floor),
             };
         }
-        Ok(Compiled { terms, rate })
+        Ok(LeaseSettings { terms, rate })
     }
 }
--- a/crates/lease-host/tests/settings.rs
+++ b/crates/lease-host/tests/settings.rs
@@ -1,13 +1,13 @@
 //! The `[lease]` table: what is taken, and where in the file a mistake is.
 
-use birchswitch_cluster_host::Wrong;
-use birchswitch_lease_host::{Compiled, Table};
+use birchswitch_cluster_host::SettingError;
+use birchswitch_lease_host::{LeaseSettings, LeaseTable};
 use std::time::Duration;
 
 const GOOD: &str = "voters = [\"10.0.0.1:7946\", \"10.0.0.2:7946\", \"10.0.0.3:7946\"]\n";
 
-fn compile(text: &str) -> Result<Compiled, Wrong> {
-    toml::from_str::<Table>(text).expect("its form is right").compile()
+fn compile(text: &str) -> Result<LeaseSettings, SettingError> {
+    toml::from_str::<LeaseTable>(text).expect("its form is right").compile()
 }
 
 #[test]
@@ -41,6 +41,6 @@
     for text in
         [format!("{GOOD}ttls = \"1s\""), format!("{GOOD}drill = {{ without = [\"care\"] }}"), String::new()]
     {
-        assert!(toml::from_str::<Table>(&text).is_err(), "{text}");
+        assert!(toml::from_str::<LeaseTable>(&text).is_err(), "{text}");
     }
 }
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -1,6 +1,6 @@
 //! One process that wants leases, waits for them and holds them.
 
-use crate::message::{Answer, Ask, Ballot, Key, Life, Wish, Word};
+use crate::message::{Ballot, CandidateId, Key, Request, Response, Wish, Word};
 use crate::terms::Terms;
 use crate::Time;
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Ask a voter.
-    Send(SocketAddr, Ask),
+    Send(SocketAddr, Request),
     /// A lease is held from now on.
     Granted(Held),
     /// It is held for longer; its token may have risen.
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     terms: Arc<Terms>,
-    life: Life,
+    life: CandidateId,
     /// Highest number heard of or used.
     highest: u64,
     turn: u32,
@@ -108,12 +108,12 @@
 
 impl Candidate {
     /// One that wants nothing yet. `floor` is a first guess at numbers, and never has to be right.
-    pub fn new(terms: Arc<Terms>, life: Life, floor: u64) -> Self {
+    pub fn new(terms: Arc<Terms>, life: CandidateId, floor: u64) -> Self {
         Candidate { terms, life, highest: floor, turn: 0, leases: BTreeMap::new() }
     }
 
     /// Wants a lease from now on, until it is [given up](Candidate::release).
-    pub fn want(&mut self, now: Time, key: Key, out: Out) {
+    pub fn acquire(&mut self, now: Time, key: Key, out: Out) {
         self.leases.entry(key).or_insert(Lease { state: State::Waiting(now), failures: 0 });
         self.wake(now, out);
     }
@@ -242,14 +242,14 @@
         t.resend = now + self.terms.round / RESEND;
         let silent = self.terms.voters.iter().enumerate().filter(|(n, _)| t.yes & (1 << n) == 0);
         for (_, voter) in silent {
-            let ask = Ask { key: key.clone(), ballot: t.ballot, turn: t.turn, wish: t.wish };
+            let ask = Request { key: key.clone(), ballot: t.ballot, turn: t.turn, wish: t.wish };
             out.push(Action::Send(*voter, ask));
         }
     }
 
     fn give_back(&self, key: &Key, ballot: Ballot, wish: Wish, out: Out) {
         for voter in &self.terms.voters {
-            out.push(Action::Send(*voter, Ask { key: key.clone(), ballot, turn: 0, wish }));
+            out.push(Action::Send(*voter, Request { key: key.clone(), ballot, turn: 0, wish }));
         }
     }
 
@@ -274,7 +274,7 @@
     }
 
     /// Takes in a voter's answer.
-    pub fn answer(&mut self, now: Time, from: SocketAddr, answer: &Answer, out: Out) {
+    pub fn handle_response(&mut self, now: Time, from: SocketAddr, answer: &Response, out: Out) {
         self.expire(now, out);
         let Some(mut lease) = self.leases.remove(&answer.key) else { return };
         if let Some(voter) = self.terms.voters.iter().position(|v| *v == from) {
@@ -283,7 +283,7 @@
         self.leases.insert(answer.key.clone(), lease);
     }
 
-    fn hear(&mut self, now: Time, voter: usize, answer: &Answer, lease: &mut Lease, out: Out) {
+    fn hear(&mut self, now: Time, voter: usize, answer: &Response, lease: &mut Lease, out: Out) {
         if let Word::Above(number) = answer.word {
             self.highest = self.highest.max(number);
         }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -26,7 +26,7 @@
 mod voter;
 
 pub use candidate::{Action, Candidate, Held, Refusal};
-pub use message::{Answer, Ask, Ballot, Key, KeyError, Life, Message, Wish, Word, NAME_MOST};
+pub use message::{Ballot, CandidateId, Key, KeyError, Message, Request, Response, Wish, Word, NAME_MOST};
 pub use tasks::{task_id, Advice, Patience, Peer, Preference, Task};
 pub use terms::{Safeguards, Terms, TermsError};
 pub use turns::Turns;
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -9,7 +9,7 @@
 
 /// A process, told apart from all others by a random draw at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct CandidateId(pub u64);
 
 /// What a lease is on: a name, and one of its slots. Slots are leases of their own: of k no more than k are held.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
     /// Rises; no two grants of a key have the same.
     pub number: u64,
     /// Whose.
-    pub life: Life,
+    pub life: CandidateId,
 }
 
 /// What a candidate wants of a voter.
@@ -75,7 +75,7 @@
 
 /// A question to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// Of which lease.
     pub key: Key,
     /// Which try.
@@ -109,7 +109,7 @@
 
 /// A voter's answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Answer {
+pub struct Response {
     /// Of which lease.
     pub key: Key,
     /// To which try.
@@ -126,9 +126,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// To a voter, by a candidate that goes by terms of this sum.
-    Ask(u64, Ask),
+    Request(u64, Request),
     /// Back.
-    Answer(Answer),
+    Response(Response),
 }
 
 impl Message {
@@ -141,7 +141,7 @@
     /// Reads one; none: it makes no sense. What follows it is a newer program's and skipped.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (message, _): (Message, _) = postcard::take_from_bytes(bytes).ok()?;
-        let (Message::Ask(_, Ask { key, .. }) | Message::Answer(Answer { key, .. })) = &message;
+        let (Message::Request(_, Request { key, .. }) | Message::Response(Response { key, .. })) = &message;
         key.sound().then_some(message)
     }
 }
--- a/crates/lease/src/terms.rs
+++ b/crates/lease/src/terms.rs
@@ -83,7 +83,7 @@
     }
 
     /// A sum over all that has to be the same everywhere; the voters' order does not count.
-    pub fn sum(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         let mut voters: Vec<String> = self.voters.iter().map(SocketAddr::to_string).collect();
         voters.sort();
         let mut hash = Xxh3::new();
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,6 +1,6 @@
 //! One voter: what it promised and granted, in memory alone.
 
-use crate::message::{Answer, Ask, Ballot, Key, Life, Wish, Word};
+use crate::message::{Ballot, CandidateId, Key, Request, Response, Wish, Word};
 use crate::terms::Terms;
 use crate::Time;
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     /// Whose it is, and until when.
     accepted: Option<(Ballot, Time)>,
     /// Who waits, whoever asked last at the end.
-    waiting: Vec<(Life, SocketAddr)>,
+    waiting: Vec<(CandidateId, SocketAddr)>,
 }
 
 impl Entry {
@@ -51,7 +51,7 @@
     pub fn new(terms: Arc<Terms>, floor: u64, now: Time) -> Self {
         let abstains = now + terms.abstention();
         let floor = if terms.safeguards.floor { floor } else { 0 };
-        Voter { sum: terms.sum(), terms, abstains, floor, entries: BTreeMap::new() }
+        Voter { sum: terms.checksum(), terms, abstains, floor, entries: BTreeMap::new() }
     }
 
     /// How long it still abstains.
@@ -65,16 +65,16 @@
     }
 
     /// Answers a question, and sends word to others where a key became free.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         now: Time,
         from: SocketAddr,
         sum: u64,
-        ask: &Ask,
-        out: &mut Vec<(SocketAddr, Answer)>,
+        ask: &Request,
+        out: &mut Vec<(SocketAddr, Response)>,
     ) {
         let mut say = |to, ballot, word| {
-            out.push((to, Answer { key: ask.key.clone(), ballot, turn: ask.turn, wish: ask.wish, word }));
+            out.push((to, Response { key: ask.key.clone(), ballot, turn: ask.turn, wish: ask.wish, word }));
         };
         if sum != self.sum {
             return say(from, ask.ballot, Word::Elsewhere(self.sum));
@@ -131,12 +131,13 @@
 impl Entry {
     /// Who is told that a ballot was given up. Questions reach each voter in an order of its own: whoever came first there would be
     /// another at each, and their tries would cross. So it is drawn by what all voters know.
-    fn next(&self, given_up: Ballot) -> Option<(Life, SocketAddr)> {
-        let drawn = |life: Life| xxh3_64(&[life.0.to_le_bytes(), given_up.number.to_le_bytes()].concat());
+    fn next(&self, given_up: Ballot) -> Option<(CandidateId, SocketAddr)> {
+        let drawn =
+            |life: CandidateId| xxh3_64(&[life.0.to_le_bytes(), given_up.number.to_le_bytes()].concat());
         self.waiting.iter().copied().min_by_key(|(life, _)| drawn(*life))
     }
 
-    fn wait(&mut self, life: Life, from: SocketAddr) {
+    fn wait(&mut self, life: CandidateId, from: SocketAddr) {
         self.waiting.retain(|(l, _)| *l != life);
         // Who asked longest ago may have gone since: who waits asks again.
         if self.waiting.len() >= WAITING {
--- a/crates/lease/tests/core.rs
+++ b/crates/lease/tests/core.rs
@@ -1,8 +1,8 @@
 //! Single words of voters, and what candidates make of them.
 
 use birchswitch_lease::{
-    Action, Answer, Ask, Ballot, Candidate, Key, Life, Message, Refusal, Safeguards, Terms, Time, Turns,
-    Voter, Wish, Word,
+    Action, Ballot, Candidate, CandidateId, Key, Message, Refusal, Request, Response, Safeguards, Terms,
+    Time, Turns, Voter, Wish, Word,
 };
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -34,14 +34,14 @@
     life: u64,
     number: u64,
     wish: Wish,
-) -> Vec<(SocketAddr, Answer)> {
-    let ask = Ask { key: key(name), ballot: Ballot { number, life: Life(life) }, turn: 1, wish };
+) -> Vec<(SocketAddr, Response)> {
+    let ask = Request { key: key(name), ballot: Ballot { number, life: CandidateId(life) }, turn: 1, wish };
     let mut out = Vec::new();
-    voter.ask(NOW, address(life as u8 + 100), sum, &ask, &mut out);
+    voter.handle_request(NOW, address(life as u8 + 100), sum, &ask, &mut out);
     out
 }
 
-fn word(answers: &[(SocketAddr, Answer)]) -> Word {
+fn word(answers: &[(SocketAddr, Response)]) -> Word {
     answers[0].1.word
 }
 
@@ -50,9 +50,14 @@
     for name in ["", "a b", "é", &"x".repeat(65), &"x".repeat(4096)] {
         assert!(Key::new(name, 0).is_err(), "{name}");
     }
-    let good = Message::Ask(
+    let good = Message::Request(
         1,
-        Ask { key: key("a"), ballot: Ballot { number: 1, life: Life(1) }, turn: 1, wish: Wish::Prepare },
+        Request {
+            key: key("a"),
+            ballot: Ballot { number: 1, life: CandidateId(1) },
+            turn: 1,
+            wish: Wish::Prepare,
+        },
     );
     let bytes = good.encode();
     assert_eq!(Message::decode(&bytes), Some(good));
@@ -68,37 +73,40 @@
     let mut voter = voter(&terms);
     let mut turned = (*terms).clone();
     turned.voters.reverse();
-    assert_eq!(turned.sum(), terms.sum(), "the order of voters does not count");
-    assert_eq!(word(&ask(&mut voter, turned.sum(), "a", 1, 5, Wish::Prepare)), Word::Promised);
+    assert_eq!(turned.checksum(), terms.checksum(), "the order of voters does not count");
+    assert_eq!(word(&ask(&mut voter, turned.checksum(), "a", 1, 5, Wish::Prepare)), Word::Promised);
     let other = Terms { ttl: Duration::from_secs(11), ..(*terms).clone() };
-    assert_eq!(word(&ask(&mut voter, other.sum(), "a", 2, 9, Wish::Prepare)), Word::Elsewhere(terms.sum()));
+    assert_eq!(
+        word(&ask(&mut voter, other.checksum(), "a", 2, 9, Wish::Prepare)),
+        Word::Elsewhere(terms.checksum())
+    );
 
-    let mut candidate = Candidate::new(terms.clone(), Life(7), 0);
+    let mut candidate = Candidate::new(terms.clone(), CandidateId(7), 0);
     let mut out = Vec::new();
-    candidate.want(NOW, key("a"), &mut out);
+    candidate.acquire(NOW, key("a"), &mut out);
     let Some(Action::Send(_, asked)) = out.first().cloned() else { panic!("it asks") };
     out.clear();
     for n in 1..=2 {
-        let answer = Answer {
+        let answer = Response {
             key: asked.key.clone(),
             ballot: asked.ballot,
             turn: asked.turn,
             wish: asked.wish,
             word: Word::Elsewhere(1),
         };
-        candidate.answer(NOW, address(n), &answer, &mut out);
+        candidate.handle_response(NOW, address(n), &answer, &mut out);
     }
     assert!(out.contains(&Action::Refused(key("a"), Refusal::Elsewhere)), "{out:?}");
     // A stranger's word counts for nothing.
     out.clear();
-    let answer = Answer {
+    let answer = Response {
         key: key("a"),
         ballot: asked.ballot,
         turn: asked.turn,
         wish: asked.wish,
         word: Word::Promised,
     };
-    candidate.answer(NOW, address(99), &answer, &mut out);
+    candidate.handle_response(NOW, address(99), &answer, &mut out);
     assert!(out.is_empty());
 }
 
@@ -119,7 +127,7 @@
 #[test]
 fn a_lease_that_is_given_back_is_offered_to_who_waits() {
     let terms = terms();
-    let (mut voter, sum) = (voter(&terms), terms.sum());
+    let (mut voter, sum) = (voter(&terms), terms.checksum());
     assert_eq!(word(&ask(&mut voter, sum, "a", 1, 5, Wish::Prepare)), Word::Promised);
     assert_eq!(word(&ask(&mut voter, sum, "a", 1, 5, Wish::Propose)), Word::Accepted);
     assert_eq!(word(&ask(&mut voter, sum, "a", 2, 6, Wish::Prepare)), Word::Busy(terms.ttl));
@@ -156,7 +164,7 @@
     from: usize,
     asked: Vec<Action>,
 ) -> Vec<usize> {
-    let sum = terms().sum();
+    let sum = terms().checksum();
     let (mut granted, mut queue) = (Vec::new(), asked.into_iter().map(|a| (from, a)).collect::<Vec<_>>());
     while !queue.is_empty() {
         let (by, action) = queue.remove(0);
@@ -165,13 +173,13 @@
             Action::Send(to, ask) => {
                 let mut words = Vec::new();
                 let n = (0..voters.len()).find(|n| address(1 + *n as u8) == to).expect("one of them");
-                voters[n].ask(now, address(100 + by as u8), sum, &ask, &mut words);
+                voters[n].handle_request(now, address(100 + by as u8), sum, &ask, &mut words);
                 for (whose, word) in words {
                     let whose = (0..candidates.len())
                         .find(|n| address(100 + *n as u8) == whose)
                         .expect("one of them");
                     let mut out = Vec::new();
-                    candidates[whose].answer(now, to, &word, &mut out);
+                    candidates[whose].handle_response(now, to, &word, &mut out);
                     queue.extend(out.into_iter().map(|a| (whose, a)));
                 }
             }
@@ -187,10 +195,10 @@
     let terms = terms();
     let mut voters: Vec<Voter> = (0..3).map(|_| voter(&terms)).collect();
     let mut candidates: Vec<Candidate> =
-        (0..4).map(|n| Candidate::new(terms.clone(), Life(n + 1), 0)).collect();
+        (0..4).map(|n| Candidate::new(terms.clone(), CandidateId(n + 1), 0)).collect();
     let mut wants = |n: usize, candidates: &mut Vec<Candidate>| {
         let mut out = Vec::new();
-        candidates[n].want(NOW, key("a"), &mut out);
+        candidates[n].acquire(NOW, key("a"), &mut out);
         carry(&mut voters, candidates, NOW, n, out)
     };
     assert_eq!(wants(0, &mut candidates), [0]);
@@ -212,7 +220,7 @@
 #[test]
 fn memory_is_bounded_and_grants_stay() {
     let terms = terms();
-    let (mut voter, sum) = (voter(&terms), terms.sum());
+    let (mut voter, sum) = (voter(&terms), terms.checksum());
     for n in 0..4096 {
         let name = format!("n{n}");
         ask(&mut voter, sum, &name, 1, 50, Wish::Prepare);
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -4,7 +4,7 @@
 //! delay for longer than a lease at once. Time moves in steps of a quarter lease; voters' clocks are the fastest that the terms allow
 //! and candidates' the slowest, which is the worst for safety. Voters and candidates crash and start from nothing.
 
-use birchswitch_lease::{Action, Answer, Ask, Candidate, Key, Life, Safeguards, Terms, Voter};
+use birchswitch_lease::{Action, Candidate, CandidateId, Key, Request, Response, Safeguards, Terms, Voter};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,8 +20,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Packet {
-    Ask(usize, usize, Ask),
-    Answer(usize, usize, Answer),
+    Request(usize, usize, Request),
+    Response(usize, usize, Response),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -93,7 +93,7 @@
             match action {
                 Action::Send(to, ask) => {
                     let voter = (0..VOTERS).find(|v| address(*v) == to).expect("a voter");
-                    state.wire.insert(Packet::Ask(n, voter, ask));
+                    state.wire.insert(Packet::Request(n, voter, ask));
                 }
                 Action::Granted(held) => {
                     state.fell |= held.token <= state.highest;
@@ -107,25 +107,31 @@
 
     fn want(&self, state: &mut State, n: usize) {
         let (clock, mut out) = (self.clock(state, false), Vec::new());
-        state.candidates[n].want(clock, key(), &mut out);
+        state.candidates[n].acquire(clock, key(), &mut out);
         self.carry_out(state, n, out);
     }
 
     fn deliver(&self, state: &mut State, packet: &Packet) {
         match packet {
-            Packet::Ask(from, voter, ask) => {
+            Packet::Request(from, voter, ask) => {
                 let mut out = Vec::new();
                 let clock = self.clock(state, true);
-                state.voters[*voter].ask(clock, address(VOTERS + from), self.terms.sum(), ask, &mut out);
+                state.voters[*voter].handle_request(
+                    clock,
+                    address(VOTERS + from),
+                    self.terms.checksum(),
+                    ask,
+                    &mut out,
+                );
                 for (to, answer) in out {
                     let to = (0..self.candidates).find(|c| address(VOTERS + c) == to).expect("a candidate");
-                    state.wire.insert(Packet::Answer(*voter, to, answer));
+                    state.wire.insert(Packet::Response(*voter, to, answer));
                 }
             }
-            Packet::Answer(voter, to, answer) => {
+            Packet::Response(voter, to, answer) => {
                 let mut out = Vec::new();
                 let clock = self.clock(state, false);
-                state.candidates[*to].answer(clock, address(*voter), answer, &mut out);
+                state.candidates[*to].handle_response(clock, address(*voter), answer, &mut out);
                 self.carry_out(state, *to, out);
             }
         }
@@ -151,7 +157,7 @@
         for n in 0..self.candidates {
             state.candidates.push(Candidate::new(
                 self.terms.clone(),
-                Life(n as u64 + 1),
+                CandidateId(n as u64 + 1),
                 (1 << 32) + n as u64,
             ));
         }
@@ -215,10 +221,10 @@
             }
             Event::CrashCandidate(n) => {
                 state.crashes += 1;
-                let life = Life(n as u64 + 1 + 100 * u64::from(state.crashes));
+                let life = CandidateId(n as u64 + 1 + 100 * u64::from(state.crashes));
                 let mut candidate = Candidate::new(self.terms.clone(), life, 0);
                 let mut out = Vec::new();
-                candidate.want(self.clock(&state, false), key(), &mut out);
+                candidate.acquire(self.clock(&state, false), key(), &mut out);
                 state.candidates[n] = candidate;
                 self.carry_out(&mut state, n, out);
             }
--- a/crates/mesh/src/greeting.rs
+++ b/crates/mesh/src/greeting.rs
@@ -2,7 +2,7 @@
 
 use crate::frame::{codec, write, Ended, Reader, Writer};
 use crate::roster::Who;
-use birchswitch_cluster::{Life, MemberId};
+use birchswitch_cluster::{Generation, MemberId};
 use futures_util::StreamExt;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -23,7 +23,7 @@
     pub version: u16,
     pub cluster: String,
     pub name: String,
-    pub life: Life,
+    pub life: Generation,
 }
 
 /// Why a connection came to nothing.
@@ -50,7 +50,7 @@
 }
 
 impl Greeting {
-    pub(crate) fn new(cluster: &str, name: &str, life: Life) -> Self {
+    pub(crate) fn new(cluster: &str, name: &str, life: Generation) -> Self {
         Greeting { magic: *b"bsm\n", version: VERSION, cluster: cluster.into(), name: name.into(), life }
     }
 
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -8,7 +8,7 @@
 use crate::roster::{Roster, Who};
 use crate::settings::Compiled;
 use arc_swap::ArcSwap;
-use birchswitch_cluster::{Life, MemberId};
+use birchswitch_cluster::{Generation, MemberId};
 use bytes::Bytes;
 use futures_util::stream::FuturesUnordered;
 use futures_util::StreamExt;
@@ -31,7 +31,7 @@
     /// The node's name among its members.
     pub name: &'a str,
     /// Which process.
-    pub life: Life,
+    pub life: Generation,
     /// Its clock.
     pub clock: Clock,
 }
--- a/crates/mesh/src/roster.rs
+++ b/crates/mesh/src/roster.rs
@@ -1,6 +1,6 @@
 //! Who the fleet's nodes are, as membership last told: a snapshot that the node's thread makes and tasks read.
 
-use birchswitch_cluster::{Life, MemberId};
+use birchswitch_cluster::{Generation, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
     /// Its name's hash.
     pub id: MemberId,
     /// Which process.
-    pub life: Life,
+    pub life: Generation,
 }
 
 /// What is known of a member.
@@ -22,10 +22,10 @@
     /// Its zone.
     pub zone: String,
     /// Which process.
-    pub life: Life,
+    pub life: Generation,
     /// Where its mesh takes connections, if it has one.
     pub address: Option<SocketAddr>,
-    /// Tasks that it says it runs, as `birchswitch_lease_host::runs` reads them.
+    /// Tasks that it says it runs, as `birchswitch_lease_host::running_tasks` reads them.
     pub tasks: Vec<u32>,
 }
 
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -1,6 +1,6 @@
 //! The `[mesh]` table of an operator's file.
 
-use birchswitch_cluster_host::{Places, Wrong};
+use birchswitch_cluster_host::{SettingError, SettingSpans};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
@@ -30,21 +30,21 @@
 
 impl Table {
     /// Checks each setting by itself and beside the others.
-    pub fn compile(self) -> Result<Compiled, Wrong> {
-        let mut places = Places::new("bind", &self.bind);
-        let advertise = places.note("advertise", &self.advertise).copied();
-        let connections = places.note("connections", &self.connections).copied().unwrap_or(CONNECTIONS);
+    pub fn compile(self) -> Result<Compiled, SettingError> {
+        let mut places = SettingSpans::new("bind", &self.bind);
+        let advertise = places.record("advertise", &self.advertise).copied();
+        let connections = places.record("connections", &self.connections).copied().unwrap_or(CONNECTIONS);
         let bind = *self.bind.get_ref();
         if let Some(address) = advertise.filter(|a| a.ip().is_unspecified() || a.port() == 0) {
             let problem = format!("others have to be able to connect to `advertise`, not to {address}");
-            return Err(places.wrong("advertise", problem));
+            return Err(places.error_at("advertise", problem));
         }
         if advertise.is_none() && bind.ip().is_unspecified() {
             let problem = "`bind` is every address: name in `advertise` where others connect to";
-            return Err(places.wrong("bind", problem));
+            return Err(places.error_at("bind", problem));
         }
         if !(4..=16_384).contains(&connections) {
-            return Err(places.wrong("connections", "`connections` has to be 4 to 16384"));
+            return Err(places.error_at("connections", "`connections` has to be 4 to 16384"));
         }
         Ok(Compiled { bind, advertise, connections })
     }
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -3,7 +3,7 @@
 use crate::frame::{codec, Frame, FRAME_MOST};
 use crate::greeting::{Greeting, VERSION};
 use crate::{AskError, Clock, Compiled, Identity, Member, Mesh, Roster, ASKS};
-use birchswitch_cluster::{Life, MemberId};
+use birchswitch_cluster::{Generation, MemberId};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const ECHO: u8 = 1;
 
-fn life(started: u64) -> Life {
-    Life { started, draw: 1 }
+fn life(started: u64) -> Generation {
+    Generation { started, draw: 1 }
 }
 
 /// A mesh that gives back what it is asked.
--- a/crates/quota/src/books.rs
+++ b/crates/quota/src/books.rs
@@ -240,7 +240,7 @@
 mod tests {
     use super::*;
     use crate::{Held, Safeguards, Scope, WhenCut};
-    use birchswitch_cluster::{Life as Process, MemberId};
+    use birchswitch_cluster::{Generation as Process, MemberId};
 
     const TERMS: Terms = Terms {
         renew: Duration::from_millis(400),
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -1,7 +1,7 @@
 //! The `[[limits]]` tables of an operator's file, and `[quota]` beside them.
 
 use crate::{Limit, Measure, Safeguards, Scope, Terms, WhenCut};
-use birchswitch_cluster_host::{Drill, Places, Span, Wrong};
+use birchswitch_cluster_host::{Drill, HumanDuration, SettingError, SettingSpans};
 use birchswitch_site::Names;
 use serde::Deserialize;
 use std::time::Duration;
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
-    renew: Option<Spanned<Span>>,
-    ttl: Option<Spanned<Span>>,
-    transit: Option<Spanned<Span>>,
+    renew: Option<Spanned<HumanDuration>>,
+    ttl: Option<Spanned<HumanDuration>>,
+    transit: Option<Spanned<HumanDuration>>,
     drill: Option<Drill<Without>>,
 }
 
@@ -67,17 +67,17 @@
         table: Option<&Spanned<Table>>,
         names: &Names,
         (hold, lease, drift): (Duration, Duration, u32),
-    ) -> Result<Compiled, Wrong> {
+    ) -> Result<Compiled, SettingError> {
         let terms = terms(table, hold, lease, drift)?;
         if let Some(more) = limits.get(MOST) {
-            return Err(Wrong { span: more.span(), problem: format!("more than {MOST} limits") });
+            return Err(SettingError { span: more.span(), problem: format!("more than {MOST} limits") });
         }
         let mut all: Vec<Limit> = Vec::new();
         for written in limits {
             let limit = one(written, &terms, names)?;
             if all.iter().any(|l| l.name == limit.name) {
                 let problem = format!("two limits are called {:?}", limit.name);
-                return Err(Wrong { span: written.get_ref().name.span(), problem });
+                return Err(SettingError { span: written.get_ref().name.span(), problem });
             }
             all.push(limit);
         }
@@ -90,7 +90,7 @@
     hold: Duration,
     lease: Duration,
     drift: u32,
-) -> Result<Terms, Wrong> {
+) -> Result<Terms, SettingError> {
     // So long that grants outlive the time in which a keeper's death leaves the fleet without one.
     let mut terms = Terms {
         renew: Duration::from_millis(400),
@@ -101,20 +101,20 @@
         safeguards: Safeguards::ALL,
     };
     let Some(table) = table else { return Ok(terms) };
-    let (mut places, given) = (Places::new("quota", table), table.get_ref());
-    places.time("renew", &given.renew, &mut terms.renew);
-    places.time("ttl", &given.ttl, &mut terms.ttl);
-    places.time("transit", &given.transit, &mut terms.transit);
+    let (mut places, given) = (SettingSpans::new("quota", table), table.get_ref());
+    places.apply_duration("renew", &given.renew, &mut terms.renew);
+    places.apply_duration("ttl", &given.ttl, &mut terms.ttl);
+    places.apply_duration("transit", &given.transit, &mut terms.transit);
     if !(Duration::from_millis(50)..=Duration::from_secs(30)).contains(&terms.renew) {
-        return Err(places.wrong("renew", "`renew` has to be 50ms to 30s"));
+        return Err(places.error_at("renew", "`renew` has to be 50ms to 30s"));
     }
     if terms.ttl < terms.renew * 4 || terms.ttl > Duration::from_secs(300) {
-        return Err(places.wrong("ttl", "`ttl` has to be at least four times `renew`, and at most 5m"));
+        return Err(places.error_at("ttl", "`ttl` has to be at least four times `renew`, and at most 5m"));
     }
     if terms.transit > Duration::from_secs(5) {
-        return Err(places.wrong("transit", "`transit` has to be at most 5s"));
+        return Err(places.error_at("transit", "`transit` has to be at most 5s"));
     }
-    let on = |w| Drill::on(&given.drill, w);
+    let on = |w| Drill::enabled(&given.drill, w);
     terms.safeguards = Safeguards {
         ends: on(Without::Ends),
         quarantine: on(Without::Quarantine),
@@ -123,13 +123,13 @@
     Ok(terms)
 }
 
-fn one(written: &Spanned<LimitTable>, terms: &Terms, names: &Names) -> Result<Limit, Wrong> {
+fn one(written: &Spanned<LimitTable>, terms: &Terms, names: &Names) -> Result<Limit, SettingError> {
     let table = written.get_ref();
-    let mut places = Places::new("limits", written);
+    let mut places = SettingSpans::new("limits", written);
     let name = table.name.get_ref();
     if !(1..=64).contains(&name.len()) || !name.bytes().all(|b| b.is_ascii_graphic()) {
         let problem = "`name` has to be 1 to 64 visible ASCII characters".to_owned();
-        return Err(Wrong { span: table.name.span(), problem });
+        return Err(SettingError { span: table.name.span(), problem });
     }
     let place = |given: &Option<Spanned<String>>, known: &[String], what: &str| match given {
         None => Ok(None),
@@ -137,22 +137,22 @@
             Some(at) => Ok(Some(at)),
             None => {
                 let problem = format!("the site's settings name no {what} {:?}", given.get_ref());
-                Err(Wrong { span: given.span(), problem })
+                Err(SettingError { span: given.span(), problem })
             }
         },
     };
     let tenant = place(&table.tenant, &names.tenants, "tenant")?.map(|at| at as u16);
     let class = place(&table.class, &names.classes, "class")?.map(|at| at as u8);
     if tenant.is_none() && class.is_none() {
-        return Err(places.wrong("limits", "a limit is for a `tenant`, a `class`, or both"));
+        return Err(places.error_at("limits", "a limit is for a `tenant`, a `class`, or both"));
     }
-    let per_s = places.note("per_s", &table.per_s).copied();
-    let burst = places.note("burst", &table.burst).copied();
-    let in_flight = places.note("in_flight", &table.in_flight).copied();
+    let per_s = places.record("per_s", &table.per_s).copied();
+    let burst = places.record("burst", &table.burst).copied();
+    let in_flight = places.record("in_flight", &table.in_flight).copied();
     let measure = match (per_s, in_flight) {
         (Some(per_s), None) => {
             if !(1e-3..=1e7).contains(&per_s) {
-                return Err(places.wrong("per_s", "`per_s` has to be 0.001 to 10000000"));
+                return Err(places.error_at("per_s", "`per_s` has to be 0.001 to 10000000"));
             }
             let least = per_s * terms.transit.as_secs_f64() + 1.0;
             let burst = burst.unwrap_or(least.max(per_s));
@@ -160,18 +160,18 @@
                 let problem = format!(
                     "`burst` has to be at least {least:.3}: one request, and what may be on its way within `transit`"
                 );
-                return Err(places.wrong("burst", problem));
+                return Err(places.error_at("burst", problem));
             }
             Measure::Rate { per_s, burst }
         }
         (None, Some(most)) if most > 0 && burst.is_none() => Measure::InFlight { most },
-        (None, Some(0)) => return Err(places.wrong("in_flight", "`in_flight` has to be at least 1")),
+        (None, Some(0)) => return Err(places.error_at("in_flight", "`in_flight` has to be at least 1")),
         _ => {
             let problem = "a limit is either `per_s`, with a `burst` if wanted, or `in_flight`";
-            return Err(places.wrong("limits", problem));
+            return Err(places.error_at("limits", problem));
         }
     };
-    let when_cut = match places.note("when_cut", &table.when_cut) {
+    let when_cut = match places.record("when_cut", &table.when_cut) {
         None | Some(Cut::Share) => WhenCut::Share,
         Some(Cut::Strict) => WhenCut::Strict,
         Some(Cut::Open) => WhenCut::Open,
--- a/crates/tuner/src/settings.rs
+++ b/crates/tuner/src/settings.rs
@@ -1,7 +1,7 @@
 //! The `[tuner]` table of an operator's file.
 
 use crate::step::Terms;
-use birchswitch_cluster_host::{Places, Span, Wrong};
+use birchswitch_cluster_host::{HumanDuration, SettingError, SettingSpans};
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
@@ -10,8 +10,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
-    look: Option<Spanned<Span>>,
-    ttl: Option<Spanned<Span>>,
+    look: Option<Spanned<HumanDuration>>,
+    ttl: Option<Spanned<HumanDuration>>,
     percentile: Option<Spanned<f64>>,
     trust: Option<Spanned<f64>>,
     drill: Option<Drill>,
@@ -27,26 +27,28 @@
 
 impl Table {
     /// Checks each setting by itself and beside the others.
-    pub fn compile(written: &Spanned<Table>) -> Result<Terms, Wrong> {
-        let (mut places, table) = (Places::new("tuner", written), written.get_ref());
+    pub fn compile(written: &Spanned<Table>) -> Result<Terms, SettingError> {
+        let (mut places, table) = (SettingSpans::new("tuner", written), written.get_ref());
         let usual = Terms::USUAL;
         let (mut look, mut ttl) = (usual.look, usual.ttl);
-        places.time("look", &table.look, &mut look);
-        places.time("ttl", &table.ttl, &mut ttl);
+        places.apply_duration("look", &table.look, &mut look);
+        places.apply_duration("ttl", &table.ttl, &mut ttl);
         if !(Duration::from_millis(200)..=Duration::from_secs(60)).contains(&look) {
-            return Err(places.wrong("look", "`look` has to be 200ms to 60s"));
+            return Err(places.error_at("look", "`look` has to be 200ms to 60s"));
         }
         if ttl < look * 3 || ttl > Duration::from_secs(600) {
-            return Err(places.wrong("ttl", "`ttl` has to be at least three times `look`, and at most 10m"));
+            return Err(
+                places.error_at("ttl", "`ttl` has to be at least three times `look`, and at most 10m")
+            );
         }
         let percentile =
-            places.note("percentile", &table.percentile).copied().unwrap_or(100.0 * (1.0 - usual.tail));
+            places.record("percentile", &table.percentile).copied().unwrap_or(100.0 * (1.0 - usual.tail));
         if !(50.0..=99.99).contains(&percentile) {
-            return Err(places.wrong("percentile", "`percentile` has to be 50 to 99.99"));
+            return Err(places.error_at("percentile", "`percentile` has to be 50 to 99.99"));
         }
-        let trust = places.note("trust", &table.trust).copied().unwrap_or(usual.trust);
+        let trust = places.record("trust", &table.trust).copied().unwrap_or(usual.trust);
         if !(0.01..=0.3).contains(&trust) {
-            return Err(places.wrong("trust", "`trust` has to be 0.01 to 0.3"));
+            return Err(places.error_at("trust", "`trust` has to be 0.01 to 0.3"));
         }
         let wrong = table.drill.as_ref().is_some_and(|d| d.wrong);
         Ok(Terms { look, ttl, tail: 1.0 - percentile / 100.0, trust, wrong })
--- a/crates/verdict/src/settings.rs
+++ b/crates/verdict/src/settings.rs
@@ -1,7 +1,7 @@
 //! The `[verdicts]` table of an operator's file.
 
 use crate::judge::{Safeguards, Terms};
-use birchswitch_cluster_host::{Drill, Places, Span, Wrong};
+use birchswitch_cluster_host::{Drill, HumanDuration, SettingError, SettingSpans};
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
@@ -10,8 +10,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
-    renew: Option<Spanned<Span>>,
-    ttl: Option<Spanned<Span>>,
+    renew: Option<Spanned<HumanDuration>>,
+    ttl: Option<Spanned<HumanDuration>>,
     fails: Option<Spanned<f64>>,
     late: Option<Spanned<f64>>,
     trickle: Option<Spanned<f64>>,
@@ -30,30 +30,32 @@
 
 impl Table {
     /// Checks each setting by itself and beside the others.
-    pub fn compile(written: &Spanned<Table>) -> Result<Terms, Wrong> {
-        let (mut places, table) = (Places::new("verdicts", written), written.get_ref());
+    pub fn compile(written: &Spanned<Table>) -> Result<Terms, SettingError> {
+        let (mut places, table) = (SettingSpans::new("verdicts", written), written.get_ref());
         let usual = Terms::USUAL;
         let (mut renew, mut ttl) = (usual.renew, usual.ttl);
-        places.time("renew", &table.renew, &mut renew);
-        places.time("ttl", &table.ttl, &mut ttl);
+        places.apply_duration("renew", &table.renew, &mut renew);
+        places.apply_duration("ttl", &table.ttl, &mut ttl);
         if !(Duration::from_millis(100)..=Duration::from_secs(30)).contains(&renew) {
-            return Err(places.wrong("renew", "`renew` has to be 100ms to 30s"));
+            return Err(places.error_at("renew", "`renew` has to be 100ms to 30s"));
         }
         if ttl < renew * 3 || ttl > Duration::from_secs(120) {
-            return Err(places.wrong("ttl", "`ttl` has to be at least three times `renew`, and at most 2m"));
+            return Err(
+                places.error_at("ttl", "`ttl` has to be at least three times `renew`, and at most 2m")
+            );
         }
         let mut part = |key, given: &Option<Spanned<f64>>, otherwise: f64, least: f64, most: f64| {
-            let value = places.note(key, given).copied().unwrap_or(otherwise);
+            let value = places.record(key, given).copied().unwrap_or(otherwise);
             match (least..=most).contains(&value) {
                 true => Ok(value),
-                false => Err(places.wrong(key, format!("`{key}` has to be {least} to {most}"))),
+                false => Err(places.error_at(key, format!("`{key}` has to be {least} to {most}"))),
             }
         };
         let fails = part("fails", &table.fails, usual.fails, 0.01, 1.0)?;
         let late = part("late", &table.late, usual.late, 0.01, 1.0)?;
         let trickle = part("trickle", &table.trickle, f64::from(usual.trickle) / 1000.0, 0.01, 0.5)?;
         let most = part("most", &table.most, usual.most, 0.0, 0.5)?;
-        let on = |w| Drill::on(&table.drill, w);
+        let on = |w| Drill::enabled(&table.drill, w);
         let safeguards = Safeguards {
             evidence: on(Without::Evidence),
             ration: on(Without::Ration),
--- a/crates/wallet/benches/allocator.rs
+++ b/crates/wallet/benches/allocator.rs
@@ -3,7 +3,7 @@
 //! Each node's requests go to [`ACTIVE`] accounts: one that all nodes share, and others of which each is used by few nodes. The other
 //! accounts are idle.
 
-use birchswitch_cluster::{Life, MemberId};
+use birchswitch_cluster::{Generation, MemberId};
 use birchswitch_mesh::{Time, Who};
 use birchswitch_wallet::{
     AccountTerms, Allocator, AllotmentReport, Demand, Entry, LedgerState, Prices, RenewalRequest, Report,
@@ -22,7 +22,7 @@
 };
 
 fn who(node: usize) -> Who {
-    Who { id: MemberId(node as u64), life: Life { started: 1, draw: 0 } }
+    Who { id: MemberId(node as u64), life: Generation { started: 1, draw: 0 } }
 }
 
 fn name(account: usize) -> String {
--- a/crates/wallet/src/account/allocator/tests.rs
+++ b/crates/wallet/src/account/allocator/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::account::{AllotmentReport, Report};
 use crate::price::Prices;
-use birchswitch_cluster::{Life, MemberId};
+use birchswitch_cluster::{Generation, MemberId};
 
 const RULES: Rules = Rules {
     ttl: Duration::from_secs(2),
@@ -17,7 +17,7 @@
 }
 
 fn who(n: u64) -> Who {
-    Who { id: MemberId(n), life: Life::default() }
+    Who { id: MemberId(n), life: Generation::default() }
 }
 
 fn s(s: u64) -> Time {
--- a/crates/wallet/src/account/apply/tests.rs
+++ b/crates/wallet/src/account/apply/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use birchswitch_cluster::{Life, MemberId};
+use birchswitch_cluster::{Generation, MemberId};
 use proptest::prelude::*;
 
 fn who(n: u64) -> Who {
-    Who { id: MemberId(n), life: Life::default() }
+    Who { id: MemberId(n), life: Generation::default() }
 }
 
 fn top_up(id: &str, units: u64) -> Entry {
--- a/crates/wallet/src/settings.rs
+++ b/crates/wallet/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::account::targets::AccountTerms;
 use crate::price::Prices;
-use birchswitch_cluster_host::{Places, Span, Wrong};
+use birchswitch_cluster_host::{HumanDuration, SettingError, SettingSpans};
 use birchswitch_site::Names;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     overdraft: Option<Spanned<u64>>,
     low: Option<Spanned<u64>>,
     resume: Option<Spanned<u64>>,
-    ahead: Option<Spanned<Span>>,
+    ahead: Option<Spanned<HumanDuration>>,
 }
 
 /// `[ledger]` as it is written.
@@ -33,8 +33,8 @@
     nodes: Spanned<Vec<String>>,
     folder: Option<Spanned<PathBuf>>,
     most_mb: Option<Spanned<u64>>,
-    renew: Option<Spanned<Span>>,
-    ttl: Option<Spanned<Span>>,
+    renew: Option<Spanned<HumanDuration>>,
+    ttl: Option<Spanned<HumanDuration>>,
     drill: Option<Drill>,
 }
 
@@ -84,44 +84,47 @@
         ledger: &Spanned<LedgerTable>,
         names: &Names,
         own: &str,
-    ) -> Result<Compiled, Wrong> {
-        let (mut places, table) = (Places::new("ledger", ledger), ledger.get_ref());
+    ) -> Result<Compiled, SettingError> {
+        let (mut places, table) = (SettingSpans::new("ledger", ledger), ledger.get_ref());
         let nodes = table.nodes.get_ref().clone();
-        let wrong_nodes = |problem: String| Wrong { span: table.nodes.span(), problem };
+        let wrong_nodes = |problem: String| SettingError { span: table.nodes.span(), problem };
         if !matches!(nodes.len(), 3 | 5) {
             return Err(wrong_nodes(format!("`nodes` has to name 3 or 5 nodes, not {}", nodes.len())));
         }
         if let Some(twice) = nodes.iter().enumerate().find(|(n, name)| nodes[..*n].contains(name)) {
             return Err(wrong_nodes(format!("`nodes` names {:?} twice", twice.1)));
         }
-        let folder = places.note("folder", &table.folder).cloned();
+        let folder = places.record("folder", &table.folder).cloned();
         let keeps = nodes.iter().any(|n| n == own);
         if keeps && folder.is_none() {
             let problem = format!("{own:?} keeps the ledger: it wants a `folder` that lasts");
             return Err(wrong_nodes(problem));
         }
         let (mut renew, mut ttl) = (Duration::from_millis(250), Duration::from_secs(4));
-        places.time("renew", &table.renew, &mut renew);
-        places.time("ttl", &table.ttl, &mut ttl);
+        places.apply_duration("renew", &table.renew, &mut renew);
+        places.apply_duration("ttl", &table.ttl, &mut ttl);
         if !(Duration::from_millis(50)..=Duration::from_secs(30)).contains(&renew) {
-            return Err(places.wrong("renew", "`renew` has to be 50ms to 30s"));
+            return Err(places.error_at("renew", "`renew` has to be 50ms to 30s"));
         }
         if ttl < renew * 4 || ttl > Duration::from_secs(600) {
-            return Err(places.wrong("ttl", "`ttl` has to be at least four times `renew`, and at most 10m"));
+            return Err(
+                places.error_at("ttl", "`ttl` has to be at least four times `renew`, and at most 10m")
+            );
         }
-        let most = places.note("most_mb", &table.most_mb).copied().unwrap_or(1024);
+        let most = places.record("most_mb", &table.most_mb).copied().unwrap_or(1024);
         if !(16..=1 << 20).contains(&most) {
-            return Err(places.wrong("most_mb", "`most_mb` has to be 16 to 1048576"));
+            return Err(places.error_at("most_mb", "`most_mb` has to be 16 to 1048576"));
         }
         let drill = table.drill.clone().unwrap_or_default();
         let on = |w| !drill.without.contains(&w);
-        let accounts: Result<Vec<AccountTerms>, Wrong> = accounts.iter().map(|a| account(a, names)).collect();
+        let accounts: Result<Vec<AccountTerms>, SettingError> =
+            accounts.iter().map(|a| account(a, names)).collect();
         let accounts = accounts?;
         if let Some((n, _)) =
             accounts.iter().enumerate().find(|(n, a)| accounts[..*n].iter().any(|b| b.account == a.account))
         {
             let problem = format!("two accounts are {:?}'s", accounts[n].account);
-            return Err(Wrong { span: ledger.span(), problem });
+            return Err(SettingError { span: ledger.span(), problem });
         }
         Ok(Compiled {
             accounts,
@@ -135,18 +138,18 @@
     }
 }
 
-fn account(written: &Spanned<WalletTable>, names: &Names) -> Result<AccountTerms, Wrong> {
+fn account(written: &Spanned<WalletTable>, names: &Names) -> Result<AccountTerms, SettingError> {
     let table = written.get_ref();
-    let mut places = Places::new("tenant", &table.tenant);
+    let mut places = SettingSpans::new("tenant", &table.tenant);
     if !names.tenants.contains(table.tenant.get_ref()) {
         let problem = format!("the site's settings name no tenant {:?}", table.tenant.get_ref());
-        return Err(places.wrong("tenant", problem));
+        return Err(places.error_at("tenant", problem));
     }
-    let units = |places: &mut Places, key, given: &Option<Spanned<u64>>, otherwise| {
-        let units = places.note(key, given).copied().unwrap_or(otherwise);
+    let units = |places: &mut SettingSpans, key, given: &Option<Spanned<u64>>, otherwise| {
+        let units = places.record(key, given).copied().unwrap_or(otherwise);
         match units <= MOST {
             true => Ok(units),
-            false => Err(places.wrong(key, format!("`{key}` has to be at most {MOST}"))),
+            false => Err(places.error_at(key, format!("`{key}` has to be at most {MOST}"))),
         }
     };
     let price = units(&mut places, "price", &table.price, 1)?;
@@ -154,25 +157,28 @@
     for (class, given) in &table.prices {
         let span = given.span();
         let Some(at) = names.classes.iter().position(|c| c == class) else {
-            return Err(Wrong { span, problem: format!("the site's settings name no class {class:?}") });
+            return Err(SettingError {
+                span,
+                problem: format!("the site's settings name no class {class:?}"),
+            });
         };
         if *given.get_ref() > MOST {
-            return Err(Wrong { span, problem: format!("a price has to be at most {MOST}") });
+            return Err(SettingError { span, problem: format!("a price has to be at most {MOST}") });
         }
         classes[at] = *given.get_ref();
     }
     let per_ms = units(&mut places, "per_ms", &table.per_ms, 0)?;
     if per_ms == 0 && classes.iter().all(|p| *p == 0) {
-        return Err(places.wrong("price", "an account of which nothing costs anything is none"));
+        return Err(places.error_at("price", "an account of which nothing costs anything is none"));
     }
     let prices = Prices { classes, per_ms };
     let overdraft = units(&mut places, "overdraft", &table.overdraft, 0)?;
     let low = units(&mut places, "low", &table.low, prices.most().saturating_mul(1000).min(MOST))?;
     let resume = units(&mut places, "resume", &table.resume, prices.most().saturating_mul(10).min(MOST))?;
     let mut ahead = Duration::from_secs(2);
-    places.time("ahead", &table.ahead, &mut ahead);
+    places.apply_duration("ahead", &table.ahead, &mut ahead);
     if !(Duration::from_millis(200)..=Duration::from_secs(60)).contains(&ahead) {
-        return Err(places.wrong("ahead", "`ahead` has to be 200ms to 60s"));
+        return Err(places.error_at("ahead", "`ahead` has to be 200ms to 60s"));
     }
     Ok(AccountTerms { account: table.tenant.get_ref().clone(), prices, overdraft, low, resume, ahead })
 }
--- a/crates/wallet/tests/encoding.rs
+++ b/crates/wallet/tests/encoding.rs
@@ -1,7 +1,7 @@
 //! The bytes of messages between nodes and of what lies on disk, against samples from 0.1.0: nodes of two builds meet in a
 //! roll-out, and a ledger outlives its build.
 
-use birchswitch_cluster::{Life, MemberId};
+use birchswitch_cluster::{Generation, MemberId};
 use birchswitch_mesh::Who;
 use birchswitch_wallet::{
     AccountGrant, AdminCommand, AllotmentReport, Demand, Entry, KeyDebit, LedgerState, Record,
@@ -15,7 +15,7 @@
 }
 
 fn who() -> Who {
-    Who { id: MemberId(77), life: Life { started: 1_700_000, draw: 5 } }
+    Who { id: MemberId(77), life: Generation { started: 1_700_000, draw: 5 } }
 }
 
 fn report() -> Report {
--- a/crates/wallet/tests/nodes/mod.rs
+++ b/crates/wallet/tests/nodes/mod.rs
@@ -1,6 +1,6 @@
 //! Nodes of one process that hold a ledger, for tests and the bench.
 
-use birchswitch_cluster::{Life, MemberId};
+use birchswitch_cluster::{Generation, MemberId};
 use birchswitch_mesh::{Clock, Compiled, Identity, Member, Mesh, Roster, Who};
 use birchswitch_wallet::{
     serve, AccountTerms, AdminCommand, Leader, LeaderSettings, LeadershipTerm, Prices, Request, Response,
@@ -29,7 +29,7 @@
 /// Starts them on these folders; `without` is one that does not come up.
 pub fn start(folders: Vec<TempDir>, without: Option<usize>) -> Nodes {
     let names = ["a", "b", "c"];
-    let life = Life { started: 1, draw: 0 };
+    let life = Generation { started: 1, draw: 0 };
     let mut meshes = Vec::new();
     for name in names {
         let compiled = Compiled { bind: ([127, 0, 0, 1], 0).into(), advertise: None, connections: 16 };
--- a/node/src/fleet/health.rs
+++ b/node/src/fleet/health.rs
@@ -1,11 +1,11 @@
 //! One node of a zone asks the servers that fell silent whether they are back, and tells the others of that zone.
 
 use birchswitch_cluster::{Record, Topic};
-use birchswitch_cluster_host::{Cluster, Places, Span, Wrong};
-use birchswitch_health::{decode, encode, Rounds, Short, Times};
+use birchswitch_cluster_host::{Cluster, HumanDuration, SettingError, SettingSpans};
+use birchswitch_health::{decode, encode, ProbeIntervals, ProbeScheduler, ShortId};
 use birchswitch_host::{Host, Upstream};
 use birchswitch_lease::Task;
-use birchswitch_lease_host::{runs, Singleton, Tasks, Term};
+use birchswitch_lease_host::{running_tasks, SingletonTask, TaskLease, Tasks};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::future::Future;
@@ -27,29 +27,31 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
-    least: Option<Spanned<Span>>,
-    most: Option<Spanned<Span>>,
+    least: Option<Spanned<HumanDuration>>,
+    most: Option<Spanned<HumanDuration>>,
 }
 
 /// Checks the table beside what else there is.
-pub fn compile(table: Spanned<Table>, leases: bool, may_probe: bool) -> Result<Times, Wrong> {
-    let mut places = Places::new("health", &table);
+pub fn compile(table: Spanned<Table>, leases: bool, may_probe: bool) -> Result<ProbeIntervals, SettingError> {
+    let mut places = SettingSpans::new("health", &table);
     if !leases {
-        return Err(places.wrong("health", "[health] is a task of the whole fleet: it wants a [lease] table"));
+        return Err(
+            places.error_at("health", "[health] is a task of the whole fleet: it wants a [lease] table")
+        );
     }
     if !may_probe {
         return Err(
-            places.wrong("health", "[health] asks servers for their load, which this site does not allow")
+            places.error_at("health", "[health] asks servers for their load, which this site does not allow")
         );
     }
-    let (mut times, table) = (Times::default(), table.get_ref());
-    places.time("least", &table.least, &mut times.least);
-    places.time("most", &table.most, &mut times.most);
+    let (mut times, table) = (ProbeIntervals::default(), table.get_ref());
+    places.apply_duration("least", &table.least, &mut times.least);
+    places.apply_duration("most", &table.most, &mut times.most);
     if !(Duration::from_millis(500)..=Duration::from_secs(60)).contains(&times.least) {
-        return Err(places.wrong("least", "`least` has to be 500ms to 60s"));
+        return Err(places.error_at("least", "`least` has to be 500ms to 60s"));
     }
     if !(times.least..=Duration::from_secs(300)).contains(&times.most) {
-        return Err(places.wrong("most", "`most` has to be at least `least` and at most 5m"));
+        return Err(places.error_at("most", "`most` has to be at least `least` and at most 5m"));
     }
     Ok(times)
 }
@@ -57,15 +59,20 @@
 struct Asks<U: Upstream> {
     host: Rc<Host<U>>,
     cluster: Rc<Cluster>,
-    times: Times,
+    times: ProbeIntervals,
     began: Instant,
     /// While this node asks for its zone.
-    rounds: RefCell<Option<Rounds>>,
+    rounds: RefCell<Option<ProbeScheduler>>,
     task: Task,
 }
 
 /// Takes part from now on, for good.
-pub fn attend<U: Upstream>(times: Times, host: &Rc<Host<U>>, cluster: &Rc<Cluster>, tasks: &Rc<Tasks>) {
+pub fn attend<U: Upstream>(
+    times: ProbeIntervals,
+    host: &Rc<Host<U>>,
+    cluster: &Rc<Cluster>,
+    tasks: &Rc<Tasks>,
+) {
     let zone = cluster.core().own().zone.clone();
     let task = Task { name: format!("health/{zone}"), zone, standbys: 0 };
     let (host, cluster, began) = (host.clone(), cluster.clone(), Instant::now());
@@ -82,7 +89,7 @@
             }
         }),
     );
-    tasks.attend(task, Asking(asks.clone()));
+    tasks.register(task, Asking(asks.clone()));
     spawn_local(asks.listen());
 }
 
@@ -95,11 +102,11 @@
     fn asker<T>(&self, of: impl FnOnce(&Record) -> T) -> Option<T> {
         let core = self.cluster.core();
         let id = self.task.id();
-        let asks = |r: &Record| r.zone == self.task.zone && runs(r).contains(&id);
+        let asks = |r: &Record| r.zone == self.task.zone && running_tasks(r).contains(&id);
         if asks(core.own()) {
             return Some(of(core.own()));
         }
-        let other = core.members().find(|(_, m)| m.state.counts() && asks(&m.record));
+        let other = core.members().find(|(_, m)| m.state.is_live() && asks(&m.record));
         other.map(|(_, m)| of(&m.record))
     }
 
@@ -108,20 +115,20 @@
         if self.rounds.borrow().is_some() {
             self.reported(name);
         } else if let Some(address) = self.asker(|r| r.address) {
-            self.cluster.carry(address, LANE, name.to_le_bytes().to_vec());
+            self.cluster.send_payload(address, LANE, name.to_le_bytes().to_vec());
         }
     }
 
     fn reported(&self, name: u64) {
         if let Some(rounds) = self.rounds.borrow_mut().as_mut() {
-            rounds.reported(self.now(), name);
+            rounds.report(self.now(), name);
         }
     }
 
     /// Takes up what is told.
     async fn listen(self: Rc<Self>) {
         let mut every = tokio::time::interval(LOOK);
-        let mut known: Vec<Short> = Vec::new();
+        let mut known: Vec<ShortId> = Vec::new();
         loop {
             every.tick().await;
             let told =
@@ -137,21 +144,21 @@
         let silent =
             self.rounds.borrow().as_ref().map(|r| r.silent().collect::<Vec<_>>()).unwrap_or_default();
         tracing::info!(target: "health", kind = "silent", servers = silent.len());
-        self.cluster.tell(Topic::Silent, encode(silent.into_iter()));
+        self.cluster.publish(Topic::Silent, encode(silent.into_iter()));
     }
 
-    async fn ask(self: Rc<Self>, mut term: Term) {
-        *self.rounds.borrow_mut() = Some(Rounds::new(self.times));
+    async fn ask(self: Rc<Self>, mut term: TaskLease) {
+        *self.rounds.borrow_mut() = Some(ProbeScheduler::new(self.times));
         let _ended = Ended(self.clone());
         let mut questions = JoinSet::new();
         let mut every = tokio::time::interval(LOOK);
         loop {
             tokio::select! {
-                () = term.ending() => return,
+                () = term.stop_requested() => return,
                 Some(Ok((name, answer))) = questions.join_next() => {
                     let mut rounds = self.rounds.borrow_mut();
                     let changed = match (rounds.as_mut(), answer) {
-                        (Some(rounds), Some(spoke)) => rounds.answered(name, spoke),
+                        (Some(rounds), Some(spoke)) => rounds.record_answer(name, spoke),
                         // It was not asked.
                         _ => false,
                     };
@@ -166,7 +173,7 @@
                     }
                     let listed = self.host.servers_to_probe();
                     let due = self.rounds.borrow_mut().as_mut().map(|rounds| {
-                        rounds.list(&listed);
+                        rounds.retain_listed(&listed);
                         rounds.due(self.now())
                     });
                     for name in due.into_iter().flatten() {
@@ -191,8 +198,8 @@
 
 struct Asking<U: Upstream>(Rc<Asks<U>>);
 
-impl<U: Upstream> Singleton for Asking<U> {
-    fn run(&self, term: Term) -> Pin<Box<dyn Future<Output = ()>>> {
+impl<U: Upstream> SingletonTask for Asking<U> {
+    fn run(&self, term: TaskLease) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(self.0.clone().ask(term))
     }
 }
@@ -206,7 +213,7 @@
         health: Spanned<Table>,
     }
 
-    fn compiled(text: &str, leases: bool, may_probe: bool) -> Result<Times, String> {
+    fn compiled(text: &str, leases: bool, may_probe: bool) -> Result<ProbeIntervals, String> {
         let file: File = toml::from_str(text).expect("its form is right");
         compile(file.health, leases, may_probe)
             .map_err(|w| format!("{:?}: {}", text.get(w.span).unwrap_or_default(), w.problem))
@@ -214,7 +221,7 @@
 
     #[test]
     fn mistakes_are_told_where_they_are() {
-        assert_eq!(compiled("[health]", true, true), Ok(Times::default()));
+        assert_eq!(compiled("[health]", true, true), Ok(ProbeIntervals::default()));
         let given = compiled("[health]\nleast = \"2s\"\nmost = \"3s\"", true, true).expect("it is right");
         assert_eq!((given.least, given.most), (Duration::from_secs(2), Duration::from_secs(3)));
         for (text, leases, may_probe, place, problem) in [
--- a/node/src/fleet/leases.rs
+++ b/node/src/fleet/leases.rs
@@ -2,12 +2,12 @@
 
 use crate::operations::Part;
 use birchswitch_figures::{Figures, LeaseFigures};
-use birchswitch_lease_host::{Hold, Leases, State};
+use birchswitch_lease_host::{LeaseHandle, Leases, State};
 use birchswitch_operations::{Call, Session};
 use std::rc::Rc;
 
 /// A lease that a caller waits for or holds.
-pub struct Held(pub Hold);
+pub struct Held(pub LeaseHandle);
 
 impl Session for Held {
     /// `WAITING why`, `HELD token slot milliseconds`, or `LOST` for good. The time is that of the guard, by which all has to be over.
@@ -30,7 +30,7 @@
 
 /// What figures tell of them.
 fn figures(leases: &Leases) -> LeaseFigures {
-    let (counts, [held, waiting]) = (leases.counts(), leases.standing());
+    let (counts, [held, waiting]) = (leases.counts(), leases.held_and_waiting());
     LeaseFigures { held, waiting, told: [counts.granted, counts.lost, counts.refused, counts.votes] }
 }
 
@@ -44,13 +44,13 @@
 
     fn answers(&self, call: &Call) -> Option<Result<String, String>> {
         match call {
-            Call::Leases => Some(Ok(self.0.text())),
-            Call::EndLease(name) => Some(Ok(format!("{} told to end", self.0.end(Some(name))))),
+            Call::Leases => Some(Ok(self.0.status_text())),
+            Call::EndLease(name) => Some(Ok(format!("{} told to end", self.0.request_end(Some(name))))),
             _ => None,
         }
     }
 
     fn lease(&self, name: &str, slots: u16) -> Option<Result<Box<dyn Session>, String>> {
-        Some(self.0.want(name, slots).map(|hold| Box::new(Held(hold)) as Box<dyn Session>))
+        Some(self.0.acquire(name, slots).map(|hold| Box::new(Held(hold)) as Box<dyn Session>))
     }
 }
--- a/node/src/fleet/limits.rs
+++ b/node/src/fleet/limits.rs
@@ -45,7 +45,7 @@
             }
         });
         let task = Task { name: TASK.to_owned(), zone: String::new(), standbys: STANDBYS };
-        tasks.attend(task, Reigning::over(mesh, Keeper::serve(mesh, limits, *terms)));
+        tasks.register(task, Reigning::over(mesh, Keeper::serve(mesh, limits, *terms)));
     }
 }
 
--- a/node/src/fleet/links.rs
+++ b/node/src/fleet/links.rs
@@ -4,7 +4,7 @@
 use birchswitch_cluster::{Record, Standing, Topic};
 use birchswitch_cluster_host::Cluster;
 use birchswitch_figures::Figures;
-use birchswitch_lease_host::runs;
+use birchswitch_lease_host::running_tasks;
 use birchswitch_mesh::{Clock, Compiled, Identity, Member, Mesh, MeshError, Roster};
 use birchswitch_operations::Call;
 use birchswitch_quota::Door;
@@ -20,10 +20,10 @@
 pub fn open(compiled: &Compiled, cluster: &Cluster, clock: Clock) -> Result<Mesh, MeshError> {
     let (name, life) = {
         let core = cluster.core();
-        (core.own().name.clone(), core.own().life)
+        (core.own().name.clone(), core.own().generation)
     };
     let mesh = Mesh::start(compiled, &Identity { cluster: cluster.name(), name: &name, life, clock })?;
-    cluster.tell(Topic::Mesh, mesh.address().to_string().into_bytes());
+    cluster.publish(Topic::Mesh, mesh.address().to_string().into_bytes());
     Ok(mesh)
 }
 
@@ -51,12 +51,12 @@
     let member = |record: &Record| {
         let address = record.value(Topic::Mesh).and_then(|b| std::str::from_utf8(b).ok()?.parse().ok());
         let (name, zone) = (record.name.clone(), record.zone.clone());
-        (record.id(), Member { name, zone, life: record.life, address, tasks: runs(record) })
+        (record.id(), Member { name, zone, life: record.generation, address, tasks: running_tasks(record) })
     };
-    let others = core.members().filter(|(_, m)| m.state.counts()).map(|(_, m)| member(&m.record));
+    let others = core.members().filter(|(_, m)| m.state.is_live()).map(|(_, m)| member(&m.record));
     // Who has met nobody yet, and is to, knows nothing of the fleet's size.
-    let unknown = core.standing() == Standing::Alone && core.seeds() > 0;
-    let agreed = if unknown { 0 } else { core.agreed() as u32 };
+    let unknown = core.standing() == Standing::Alone && core.seed_count() > 0;
+    let agreed = if unknown { 0 } else { core.agreed_size() as u32 };
     Roster { members: others.chain([member(core.own())]).collect(), agreed }
 }
 
--- a/node/src/fleet/members.rs
+++ b/node/src/fleet/members.rs
@@ -2,7 +2,7 @@
 
 use crate::operations::Part;
 use birchswitch_cluster::{State, Topic};
-use birchswitch_cluster_host::{Cluster, Compiled, Identity};
+use birchswitch_cluster_host::{Cluster, ClusterSettings, Identity};
 use birchswitch_figures::{ClusterFigures, Figures};
 use birchswitch_host::{Host, Upstream};
 use birchswitch_operations::Call;
@@ -15,7 +15,7 @@
 const TELL: Duration = Duration::from_secs(10);
 
 /// Binds the member's socket.
-pub fn open(compiled: &Compiled, name: &str, seed: u64) -> Result<Rc<Cluster>, Box<dyn Error>> {
+pub fn open(compiled: &ClusterSettings, name: &str, seed: u64) -> Result<Rc<Cluster>, Box<dyn Error>> {
     let who = Identity { name, program: env!("CARGO_PKG_VERSION"), seed };
     Ok(Cluster::open(compiled, &who)?)
 }
@@ -32,7 +32,7 @@
             let revision = host.revision();
             if told != Some(revision) && host.ready() {
                 told = Some(revision);
-                cluster.tell(Topic::ServerList, revision.to_le_bytes().to_vec());
+                cluster.publish(Topic::ServerList, revision.to_le_bytes().to_vec());
             }
         }
     });
@@ -60,7 +60,7 @@
         received: counts.received,
         dropped: counts.dropped,
         told: [counts.suspicions, counts.refutations, counts.verdicts],
-        health: core.health(),
+        health: core.health_score(),
     }
 }
 
@@ -74,7 +74,7 @@
 
     fn answers(&self, call: &Call) -> Option<Result<String, String>> {
         match call {
-            Call::Members => Some(Ok(self.0.text())),
+            Call::Members => Some(Ok(self.0.members_text())),
             Call::Leave if self.0.leave() => Some(Ok("left".to_owned())),
             Call::Leave => Some(Err("this node is no member any more".to_owned())),
             _ => None,
--- a/node/src/fleet/reign.rs
+++ b/node/src/fleet/reign.rs
@@ -1,6 +1,6 @@
 //! A task of the whole fleet that serves on the mesh: it is told its token, and until when it may act, again and again.
 
-use birchswitch_lease_host::{Singleton, Term};
+use birchswitch_lease_host::{SingletonTask, TaskLease};
 use birchswitch_mesh::{Mesh, Reign, Seat, Sitting};
 use std::future::Future;
 use std::pin::Pin;
@@ -38,15 +38,15 @@
     }
 }
 
-impl Singleton for Reigning {
-    fn run(&self, mut term: Term) -> Pin<Box<dyn Future<Output = ()>>> {
+impl SingletonTask for Reigning {
+    fn run(&self, mut term: TaskLease) -> Pin<Box<dyn Future<Output = ()>>> {
         let (mesh, ended) = (self.mesh.clone(), Ended(self.tell.clone()));
         Box::pin(async move {
             while let Some((held, left)) = term.guard() {
                 let until = mesh.clock().after(left);
                 (ended.0)(Some(Reign { token: held.token, until }));
                 tokio::select! {
-                    () = term.ending() => return,
+                    () = term.stop_requested() => return,
                     () = tokio::time::sleep(LOOK) => {}
                 }
             }
--- a/node/src/fleet/tuner.rs
+++ b/node/src/fleet/tuner.rs
@@ -40,7 +40,7 @@
     pub fn run<U: Upstream>(&self, tasks: &Rc<Tasks>, host: &Rc<Host<U>>, advised: &Rc<Advised>) {
         let (terms, mesh) = (self.terms, self.mesh.clone());
         let task = Task { name: TASK.to_owned(), zone: String::new(), standbys: STANDBYS };
-        tasks.attend(task, Reigning::over(&mesh, serve(&mesh, terms)));
+        tasks.register(task, Reigning::over(&mesh, serve(&mesh, terms)));
         let (errands, mut todo) = mpsc::unbounded_channel();
         let to = Reports { task: task_id(TASK), lane: LANE, every: terms.look, patience: terms.look };
         mesh.spawn(report(mesh.clone(), to, errands));
--- a/node/src/fleet/verdicts.rs
+++ b/node/src/fleet/verdicts.rs
@@ -50,7 +50,7 @@
         let (terms, mesh) = (self.terms, self.mesh.clone());
         let name = format!("verdict/{zone}");
         let task = Task { name: name.clone(), zone: zone.to_owned(), standbys: STANDBYS };
-        tasks.attend(task, Reigning::over(&mesh, Bench::serve(&mesh, terms)));
+        tasks.register(task, Reigning::over(&mesh, Bench::serve(&mesh, terms)));
         let (errands, mut todo) = mpsc::unbounded_channel();
         let to = Reports { task: task_id(&name), lane: LANE, every: terms.renew, patience: terms.ttl / 2 };
         mesh.spawn(report(mesh.clone(), to, errands));
--- a/node/src/fleet/wallet.rs
+++ b/node/src/fleet/wallet.rs
@@ -98,7 +98,7 @@
             leader.set_term(reign.map(|reign| LeadershipTerm { token: reign.token }));
         };
         let task = Task { name: TASK.to_owned(), zone: String::new(), standbys: STANDBYS };
-        tasks.attend(task, Reigning { mesh: mesh.clone(), tell: Rc::new(tell) });
+        tasks.register(task, Reigning { mesh: mesh.clone(), tell: Rc::new(tell) });
     }
 
     /// Returns what is not spent, before the node ends.
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's own file, beside what the platform tells: TOML, named by `GW_OPERATOR`. Without one, nothing of it is on.
 
-use birchswitch_cluster_host::{Compiled as Member, Table, Wrong};
-use birchswitch_lease_host::{Compiled as Lease, Table as LeaseTable};
+use birchswitch_cluster_host::{ClusterSettings as Member, ClusterTable, SettingError};
+use birchswitch_lease_host::{LeaseSettings as Lease, LeaseTable};
 use birchswitch_mesh as mesh;
 use birchswitch_quota as quota;
 use birchswitch_thrift_proxy::{Compiled, Settings, SettingsError};
@@ -71,7 +71,7 @@
 struct File {
     #[serde(default)]
     thrift: Vec<Settings>,
-    cluster: Option<Table>,
+    cluster: Option<ClusterTable>,
     lease: Option<Spanned<LeaseTable>>,
     health: Option<Spanned<crate::fleet::health::Table>>,
     mesh: Option<Spanned<mesh::Table>>,
@@ -123,7 +123,7 @@
     /// Leases for tasks of the whole fleet.
     pub lease: Option<Lease>,
     /// One node of a zone asks silent servers for all.
-    pub health: Option<birchswitch_health::Times>,
+    pub health: Option<birchswitch_health::ProbeIntervals>,
     /// TCP between the nodes.
     pub mesh: Option<mesh::Compiled>,
     /// Limits of the whole fleet.
@@ -173,32 +173,36 @@
         let file: File = toml::from_str(&text).map_err(|error| {
             at(path, &text, error.span().map_or(0, |s| s.start), error.message().replace('\n', " "))
         })?;
-        let cluster = file.cluster.map(Table::compile).transpose();
-        let cluster = cluster.map_err(|Wrong { span, problem }| at(path, &text, span.start, problem))?;
+        let cluster = file.cluster.map(ClusterTable::compile).transpose();
+        let cluster =
+            cluster.map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?;
         if let (Some(lease), None) = (&file.lease, &cluster) {
             let problem = "[lease] goes through the members' socket: it wants a [cluster] table".to_owned();
             return Err(at(path, &text, lease.span().start, problem));
         }
         let lease = file.lease.map(|l| l.into_inner().compile()).transpose();
-        let lease = lease.map_err(|Wrong { span, problem }| at(path, &text, span.start, problem))?;
+        let lease = lease.map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?;
         let health = file
             .health
             .map(|h| crate::fleet::health::compile(h, lease.is_some(), site.may_probe))
             .transpose();
-        let health = health.map_err(|Wrong { span, problem }| at(path, &text, span.start, problem))?;
+        let health = health.map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?;
         if let (Some(mesh), None) = (&file.mesh, &cluster) {
             let problem = "[mesh] connects members: it wants a [cluster] table".to_owned();
             return Err(at(path, &text, mesh.span().start, problem));
         }
         let mesh = file.mesh.map(|m| m.into_inner().compile()).transpose();
-        let mesh = mesh.map_err(|Wrong { span, problem }| at(path, &text, span.start, problem))?;
+        let mesh = mesh.map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?;
         let limits = match (file.limits.first(), &lease, &mesh) {
             (None, ..) => None,
             (Some(_), Some(lease), Some(_)) => {
                 let hold = site.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
                 let times = (hold, lease.terms.ttl, lease.terms.drift);
                 let compiled = quota::Compiled::new(&file.limits, file.quota.as_ref(), names, times);
-                Some(compiled.map_err(|Wrong { span, problem }| at(path, &text, span.start, problem))?)
+                Some(
+                    compiled
+                        .map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?,
+                )
             }
             (Some(limit), ..) => {
                 let problem = "limits of the whole fleet want a [lease] and a [mesh] table".to_owned();
@@ -210,13 +214,14 @@
             return Err(at(path, &text, tuner.span().start, problem));
         }
         let tuner = file.tuner.as_ref().map(tuner::Table::compile).transpose();
-        let tuner = tuner.map_err(|Wrong { span, problem }| at(path, &text, span.start, problem))?;
+        let tuner = tuner.map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?;
         if let (Some(verdicts), true) = (&file.verdicts, lease.is_none() || mesh.is_none()) {
             let problem = "verdicts of the whole fleet want a [lease] and a [mesh] table".to_owned();
             return Err(at(path, &text, verdicts.span().start, problem));
         }
         let verdicts = file.verdicts.as_ref().map(verdict::Table::compile).transpose();
-        let verdicts = verdicts.map_err(|Wrong { span, problem }| at(path, &text, span.start, problem))?;
+        let verdicts =
+            verdicts.map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?;
         let member = cluster.as_ref().and_then(|c| c.node.clone()).unwrap_or_else(|| name.to_owned());
         let wallet = match (file.wallet.first(), &file.ledger, &lease, &mesh) {
             (None, None, ..) => None,
@@ -226,7 +231,10 @@
             }
             (Some(_), Some(ledger), Some(_), Some(_)) => {
                 let compiled = wallet::Compiled::new(&file.wallet, ledger, names, &member);
-                Some(compiled.map_err(|Wrong { span, problem }| at(path, &text, span.start, problem))?)
+                Some(
+                    compiled
+                        .map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?,
+                )
             }
             (Some(account), ..) => {
                 let problem = "prepaid accounts want a [ledger], a [lease] and a [mesh] table".to_owned();
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -1,8 +1,8 @@
 //! Nodes among one another, as processes: the short cases of the rig, calls of operators, strangers, a busy thread.
 //! `birchswitch-standin rig` plays the long cases.
 
-use birchswitch_cluster::wire::{self, Body, Message, News, Sender};
-use birchswitch_cluster::{Life, MemberId, Record};
+use birchswitch_cluster::wire::{self, Body, Message, Sender, Update};
+use birchswitch_cluster::{Generation, MemberId, Record};
 use birchswitch_standin::process::{block_on, cpu, node_binary, runs};
 use birchswitch_standin::rig::{cases, Plan, Rig};
 use birchswitch_standin::script::Script;
@@ -199,20 +199,20 @@
 
 /// Of a member that nobody knows; `padding` bytes make the question longer.
 fn join(cluster: &str, from: SocketAddr, padding: usize) -> Vec<u8> {
-    let life = Life { started: 1, draw: 1 };
+    let generation = Generation { started: 1, draw: 1 };
     let record = Record {
         name: "stranger".into(),
         address: from,
         zone: "z".into(),
         program: "0".into(),
-        life,
+        generation,
         incarnation: 1,
         values: Vec::new(),
         tail: Vec::new(),
     };
-    let sender = Sender { id: MemberId::of("stranger"), life, incarnation: 1 };
+    let sender = Sender { id: MemberId::of("stranger"), generation, incarnation: 1 };
     let body = Body::Join { padding: vec![0; padding] };
-    wire::encode(cluster, &Message { sender, body, news: vec![News::Alive(record).encode()] })
+    wire::encode(cluster, &Message { sender, body, updates: vec![Update::Alive(record).encode()] })
 }
 
 /// Everything that is no datagram of a member's is counted and dropped, whatever comes of it in between is served.
