--- a/crates/lab/src/allowed.rs
+++ b/crates/lab/src/allowed.rs
@@ -6,7 +6,7 @@
 
 use crate::chance::Chance;
 use birchswitch_cluster::{Generation, MemberId};
-use birchswitch_mesh::{Clock, Time, Who};
+use birchswitch_mesh::{Clock, ProcessId, Time};
 use birchswitch_quota::bound::over;
 use birchswitch_quota::{
     Allowance, Books, Counts, Demand, Grant, Held, Limit, LimitNeed, Measure, Need, Safeguards, Scope, Terms,
@@ -180,7 +180,7 @@
                 let need =
                     Need { heard: node.heard, limits: vec![LimitNeed { limit: 1, wants, held, out: 0 }] };
                 if let (Some(books), false) = (&mut keeper, cut) {
-                    let who = Who { id: MemberId(n as u64), life: Generation::default() };
+                    let who = ProcessId { id: MemberId(n as u64), generation: Generation::default() };
                     let began = Instant::now();
                     let issue = books.ask(Time::from_secs_f64(now), who, need.heard, &need.limits[0]);
                     (took, asks) = (took + began.elapsed(), asks + 1);
--- a/crates/mesh/src/clock.rs
+++ b/crates/mesh/src/clock.rs
@@ -28,8 +28,8 @@
     }
 
     /// What another node's `length` may last here at the most: its clock may be the slowest, and this one the fastest.
-    pub fn longest(&self, length: Duration) -> Duration {
-        longest(length, self.drift)
+    pub fn max_elapsed(&self, length: Duration) -> Duration {
+        max_elapsed(length, self.drift)
     }
 
     /// How long to sleep until a time, by the system's timers.
@@ -49,6 +49,6 @@
 }
 
 /// What a length by the slowest clock lasts by the fastest, where each is right to so many thousandths.
-pub fn longest(length: Duration, drift: u32) -> Duration {
+pub fn max_elapsed(length: Duration, drift: u32) -> Duration {
     length * (1000 + drift) / (1000 - drift)
 }
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -9,7 +9,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
 /// Most bytes of a frame.
-pub const FRAME_MOST: usize = 256 << 10;
+pub const MAX_FRAME_BYTES: usize = 256 << 10;
 /// For a frame to be taken by the other side's socket.
 const WRITE: Duration = Duration::from_secs(2);
 
@@ -70,7 +70,7 @@
 pub(crate) type Writer<W> = FramedWrite<W, LengthDelimitedCodec>;
 
 pub(crate) fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(FRAME_MOST).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
 impl Frame {
--- a/crates/mesh/src/greeting.rs
+++ b/crates/mesh/src/greeting.rs
@@ -1,7 +1,7 @@
 //! The first thing that either side says: who it is, of which fleet, and in which version it speaks.
 
 use crate::frame::{codec, write, Ended, Reader, Writer};
-use crate::roster::Who;
+use crate::membership::ProcessId;
 use birchswitch_cluster::{Generation, MemberId};
 use futures_util::StreamExt;
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
     pub version: u16,
     pub cluster: String,
     pub name: String,
-    pub life: Generation,
+    pub generation: Generation,
 }
 
 /// Why a connection came to nothing.
@@ -50,12 +50,18 @@
 }
 
 impl Greeting {
-    pub(crate) fn new(cluster: &str, name: &str, life: Generation) -> Self {
-        Greeting { magic: *b"bsm\n", version: VERSION, cluster: cluster.into(), name: name.into(), life }
+    pub(crate) fn new(cluster: &str, name: &str, generation: Generation) -> Self {
+        Greeting {
+            magic: *b"bsm\n",
+            version: VERSION,
+            cluster: cluster.into(),
+            name: name.into(),
+            generation,
+        }
     }
 
     /// Whether somebody who greets so is to be spoken with.
-    pub(crate) fn fits(&self, other: &Greeting) -> Result<Who, Unfit> {
+    pub(crate) fn fits(&self, other: &Greeting) -> Result<ProcessId, Unfit> {
         if other.magic != self.magic || other.name.len() > NAME_MOST {
             return Err(Unfit::Foreign);
         }
@@ -68,7 +74,7 @@
         if other.name == self.name {
             return Err(Unfit::Another(other.name.clone()));
         }
-        Ok(Who { id: MemberId::of(&other.name), life: other.life })
+        Ok(ProcessId { id: MemberId::of(&other.name), generation: other.generation })
     }
 }
 
@@ -77,7 +83,7 @@
 pub(crate) struct Connection {
     pub reader: Reader<OwnedReadHalf>,
     pub writer: Writer<OwnedWriteHalf>,
-    pub who: Who,
+    pub who: ProcessId,
     /// Whether this node dialed it.
     pub dialed: bool,
     /// Its place among those that may be open.
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -12,7 +12,7 @@
 //! - **A peer holds up its own task alone**, whatever it does: it reads a byte a second, stops in the middle of a frame, stands still.
 //! - **Nothing is dropped in silence but what is replaced anyway**: a newer word of a topic takes the older one's place, and whoever asks is
 //!   told by his deadline that no answer came. A question may be heard twice when a connection broke: whoever serves it bears that.
-//! - **What a peer may cost is bounded**: [`ASKS`] questions, [`TOPICS`] words, two frames of [`FRAME_MOST`] bytes and one descriptor.
+//! - **What a peer may cost is bounded**: [`MAX_QUEUED_REQUESTS`] questions, [`MAX_TOPICS`] words, two frames of [`MAX_FRAME_BYTES`] bytes and one descriptor.
 //!
 //! It knows nothing of what it carries. Times are those of [`Clock`].
 
@@ -22,21 +22,23 @@
 mod clock;
 mod frame;
 mod greeting;
+mod leased_service;
 mod line;
 mod listen;
+mod membership;
 mod mesh;
 mod reports;
-mod roster;
-mod seat;
 mod settings;
 #[cfg(test)]
 mod tests;
 
 pub use clock::{Clock, Time};
-pub use frame::FRAME_MOST;
-pub use line::queue::{ASKS, TOPICS};
-pub use mesh::{AskError, Counts, Identity, Mesh, MeshError, Serve, Served, Takes};
-pub use reports::{report, Errand, Reports};
-pub use roster::{Member, Roster, Who};
-pub use seat::{Reign, Seat, Sitting};
-pub use settings::{Compiled, Table};
+pub use frame::MAX_FRAME_BYTES;
+pub use leased_service::{LeadershipTerm, LeasedService, TermHandler};
+pub use line::queue::{MAX_QUEUED_REQUESTS, MAX_TOPICS};
+pub use membership::{Member, MembershipView, ProcessId};
+pub use mesh::{
+    Counters, Identity, Mesh, MeshError, RequestError, RequestHandler, ResponseFuture, TopicHandler,
+};
+pub use reports::{report_periodically, ReportSettings, ReportStep};
+pub use settings::{MeshSettings, MeshTable};
--- a/crates/mesh/src/line/mod.rs
+++ b/crates/mesh/src/line/mod.rs
@@ -8,7 +8,7 @@
 use crate::mesh::Inner;
 use backon::{BackoffBuilder, ExponentialBackoff, ExponentialBuilder};
 use birchswitch_cluster::MemberId;
-use queue::{Ask, Words, ASKS};
+use queue::{Ask, Words, MAX_QUEUED_REQUESTS};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -52,7 +52,7 @@
 impl Line {
     /// Starts a peer's task.
     pub(crate) fn start(mesh: &Arc<Inner>, to: MemberId) -> Arc<Line> {
-        let ((asks, ask), (came, come)) = (mpsc::channel(ASKS), mpsc::channel(CAME));
+        let ((asks, ask), (came, come)) = (mpsc::channel(MAX_QUEUED_REQUESTS), mpsc::channel(CAME));
         let words = Arc::new(Words::default());
         let (pending, next) = (BTreeMap::new(), 0);
         let ends = Ends { to, asks: ask, words: words.clone(), came: come, pending, next };
@@ -83,8 +83,8 @@
             }
         };
         waits = backoff();
-        let (life, dialed) = (connection.who.life, connection.dialed);
-        tracing::info!(target: "mesh", kind = "connected", member = mesh.name(ends.to), draw = life.draw, dialed);
+        let (generation, dialed) = (connection.who.generation, connection.dialed);
+        tracing::info!(target: "mesh", kind = "connected", member = mesh.name(ends.to), draw = generation.draw, dialed);
         let ended = talk::talk(&mesh, connection, &mut ends).await;
         tracing::info!(target: "mesh", kind = "disconnected", member = mesh.name(ends.to), why = %ended);
     }
--- a/crates/mesh/src/line/queue.rs
+++ b/crates/mesh/src/line/queue.rs
@@ -7,9 +7,9 @@
 use tokio::time::Instant;
 
 /// Questions to one peer that wait to be sent, and as many again that wait for their answers.
-pub const ASKS: usize = 64;
+pub const MAX_QUEUED_REQUESTS: usize = 64;
 /// Topics of which the newest word is kept for a peer.
-pub const TOPICS: usize = 16;
+pub const MAX_TOPICS: usize = 16;
 
 /// A question.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     /// Puts a word in the place of an older one. False: there was one, which is dropped.
     pub(crate) fn put(&self, topic: u8, bytes: Bytes) -> bool {
         let mut words = self.words.lock().unwrap_or_else(PoisonError::into_inner);
-        if words.len() >= TOPICS && !words.contains_key(&topic) {
+        if words.len() >= MAX_TOPICS && !words.contains_key(&topic) {
             return false;
         }
         let fresh = words.insert(topic, bytes).is_none();
@@ -87,8 +87,8 @@
         assert_eq!(words.take(), Some((1, bytes(b"new"))));
         assert_eq!(words.take(), Some((2, bytes(b"other"))));
         assert!(words.is_empty());
-        (0..TOPICS as u8).for_each(|t| assert!(words.put(t, bytes(b"x"))));
+        (0..MAX_TOPICS as u8).for_each(|t| assert!(words.put(t, bytes(b"x"))));
         assert!(!words.put(200, bytes(b"x")), "one topic too many");
-        assert!(!words.put(3, bytes(b"y")) && words.words.lock().expect("no panic").len() == TOPICS);
+        assert!(!words.put(3, bytes(b"y")) && words.words.lock().expect("no panic").len() == MAX_TOPICS);
     }
 }
--- a/crates/mesh/src/line/talk.rs
+++ b/crates/mesh/src/line/talk.rs
@@ -1,6 +1,6 @@
 //! What happens on one connection, from both greetings to its end.
 
-use super::queue::ASKS;
+use super::queue::MAX_QUEUED_REQUESTS;
 use super::{reach, Ends};
 use crate::frame::{write, Ended, Frame};
 use crate::greeting::Connection;
@@ -68,7 +68,7 @@
                 write(&mut writer, &Frame::Answer { number, bytes }).await?;
                 wrote = Instant::now();
             }
-            Some(ask) = ends.asks.recv(), if ends.pending.len() < ASKS => {
+            Some(ask) = ends.asks.recv(), if ends.pending.len() < MAX_QUEUED_REQUESTS => {
                 let (lane, bytes) = (ask.lane, ask.bytes.clone());
                 let number = ends.take_up(ask);
                 write(&mut writer, &Frame::Ask { number, lane, bytes }).await?;
@@ -82,7 +82,7 @@
             }
             Some(other) = ends.came.recv() => {
                 // The other side dialed again: it has given up this one. Else the lesser one's stands.
-                let newer = other.who.life > who.life;
+                let newer = other.who.generation > who.generation;
                 if newer || !dialed || reach::stands(who.id, mesh.own.id) {
                     tracing::debug!(target: "mesh", kind = "replaced", member = mesh.name(who.id));
                     let frames = unanswered(ends);
--- a/crates/mesh/src/roster.rs
+++ b/crates/mesh/src/membership.rs
@@ -7,11 +7,11 @@
 
 /// One process under a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Who {
+pub struct ProcessId {
     /// Its name's hash.
     pub id: MemberId,
     /// Which process.
-    pub life: Generation,
+    pub generation: Generation,
 }
 
 /// What is known of a member.
@@ -22,7 +22,7 @@
     /// Its zone.
     pub zone: String,
     /// Which process.
-    pub life: Generation,
+    pub generation: Generation,
     /// Where its mesh takes connections, if it has one.
     pub address: Option<SocketAddr>,
     /// Tasks that it says it runs, as `birchswitch_lease_host::running_tasks` reads them.
@@ -31,14 +31,14 @@
 
 /// Those that count as alive, this node among them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Roster {
+pub struct MembershipView {
     /// By the hashes of their names.
     pub members: BTreeMap<MemberId, Member>,
     /// How many they are by the last agreement of a majority.
     pub agreed: u32,
 }
 
-impl Roster {
+impl MembershipView {
     /// Members that say they run a task: one, but while it changes hands.
     pub fn running(&self, task: u32) -> impl Iterator<Item = MemberId> + '_ {
         self.members.iter().filter(move |(_, m)| m.tasks.contains(&task)).map(|(id, _)| *id)
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -5,8 +5,8 @@
 use crate::line::queue::Ask;
 use crate::line::Line;
 use crate::listen;
-use crate::roster::{Roster, Who};
-use crate::settings::Compiled;
+use crate::membership::{MembershipView, ProcessId};
+use crate::settings::MeshSettings;
 use arc_swap::ArcSwap;
 use birchswitch_cluster::{Generation, MemberId};
 use bytes::Bytes;
@@ -31,7 +31,7 @@
     /// The node's name among its members.
     pub name: &'a str,
     /// Which process.
-    pub life: Generation,
+    pub generation: Generation,
     /// Its clock.
     pub clock: Clock,
 }
@@ -54,31 +54,31 @@
 
 /// Why a question has no answer. It may have been heard all the same, but where it says otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AskError {
+pub enum RequestError {
     /// As many wait for that peer as may: this one was not sent.
     #[error("too many questions wait for that member")]
-    Full,
+    QueueFull,
     /// Nothing came in time.
     #[error("no answer came in time")]
-    Late,
+    TimedOut,
     /// Nobody serves that there, or not now.
     #[error("that member does not serve it")]
-    Unserved,
+    NotServed,
 }
 
 /// Between the answers of two that both say they run a task.
 const TOGETHER: Duration = Duration::from_millis(50);
 
 /// What somebody who serves says in the end; none: not now.
-pub type Served = Pin<Box<dyn Future<Output = Option<Bytes>> + Send>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Option<Bytes>> + Send>>;
 /// Serves the questions of a lane. Has to bear being asked the same twice. Runs on the mesh's thread: it must not block.
-pub type Serve = dyn Fn(Who, Bytes) -> Served + Send + Sync;
+pub type RequestHandler = dyn Fn(ProcessId, Bytes) -> ResponseFuture + Send + Sync;
 /// Takes the words of a topic, on the mesh's thread.
-pub type Takes = dyn Fn(Who, Bytes) + Send + Sync;
+pub type TopicHandler = dyn Fn(ProcessId, Bytes) + Send + Sync;
 
 /// What was counted since the start.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct Counters {
     asked: AtomicU64,
     heard: AtomicU64,
     told: AtomicU64,
@@ -94,7 +94,7 @@
     };
 }
 
-impl Counts {
+impl Counters {
     counts!(asked asked, heard heard, told told, unreached unreached, replaced replaced);
 
     pub(crate) fn connected(&self) {
@@ -119,16 +119,16 @@
 }
 
 pub(crate) struct Inner {
-    pub own: Who,
+    pub own: ProcessId,
     pub greeting: Greeting,
     pub bind: SocketAddr,
     pub places: Arc<Semaphore>,
     pub runtime: Handle,
-    pub counts: Counts,
-    roster: ArcSwap<Roster>,
+    pub counts: Counters,
+    roster: ArcSwap<MembershipView>,
     lines: Mutex<BTreeMap<MemberId, Arc<Line>>>,
-    serves: RwLock<BTreeMap<u8, Arc<Serve>>>,
-    takes: RwLock<BTreeMap<u8, Arc<Takes>>>,
+    serves: RwLock<BTreeMap<u8, Arc<RequestHandler>>>,
+    takes: RwLock<BTreeMap<u8, Arc<TopicHandler>>>,
 }
 
 impl Inner {
@@ -161,12 +161,12 @@
         self.roster.load().members.get(&to)?.address
     }
 
-    pub(crate) fn serve(&self, who: Who, lane: u8, bytes: Bytes) -> Served {
+    pub(crate) fn serve(&self, who: ProcessId, lane: u8, bytes: Bytes) -> ResponseFuture {
         let serves = self.serves.read().unwrap_or_else(PoisonError::into_inner).get(&lane).cloned();
-        serves.map_or_else(|| Box::pin(async { None }) as Served, |serve| serve(who, bytes))
+        serves.map_or_else(|| Box::pin(async { None }) as ResponseFuture, |serve| serve(who, bytes))
     }
 
-    pub(crate) fn takes(&self, who: Who, topic: u8, bytes: Bytes) {
+    pub(crate) fn takes(&self, who: ProcessId, topic: u8, bytes: Bytes) {
         let takes = self.takes.read().unwrap_or_else(PoisonError::into_inner).get(&topic).cloned();
         takes.iter().for_each(|takes| takes(who, bytes.clone()));
     }
@@ -199,7 +199,7 @@
 
 impl Mesh {
     /// Listens, and starts the thread on which all of it runs.
-    pub fn start(compiled: &Compiled, who: &Identity) -> Result<Mesh, MeshError> {
+    pub fn start(compiled: &MeshSettings, who: &Identity) -> Result<Mesh, MeshError> {
         let bind = |source| MeshError::Bind { address: compiled.bind, source };
         let listener = std::net::TcpListener::bind(compiled.bind).map_err(bind)?;
         listener.set_nonblocking(true).map_err(bind)?;
@@ -208,12 +208,12 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(MeshError::Thread)?;
         let inner = Arc::new(Inner {
-            own: Who { id: MemberId::of(who.name), life: who.life },
-            greeting: Greeting::new(who.cluster, who.name, who.life),
+            own: ProcessId { id: MemberId::of(who.name), generation: who.generation },
+            greeting: Greeting::new(who.cluster, who.name, who.generation),
             bind: compiled.bind,
             places: Arc::new(Semaphore::new(compiled.connections)),
             runtime: runtime.handle().clone(),
-            counts: Counts::default(),
+            counts: Counters::default(),
             roster: ArcSwap::default(),
             lines: Mutex::default(),
             serves: RwLock::default(),
@@ -247,7 +247,7 @@
     }
 
     /// Who this node is.
-    pub fn own(&self) -> Who {
+    pub fn own(&self) -> ProcessId {
         self.inner.own
     }
 
@@ -257,12 +257,12 @@
     }
 
     /// Who the fleet's nodes are from now on.
-    pub fn told(&self, roster: Roster) {
+    pub fn set_membership(&self, roster: MembershipView) {
         self.inner.roster.store(Arc::new(roster));
     }
 
     /// Who they are.
-    pub fn roster(&self) -> Arc<Roster> {
+    pub fn membership(&self) -> Arc<MembershipView> {
         self.inner.roster.load_full()
     }
 
@@ -272,49 +272,49 @@
     }
 
     /// Questions of that lane are served so from now on.
-    pub fn serve(&self, lane: u8, serve: Arc<Serve>) {
+    pub fn serve(&self, lane: u8, serve: Arc<RequestHandler>) {
         self.inner.serves.write().unwrap_or_else(PoisonError::into_inner).insert(lane, serve);
     }
 
     /// Words of that topic are taken so from now on.
-    pub fn takes(&self, topic: u8, takes: Arc<Takes>) {
+    pub fn subscribe(&self, topic: u8, takes: Arc<TopicHandler>) {
         self.inner.takes.write().unwrap_or_else(PoisonError::into_inner).insert(topic, takes);
     }
 
     /// Asks a member, this node too.
-    pub async fn ask(
+    pub async fn request(
         &self,
         to: MemberId,
         lane: u8,
         bytes: Bytes,
         patience: Duration,
-    ) -> Result<Bytes, AskError> {
+    ) -> Result<Bytes, RequestError> {
         let answer = if to == self.inner.own.id {
             timeout(patience, self.inner.serve(self.inner.own, lane, bytes))
                 .await
-                .map_err(|_| AskError::Late)?
+                .map_err(|_| RequestError::TimedOut)?
         } else {
             let (reply, answer) = oneshot::channel();
             let ask = Ask { lane, bytes, until: Instant::now() + patience, reply };
-            Inner::line(&self.inner, to).asks.try_send(ask).map_err(|_| AskError::Full)?;
-            let answer = timeout(patience, answer).await.map_err(|_| AskError::Late)?;
-            answer.map_err(|_| AskError::Late)?
+            Inner::line(&self.inner, to).asks.try_send(ask).map_err(|_| RequestError::QueueFull)?;
+            let answer = timeout(patience, answer).await.map_err(|_| RequestError::TimedOut)?;
+            answer.map_err(|_| RequestError::TimedOut)?
         };
-        answer.ok_or(AskError::Unserved)
+        answer.ok_or(RequestError::NotServed)
     }
 
     /// Asks all members that say they run a task: one, but while it changes hands. Their answers, or why there are none; whoever is
     /// much later than the first that answers is not waited for.
-    pub async fn ask_running(
+    pub async fn request_from_running(
         &self,
         task: u32,
         lane: u8,
         question: Bytes,
         patience: Duration,
-    ) -> Vec<Result<Bytes, AskError>> {
-        let runs: Vec<MemberId> = self.roster().running(task).collect();
+    ) -> Vec<Result<Bytes, RequestError>> {
+        let runs: Vec<MemberId> = self.membership().running(task).collect();
         let mut asked: FuturesUnordered<_> =
-            runs.iter().map(|member| self.ask(*member, lane, question.clone(), patience)).collect();
+            runs.iter().map(|member| self.request(*member, lane, question.clone(), patience)).collect();
         let mut answers = Vec::new();
         while let Some(answer) = asked.next().await {
             let first = answer.is_ok();
@@ -330,7 +330,7 @@
     }
 
     /// Tells a member something; an older word of the same topic that was not sent yet is dropped.
-    pub fn tell(&self, to: MemberId, topic: u8, bytes: Bytes) {
+    pub fn publish(&self, to: MemberId, topic: u8, bytes: Bytes) {
         if to == self.inner.own.id {
             return self.inner.takes(self.inner.own, topic, bytes);
         }
@@ -340,7 +340,7 @@
     }
 
     /// What was counted.
-    pub fn counts(&self) -> &Counts {
+    pub fn counters(&self) -> &Counters {
         &self.inner.counts
     }
 }
--- a/crates/mesh/src/reports.rs
+++ b/crates/mesh/src/reports.rs
@@ -10,44 +10,47 @@
 
 /// What the node's thread does for it.
 #[derive(Debug)]
-pub enum Errand<R, W> {
+pub enum ReportStep<R, W> {
     /// Say what is to be reported, and when that was so.
-    Report(oneshot::Sender<(Time, R)>),
+    Collect(oneshot::Sender<(Time, R)>),
     /// Take up a word that was asked for then.
-    Obey(Time, W),
+    Apply(Time, W),
 }
 
 /// To whom, and how often.
 #[derive(Clone, Copy, Debug)]
-pub struct Reports {
+pub struct ReportSettings {
     /// The task that its receiver runs.
     pub task: u32,
     /// The lane on which it serves.
     pub lane: u8,
     /// Between two reports.
-    pub every: Duration,
+    pub interval: Duration,
     /// How long a word is waited for. What was reported in vain is lost: it would be late.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Reports until the node's thread is gone.
-pub async fn report<R, W>(mesh: Mesh, to: Reports, errands: mpsc::UnboundedSender<Errand<R, W>>)
-where
+pub async fn report_periodically<R, W>(
+    mesh: Mesh,
+    to: ReportSettings,
+    errands: mpsc::UnboundedSender<ReportStep<R, W>>,
+) where
     R: Serialize,
     W: DeserializeOwned,
 {
-    let mut every = interval(to.every);
+    let mut every = interval(to.interval);
     every.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         every.tick().await;
         let (tell, told) = oneshot::channel();
-        let Ok(()) = errands.send(Errand::Report(tell)) else { return };
+        let Ok(()) = errands.send(ReportStep::Collect(tell)) else { return };
         let Ok((asked, report)) = told.await else { return };
         let Ok(question) = postcard::to_stdvec(&report) else { continue };
-        for answer in mesh.ask_running(to.task, to.lane, Bytes::from(question), to.patience).await {
+        for answer in mesh.request_from_running(to.task, to.lane, Bytes::from(question), to.timeout).await {
             let Ok(answer) = answer else { continue };
             let Ok(word) = postcard::from_bytes::<W>(&answer) else { continue };
-            let Ok(()) = errands.send(Errand::Obey(asked, word)) else { return };
+            let Ok(()) = errands.send(ReportStep::Apply(asked, word)) else { return };
         }
     }
 }
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -11,7 +11,7 @@
 /// The table as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Table {
+pub struct MeshTable {
     bind: Spanned<SocketAddr>,
     advertise: Option<Spanned<SocketAddr>>,
     connections: Option<Spanned<usize>>,
@@ -19,7 +19,7 @@
 
 /// The table, checked.
 #[derive(Clone, Debug)]
-pub struct Compiled {
+pub struct MeshSettings {
     /// Where it listens, and from where it dials.
     pub bind: SocketAddr,
     /// Where others connect to, if not where it listens.
@@ -28,9 +28,9 @@
     pub connections: usize,
 }
 
-impl Table {
+impl MeshTable {
     /// Checks each setting by itself and beside the others.
-    pub fn compile(self) -> Result<Compiled, SettingError> {
+    pub fn compile(self) -> Result<MeshSettings, SettingError> {
         let mut places = SettingSpans::new("bind", &self.bind);
         let advertise = places.record("advertise", &self.advertise).copied();
         let connections = places.record("connections", &self.connections).copied().unwrap_or(CONNECTIONS);
@@ -46,7 +46,7 @@
         if !(4..=16_384).contains(&connections) {
             return Err(places.error_at("connections", "`connections` has to be 4 to 16384"));
         }
-        Ok(Compiled { bind, advertise, connections })
+        Ok(MeshSettings { bind, advertise, connections })
     }
 }
 
@@ -56,7 +56,7 @@
 
     #[test]
     fn mistakes_are_told_where_they_are() {
-        let compile = |text: &str| toml::from_str::<Table>(text).expect("its form is right").compile();
+        let compile = |text: &str| toml::from_str::<MeshTable>(text).expect("its form is right").compile();
         let plain = compile("bind = \"127.0.0.1:0\"").expect("it is right");
         assert_eq!((plain.connections, plain.advertise), (CONNECTIONS, None));
         for (text, place) in [
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -1,8 +1,8 @@
 //! Meshes against each other and against peers that behave badly, on loopback.
 
-use crate::frame::{codec, Frame, FRAME_MOST};
+use crate::frame::{codec, Frame, MAX_FRAME_BYTES};
 use crate::greeting::{Greeting, VERSION};
-use crate::{AskError, Clock, Compiled, Identity, Member, Mesh, Roster, ASKS};
+use crate::{Clock, Identity, Member, MembershipView, Mesh, MeshSettings, RequestError, MAX_QUEUED_REQUESTS};
 use birchswitch_cluster::{Generation, MemberId};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -16,35 +16,35 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const ECHO: u8 = 1;
 
-fn life(started: u64) -> Generation {
+fn generation(started: u64) -> Generation {
     Generation { started, draw: 1 }
 }
 
 /// A mesh that gives back what it is asked.
 fn mesh(name: &str, started: u64) -> Mesh {
-    let compiled = Compiled { bind: ([127, 0, 0, 1], 0).into(), advertise: None, connections: 64 };
-    let who = Identity { cluster: "c", name, life: life(started), clock: Clock::new(1000, 50) };
+    let compiled = MeshSettings { bind: ([127, 0, 0, 1], 0).into(), advertise: None, connections: 64 };
+    let who = Identity { cluster: "c", name, generation: generation(started), clock: Clock::new(1000, 50) };
     let mesh = Mesh::start(&compiled, &who).expect("a mesh");
     mesh.serve(ECHO, Arc::new(|_, bytes| Box::pin(async move { Some(bytes) })));
     mesh
 }
 
-fn roster(members: &[(&str, SocketAddr)]) -> Roster {
+fn roster(members: &[(&str, SocketAddr)]) -> MembershipView {
     let member = |(name, address): &(&str, SocketAddr)| {
         let (name, zone) = ((*name).to_owned(), String::new());
-        let (id, life) = (MemberId::of(&name), life(1));
-        (id, Member { name, zone, life, address: Some(*address), tasks: Vec::new() })
+        let (id, generation) = (MemberId::of(&name), generation(1));
+        (id, Member { name, zone, generation, address: Some(*address), tasks: Vec::new() })
     };
-    Roster { members: members.iter().map(member).collect(), agreed: members.len() as u32 }
+    MembershipView { members: members.iter().map(member).collect(), agreed: members.len() as u32 }
 }
 
 fn know_each_other(meshes: &[(&str, &Mesh)]) {
     let members: Vec<_> = meshes.iter().map(|(name, m)| (*name, m.address())).collect();
-    meshes.iter().for_each(|(_, m)| m.told(roster(&members)));
+    meshes.iter().for_each(|(_, m)| m.set_membership(roster(&members)));
 }
 
-async fn echo(mesh: &Mesh, to: &str, text: &'static str) -> Result<Bytes, AskError> {
-    mesh.ask(MemberId::of(to), ECHO, Bytes::from_static(text.as_bytes()), PATIENCE).await
+async fn echo(mesh: &Mesh, to: &str, text: &'static str) -> Result<Bytes, RequestError> {
+    mesh.request(MemberId::of(to), ECHO, Bytes::from_static(text.as_bytes()), PATIENCE).await
 }
 
 async fn until(what: &str, holds: impl Fn() -> bool) {
@@ -63,10 +63,10 @@
     assert_eq!(echo(&a, "b", "one").await, Ok(Bytes::from_static(b"one")));
     assert_eq!(echo(&b, "a", "two").await, Ok(Bytes::from_static(b"two")));
     assert_eq!(echo(&a, "a", "own").await, Ok(Bytes::from_static(b"own")), "itself");
-    let unserved = a.ask(MemberId::of("b"), 9, Bytes::new(), PATIENCE).await;
-    assert_eq!(unserved, Err(AskError::Unserved));
-    let nobody = a.ask(MemberId::of("c"), ECHO, Bytes::new(), Duration::from_millis(300)).await;
-    assert_eq!(nobody, Err(AskError::Late));
+    let unserved = a.request(MemberId::of("b"), 9, Bytes::new(), PATIENCE).await;
+    assert_eq!(unserved, Err(RequestError::NotServed));
+    let nobody = a.request(MemberId::of("c"), ECHO, Bytes::new(), Duration::from_millis(300)).await;
+    assert_eq!(nobody, Err(RequestError::TimedOut));
 }
 
 #[tokio::test]
@@ -76,7 +76,7 @@
         know_each_other(&[("a", &a), ("b", &b)]);
         let (to_b, to_a) = tokio::join!(echo(&a, "b", "x"), echo(&b, "a", "y"));
         assert!(to_b.is_ok() && to_a.is_ok(), "{to_b:?} {to_a:?}");
-        until("one connection", || a.counts().connections()[0] == 1 && b.counts().connections()[0] == 1)
+        until("one connection", || a.counters().connections()[0] == 1 && b.counters().connections()[0] == 1)
             .await;
         assert!(echo(&a, "b", "z").await.is_ok() && echo(&b, "a", "z").await.is_ok());
     }
@@ -118,7 +118,7 @@
     let address = listener.local_addr().expect("its address");
     tokio::spawn(async move {
         let (stream, _) = listener.accept().await.expect("a connection");
-        let framed = greeted(stream, &Greeting::new("c", name, life(1))).await;
+        let framed = greeted(stream, &Greeting::new("c", name, generation(1))).await;
         let stream = framed.into_inner();
         match how {
             Rude::ReadsNothing => {}
@@ -145,17 +145,17 @@
 
 async fn bears(how: Rude) {
     let (a, b) = (mesh("a", 1), mesh("b", 1));
-    a.told(roster(&[("a", a.address()), ("b", b.address()), ("r", rude("r", how).await)]));
-    let large = Bytes::from(vec![7; FRAME_MOST - 64]);
+    a.set_membership(roster(&[("a", a.address()), ("b", b.address()), ("r", rude("r", how).await)]));
+    let large = Bytes::from(vec![7; MAX_FRAME_BYTES - 64]);
     let rude = tokio::spawn({
         let a = a.clone();
         async move {
-            let asks =
-                (0..ASKS).map(|_| a.ask(MemberId::of("r"), ECHO, large.clone(), Duration::from_secs(6)));
+            let asks = (0..MAX_QUEUED_REQUESTS)
+                .map(|_| a.request(MemberId::of("r"), ECHO, large.clone(), Duration::from_secs(6)));
             futures_util::future::join_all(asks).await
         }
     });
-    until("a connection to the rude one", || a.counts().connections()[1] > 0).await;
+    until("a connection to the rude one", || a.counters().connections()[1] > 0).await;
     let began = Instant::now();
     let mut longest = Duration::ZERO;
     while began.elapsed() < Duration::from_secs(2) {
@@ -167,14 +167,14 @@
     let answers = timeout(PATIENCE, rude).await.expect("all are told").expect("no panic");
     assert!(answers.iter().all(Result::is_err), "{how:?}");
     // It is given up once it says nothing: only the sound one's connection is left, or a fresh one that is tried.
-    until("its connection's end", || a.counts().connections()[0] <= 1).await;
+    until("its connection's end", || a.counters().connections()[0] <= 1).await;
 }
 
 #[tokio::test]
 async fn strangers_are_turned_away_and_cost_nobody_else_anything() {
     let (a, b) = (mesh("a", 1), mesh("b", 1));
     know_each_other(&[("a", &a), ("b", &b)]);
-    let own = Greeting::new("c", "x", life(1));
+    let own = Greeting::new("c", "x", generation(1));
     for wrong in [
         Greeting { cluster: "other".into(), ..own.clone() },
         Greeting { version: VERSION + 1, ..own.clone() },
@@ -199,16 +199,17 @@
     let a = mesh("a", 1);
     // Nobody listens there.
     let closed = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
-    a.told(roster(&[("a", a.address()), ("n", closed)]));
-    let all = (0..ASKS * 3).map(|_| a.ask(MemberId::of("n"), ECHO, Bytes::new(), Duration::from_millis(500)));
+    a.set_membership(roster(&[("a", a.address()), ("n", closed)]));
+    let all = (0..MAX_QUEUED_REQUESTS * 3)
+        .map(|_| a.request(MemberId::of("n"), ECHO, Bytes::new(), Duration::from_millis(500)));
     let all = futures_util::future::join_all(all).await;
     let count = |error| all.iter().filter(|a| **a == Err(error)).count();
-    assert!(count(AskError::Full) >= ASKS, "{}", count(AskError::Full));
-    assert_eq!(count(AskError::Full) + count(AskError::Late), ASKS * 3);
+    assert!(count(RequestError::QueueFull) >= MAX_QUEUED_REQUESTS, "{}", count(RequestError::QueueFull));
+    assert_eq!(count(RequestError::QueueFull) + count(RequestError::TimedOut), MAX_QUEUED_REQUESTS * 3);
     // What was given up makes room again, once the peer's task has seen it.
     let again = async {
-        while a.ask(MemberId::of("n"), ECHO, Bytes::new(), Duration::from_millis(100)).await
-            != Err(AskError::Late)
+        while a.request(MemberId::of("n"), ECHO, Bytes::new(), Duration::from_millis(100)).await
+            != Err(RequestError::TimedOut)
         {
             sleep(Duration::from_millis(5)).await;
         }
@@ -222,11 +223,11 @@
     know_each_other(&[("a", &a), ("b", &b)]);
     let came = Arc::new(Mutex::new(Vec::new()));
     let takes = came.clone();
-    b.takes(3, Arc::new(move |_, bytes| takes.lock().expect("no panic").push(bytes[0])));
-    (0..=200).for_each(|n| a.tell(MemberId::of("b"), 3, Bytes::from(vec![n])));
+    b.subscribe(3, Arc::new(move |_, bytes| takes.lock().expect("no panic").push(bytes[0])));
+    (0..=200).for_each(|n| a.publish(MemberId::of("b"), 3, Bytes::from(vec![n])));
     until("the newest word", || came.lock().expect("no panic").last() == Some(&200)).await;
     assert!(came.lock().expect("no panic").is_sorted());
-    assert!(a.counts().messages()[3] > 0, "some were replaced before they went");
+    assert!(a.counters().messages()[3] > 0, "some were replaced before they went");
 }
 
 /// A question that an old connection took along is asked anew on the next.
@@ -234,14 +235,14 @@
 async fn a_question_outlives_its_connection() {
     let a = mesh("a", 1);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
-    a.told(roster(&[("a", a.address()), ("p", listener.local_addr().expect("its address"))]));
+    a.set_membership(roster(&[("a", a.address()), ("p", listener.local_addr().expect("its address"))]));
     let asked = tokio::spawn({
         let a = a.clone();
         async move { echo(&a, "p", "x").await }
     });
     let accept = || async {
         let (stream, _) = timeout(PATIENCE, listener.accept()).await.expect("a connection").expect("one");
-        greeted(stream, &Greeting::new("c", "p", life(1))).await
+        greeted(stream, &Greeting::new("c", "p", generation(1))).await
     };
     let ask = |frame: Frame| match frame {
         Frame::Ask { number, bytes, .. } => (number, bytes),
@@ -265,12 +266,12 @@
     let mut roster =
         roster(&[("a", a.address()), ("b", b.address()), ("r", rude("r", Rude::ReadsNothing).await)]);
     roster.members.values_mut().filter(|m| m.name != "a").for_each(|m| m.tasks = vec![7]);
-    a.told(roster);
+    a.set_membership(roster);
     let asked = Instant::now();
-    let answers = a.ask_running(7, ECHO, Bytes::from_static(b"x"), PATIENCE).await;
+    let answers = a.request_from_running(7, ECHO, Bytes::from_static(b"x"), PATIENCE).await;
     assert_eq!(answers, [Ok(Bytes::from_static(b"x"))]);
     assert!(asked.elapsed() < PATIENCE / 2, "{:?}", asked.elapsed());
-    assert_eq!(a.ask_running(8, ECHO, Bytes::new(), PATIENCE).await, []);
+    assert_eq!(a.request_from_running(8, ECHO, Bytes::new(), PATIENCE).await, []);
 }
 
 /// What 300 peers cost a node, by command: `cargo test --release -p birchswitch-mesh -- --ignored --nocapture peers_cost`.
@@ -284,8 +285,8 @@
             line.split_ascii_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number");
         (memory, std::fs::read_dir("/proc/self/fd").expect("linux").count())
     };
-    let compiled = Compiled { bind: ([127, 0, 0, 1], 0).into(), advertise: None, connections: 400 };
-    let who = Identity { cluster: "c", name: "hub", life: life(1), clock: Clock::new(1000, 50) };
+    let compiled = MeshSettings { bind: ([127, 0, 0, 1], 0).into(), advertise: None, connections: 400 };
+    let who = Identity { cluster: "c", name: "hub", generation: generation(1), clock: Clock::new(1000, 50) };
     let hub = Mesh::start(&compiled, &who).expect("a mesh");
     hub.serve(ECHO, Arc::new(|_, bytes| Box::pin(async move { Some(bytes) })));
     let names: Vec<String> = (0..300).map(|n| format!("p{n}")).collect();
@@ -293,10 +294,10 @@
     let mut all: Vec<(&str, SocketAddr)> = vec![("hub", hub.address())];
     all.extend(names.iter().zip(&peers).map(|(n, m)| (n.as_str(), m.address())));
     let roster = roster(&all);
-    peers.iter().chain([&hub]).for_each(|m| m.told(roster.clone()));
+    peers.iter().chain([&hub]).for_each(|m| m.set_membership(roster.clone()));
     sleep(Duration::from_millis(200)).await;
     let before = size();
-    let asks = names.iter().map(|n| hub.ask(MemberId::of(n), ECHO, Bytes::from(vec![1; 2000]), PATIENCE));
+    let asks = names.iter().map(|n| hub.request(MemberId::of(n), ECHO, Bytes::from(vec![1; 2000]), PATIENCE));
     let answered = futures_util::future::join_all(asks).await.iter().filter(|a| a.is_ok()).count();
     let after = size();
     println!(
--- a/crates/quota/src/asker.rs
+++ b/crates/quota/src/asker.rs
@@ -80,7 +80,7 @@
 /// The word of whoever keeps the limits; of two, while they change hands, the later one's.
 async fn best(mesh: &Mesh, need: &Need, patience: Duration) -> Option<Word> {
     let question: Bytes = postcard::to_stdvec(need).ok()?.into();
-    let answers = mesh.ask_running(task_id(TASK), LANE, question, patience).await;
+    let answers = mesh.request_from_running(task_id(TASK), LANE, question, patience).await;
     let words = answers.into_iter().filter_map(|a| postcard::from_bytes::<Word>(&a.ok()?).ok());
     words.max_by_key(|word| word.token)
 }
--- a/crates/quota/src/books.rs
+++ b/crates/quota/src/books.rs
@@ -5,7 +5,7 @@
 
 use crate::parting::{part, Turn};
 use crate::{Issue, Limit, LimitNeed, Measure, Part, Terms, Want};
-use birchswitch_mesh::{Clock, Time, Who};
+use birchswitch_mesh::{Clock, ProcessId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -66,7 +66,7 @@
     quarantine: Time,
     /// What of that was confirmed by its nodes: all that is parted until then.
     adopted: Part,
-    lives: BTreeMap<Who, Life>,
+    lives: BTreeMap<ProcessId, Life>,
     /// What all lives together may hold. What ended since it was worked out counts still.
     sum: Sum,
     number: u64,
@@ -136,7 +136,7 @@
     ///
     /// What it holds of an earlier keeper's is taken up only from one that has heard this one's token: it asked after this one began, and
     /// the grant had not ended then, so that the earlier one never gave it to another; and it takes no more from that one.
-    pub fn ask(&mut self, now: Time, who: Who, heard: u64, need: &LimitNeed) -> Option<Issue> {
+    pub fn ask(&mut self, now: Time, who: ProcessId, heard: u64, need: &LimitNeed) -> Option<Issue> {
         if now >= self.tidied + FRESH {
             self.tidy(now);
         }
@@ -260,8 +260,8 @@
         Books::new(&limit(measure), &TERMS, Clock::new(1000, 50), token, now)
     }
 
-    fn who(n: u64) -> Who {
-        Who { id: MemberId(n), life: Process { started: 1, draw: 0 } }
+    fn who(n: u64) -> ProcessId {
+        ProcessId { id: MemberId(n), generation: Process { started: 1, draw: 0 } }
     }
 
     fn need(amount: f32, held: Option<Held>) -> LimitNeed {
@@ -338,7 +338,7 @@
     fn a_life_that_ended_is_not_forgotten_before_its_grant_is() {
         let mut b = books(RATE, 1, s(0.0));
         asks(&mut b, s(5.0), 1, 500.0, &mut None);
-        let reborn = Who { life: Process { started: 2, draw: 0 }, ..who(1) };
+        let reborn = ProcessId { generation: Process { started: 2, draw: 0 }, ..who(1) };
         let issue = b.ask(s(5.1), reborn, 1, &need(500.0, None)).expect("room");
         assert!(issue.part.flow < 1e-9, "{issue:?}");
     }
--- a/crates/quota/src/keeper.rs
+++ b/crates/quota/src/keeper.rs
@@ -1,7 +1,7 @@
 //! The keeper's side: while this node holds the lease, whoever asks is answered from the books.
 
 use crate::{Books, Limit, Need, Terms, Word};
-use birchswitch_mesh::{Mesh, Seat, Sitting, Time, Who};
+use birchswitch_mesh::{LeasedService, Mesh, ProcessId, TermHandler, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -19,9 +19,9 @@
 
 impl Keeper {
     /// Serves on the mesh from now on, whenever it is keeper.
-    pub fn serve(mesh: &Mesh, limits: &[Limit], terms: Terms) -> Arc<Seat<Keeper>> {
+    pub fn serve(mesh: &Mesh, limits: &[Limit], terms: Terms) -> Arc<LeasedService<Keeper>> {
         let (limits, clock) = (limits.to_vec(), mesh.clock());
-        Seat::serve(mesh, LANE, move |token, now| {
+        LeasedService::serve(mesh, LANE, move |token, now| {
             tracing::info!(target: "quota", kind = "keeps", token);
             let new = |limit: &Limit| (limit.id, Books::new(limit, &terms, clock, token, now));
             Keeper { token, books: limits.iter().map(new).collect() }
@@ -29,15 +29,15 @@
     }
 }
 
-impl Sitting for Keeper {
-    type Question = Need;
-    type Word = Word;
+impl TermHandler for Keeper {
+    type Request = Need;
+    type Response = Word;
 
-    fn heard(need: &Need) -> Option<u64> {
+    fn highest_token(need: &Need) -> Option<u64> {
         need.sound().then_some(need.heard)
     }
 
-    fn answer(&mut self, now: Time, who: Who, need: Need) -> Word {
+    fn handle(&mut self, now: Time, who: ProcessId, need: Need) -> Word {
         let issue = |of: &crate::LimitNeed| {
             let books = self.books.get_mut(&of.limit)?;
             books.ask(now, who, need.heard, of)
--- a/crates/quota/src/terms.rs
+++ b/crates/quota/src/terms.rs
@@ -52,11 +52,11 @@
 
     /// For how long the keeper counts a grant as held after it gave it.
     pub fn held(&self, limit: &Limit, clock: &Clock) -> Duration {
-        let use_ends = clock.longest(self.ttl);
+        let use_ends = clock.max_elapsed(self.ttl);
         match limit.measure {
             Measure::Rate { .. } => use_ends,
             // What was let in at the last moment still runs.
-            Measure::InFlight { .. } => use_ends + clock.longest(self.hold),
+            Measure::InFlight { .. } => use_ends + clock.max_elapsed(self.hold),
         }
     }
 }
--- a/crates/quota/tests/bound.rs
+++ b/crates/quota/tests/bound.rs
@@ -2,7 +2,7 @@
 //! is counted by true time, in every window; each safeguard taken away is found.
 
 use birchswitch_cluster::{Generation, MemberId};
-use birchswitch_mesh::{Clock, Time, Who};
+use birchswitch_mesh::{Clock, ProcessId, Time};
 use birchswitch_quota::{
     bound, Allowance, Books, Grant, Held, Limit, LimitNeed, Measure, Part, Safeguards, Scope, Terms, Want,
     WhenCut,
@@ -115,7 +115,7 @@
             if let Some(question) = node.question.take_if(|q| now >= q.arrives) {
                 if let (Some(books), false) = (&mut books, node.cut) {
                     if question.heard <= token {
-                        let who = Who { id: MemberId(n as u64), life: Generation::default() };
+                        let who = ProcessId { id: MemberId(n as u64), generation: Generation::default() };
                         let keeper = Time::from_secs_f64(now * rate);
                         let issue = books.ask(keeper, who, question.heard, &question.need);
                         let issue = issue.map(|i| (i.number, i.part));
--- a/crates/tuner/src/seat.rs
+++ b/crates/tuner/src/seat.rs
@@ -3,7 +3,7 @@
 use crate::message::{Report, Word};
 use crate::session::{Looked, Session};
 use crate::step::Terms;
-use birchswitch_mesh::{Mesh, Seat, Sitting, Time, Who};
+use birchswitch_mesh::{LeasedService, Mesh, ProcessId, TermHandler, Time};
 use std::sync::Arc;
 
 /// The mesh's lane for weights.
@@ -12,22 +12,22 @@
 pub const TASK: &str = "tuner";
 
 /// Serves on the mesh from now on, whenever it is tuner.
-pub fn serve(mesh: &Mesh, terms: Terms) -> Arc<Seat<Session>> {
-    Seat::serve(mesh, LANE, move |token, now| {
+pub fn serve(mesh: &Mesh, terms: Terms) -> Arc<LeasedService<Session>> {
+    LeasedService::serve(mesh, LANE, move |token, now| {
         tracing::info!(target: "tuner", kind = "tunes", token);
         Session::new(terms, token, now)
     })
 }
 
-impl Sitting for Session {
-    type Question = Report;
-    type Word = Word;
+impl TermHandler for Session {
+    type Request = Report;
+    type Response = Word;
 
-    fn heard(report: &Report) -> Option<u64> {
+    fn highest_token(report: &Report) -> Option<u64> {
         Some(report.heard.0)
     }
 
-    fn answer(&mut self, now: Time, _: Who, report: Report) -> Word {
+    fn handle(&mut self, now: Time, _: ProcessId, report: Report) -> Word {
         let (word, looked) = self.hear(now, &report);
         if let Some(Looked { back, turned, servers, parts: [without, with, predicted] }) = looked {
             if back {
--- a/crates/verdict/src/bench.rs
+++ b/crates/verdict/src/bench.rs
@@ -3,7 +3,7 @@
 use crate::judge::Terms;
 use crate::message::{Report, Word};
 use crate::session::Session;
-use birchswitch_mesh::{Mesh, Seat, Sitting, Time, Who};
+use birchswitch_mesh::{LeasedService, Mesh, ProcessId, TermHandler, Time};
 use std::sync::Arc;
 
 /// The mesh's lane for verdicts.
@@ -12,28 +12,28 @@
 /// A judge, under one token.
 pub struct Bench {
     terms: Terms,
-    session: Session<Who>,
+    session: Session<ProcessId>,
 }
 
 impl Bench {
     /// Serves on the mesh from now on, whenever it is judge.
-    pub fn serve(mesh: &Mesh, terms: Terms) -> Arc<Seat<Bench>> {
-        Seat::serve(mesh, LANE, move |token, _| {
+    pub fn serve(mesh: &Mesh, terms: Terms) -> Arc<LeasedService<Bench>> {
+        LeasedService::serve(mesh, LANE, move |token, _| {
             tracing::info!(target: "verdict", kind = "judges", token);
             Bench { terms, session: Session::new(token) }
         })
     }
 }
 
-impl Sitting for Bench {
-    type Question = Report;
-    type Word = Word;
+impl TermHandler for Bench {
+    type Request = Report;
+    type Response = Word;
 
-    fn heard(report: &Report) -> Option<u64> {
+    fn highest_token(report: &Report) -> Option<u64> {
         Some(report.heard.0)
     }
 
-    fn answer(&mut self, now: Time, who: Who, report: Report) -> Word {
+    fn handle(&mut self, now: Time, who: ProcessId, report: Report) -> Word {
         let (word, condemned) = self.session.hear(&self.terms, now, who, report);
         for s in condemned {
             tracing::warn!(target: "verdict", kind = "condemned", server = s.server, open = s.open);
--- a/crates/wallet/benches/allocator.rs
+++ b/crates/wallet/benches/allocator.rs
@@ -4,25 +4,25 @@
 //! accounts are idle.
 
 use birchswitch_cluster::{Generation, MemberId};
-use birchswitch_mesh::{Time, Who};
+use birchswitch_mesh::{ProcessId, Time};
 use birchswitch_wallet::{
-    AccountTerms, Allocator, AllotmentReport, Demand, Entry, LedgerState, Prices, RenewalRequest, Report,
-    Rules,
+    AccountTerms, Allocator, AllocatorSettings, AllotmentReport, Demand, Entry, LedgerState, Prices,
+    RenewalRequest, Report,
 };
 use criterion::{criterion_group, criterion_main, Criterion};
 use std::time::Duration;
 
 /// Accounts that a node's requests are charged to.
 const ACTIVE: usize = 20;
-const RULES: Rules = Rules {
+const RULES: AllocatorSettings = AllocatorSettings {
     ttl: Duration::from_secs(4),
     expiry: Duration::from_secs(8),
     keep_in_doubt: true,
     unique_top_ups: true,
 };
 
-fn who(node: usize) -> Who {
-    Who { id: MemberId(node as u64), life: Generation { started: 1, draw: 0 } }
+fn who(node: usize) -> ProcessId {
+    ProcessId { id: MemberId(node as u64), generation: Generation { started: 1, draw: 0 } }
 }
 
 fn name(account: usize) -> String {
--- a/crates/wallet/src/account/allocator.rs
+++ b/crates/wallet/src/account/allocator.rs
@@ -7,7 +7,7 @@
 use super::targets::{units_to_keep, AccountTerms, NodeDemand};
 use super::{Account, Entry, LedgerState};
 use crate::message::{AccountGrant, Demand, RenewalRequest};
-use birchswitch_mesh::{Time, Who};
+use birchswitch_mesh::{ProcessId, Time};
 use demand::{AccountDemand, Share};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,12 +15,12 @@
 /// What a leader knows of the processes that renew, beside the accounts.
 #[derive(Debug)]
 pub struct Allocator {
-    sessions: BTreeMap<Who, Session>,
+    sessions: BTreeMap<ProcessId, Session>,
     /// What processes need of each account that any of them needs.
     demands: BTreeMap<String, AccountDemand>,
     /// By account.
     terms: BTreeMap<String, AccountTerms>,
-    rules: Rules,
+    rules: AllocatorSettings,
     /// When its term began. A process that has not been heard since counts as heard then.
     began: Time,
 }
@@ -35,7 +35,7 @@
 
 /// Times, and safeguards that tests switch off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rules {
+pub struct AllocatorSettings {
     /// For how long allotments may be spent from, by their nodes' clocks, from before the renewal was sent.
     pub ttl: Duration,
     /// A process that was silent for so long spends nothing more, by the leader's clock.
@@ -48,7 +48,7 @@
 
 impl Allocator {
     /// That of a leader whose term begins now.
-    pub fn new(now: Time, terms: &[AccountTerms], rules: Rules) -> Self {
+    pub fn new(now: Time, terms: &[AccountTerms], rules: AllocatorSettings) -> Self {
         Allocator {
             sessions: BTreeMap::new(),
             demands: BTreeMap::new(),
@@ -60,7 +60,7 @@
 
     /// Forgets processes that have been silent for too long, and marks what they hold as in doubt. The entries are applied already.
     pub fn expire(&mut self, state: &mut LedgerState, now: Time) -> Vec<Entry> {
-        let expired = |who: &Who| {
+        let expired = |who: &ProcessId| {
             let last_heard = self.sessions.get(who).map_or(self.began, |session| session.last_heard);
             now >= last_heard + self.rules.expiry
         };
@@ -75,12 +75,12 @@
             }
         }
         entries.iter().for_each(|entry| state.apply(entry));
-        let silent: Vec<Who> = self.sessions.keys().filter(|who| expired(who)).copied().collect();
+        let silent: Vec<ProcessId> = self.sessions.keys().filter(|who| expired(who)).copied().collect();
         silent.iter().for_each(|who| self.forget(who));
         entries
     }
 
-    fn forget(&mut self, who: &Who) {
+    fn forget(&mut self, who: &ProcessId) {
         let accounts = self.sessions.remove(who).unwrap_or_default().accounts;
         accounts.iter().for_each(|account| self.withdraw(account, who));
     }
@@ -90,7 +90,7 @@
         &mut self,
         state: &mut LedgerState,
         (now, time): (Time, u64),
-        who: Who,
+        who: ProcessId,
         renewal: &RenewalRequest,
     ) -> (Vec<Entry>, Vec<AccountGrant>) {
         self.note(now, who, renewal);
@@ -122,7 +122,7 @@
     }
 
     /// Takes a renewal's demands in the place of its process's earlier ones. Accounts without terms count for nothing.
-    fn note(&mut self, now: Time, who: Who, renewal: &RenewalRequest) {
+    fn note(&mut self, now: Time, who: ProcessId, renewal: &RenewalRequest) {
         let known: Vec<&Demand> =
             renewal.demands.iter().filter(|demand| self.terms.contains_key(&demand.account)).collect();
         let asked: BTreeSet<&str> = known.iter().map(|demand| demand.account.as_str()).collect();
@@ -138,7 +138,7 @@
     }
 
     /// A process needs nothing of an account any more.
-    fn withdraw(&mut self, account: &str, who: &Who) {
+    fn withdraw(&mut self, account: &str, who: &ProcessId) {
         if let Some(demand) = self.demands.get_mut(account) {
             demand.forget(who);
             if demand.is_empty() {
@@ -151,10 +151,10 @@
 /// What a process may hold of an account, beside all others that renew.
 fn grant(
     state: &LedgerState,
-    (terms, rules): (&AccountTerms, &Rules),
+    (terms, rules): (&AccountTerms, &AllocatorSettings),
     demands: &mut AccountDemand,
     now: Time,
-    who: Who,
+    who: ProcessId,
 ) -> AccountGrant {
     let account = terms.account.clone();
     let free = free_units(state, terms);
@@ -203,7 +203,7 @@
 }
 
 /// Whether a report says something that is not in the ledger.
-fn has_news(state: &LedgerState, who: Who, renewal: &RenewalRequest) -> bool {
+fn has_news(state: &LedgerState, who: ProcessId, renewal: &RenewalRequest) -> bool {
     let latest = state.reports.get(&who).map_or(0, |(number, _)| *number);
     let keys = !renewal.report.keys.is_empty() && renewal.report.number > latest;
     let allotments = renewal.report.allotments.iter().any(|reported| {
@@ -219,7 +219,7 @@
 }
 
 /// Allotments that a process never received: it renewed again after their response was sent, without them.
-fn never_received(state: &LedgerState, who: Who, renewal: &RenewalRequest) -> Vec<(String, u64)> {
+fn never_received(state: &LedgerState, who: ProcessId, renewal: &RenewalRequest) -> Vec<(String, u64)> {
     let reported: BTreeSet<u64> = renewal.report.allotments.iter().map(|reported| reported.number).collect();
     let sent_before = state.held_by(&who).filter(|(_, _, allotment)| allotment.sequence < renewal.sequence);
     let lost = sent_before.filter(|(_, number, _)| !reported.contains(number));
--- a/crates/wallet/src/account/allocator/demand.rs
+++ b/crates/wallet/src/account/allocator/demand.rs
@@ -1,7 +1,7 @@
 //! What all processes need of one account, and the share of each, which is worked out now and then and not for every renewal.
 
 use crate::account::targets::{targets, AccountTerms, NodeDemand};
-use birchswitch_mesh::{Time, Who};
+use birchswitch_mesh::{ProcessId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(super) struct AccountDemand {
     /// What each process needs, and when it told.
-    by_process: BTreeMap<Who, (Time, NodeDemand)>,
+    by_process: BTreeMap<ProcessId, (Time, NodeDemand)>,
     shares: Option<Shares>,
 }
 
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 struct Shares {
     computed: Time,
-    targets: BTreeMap<Who, u64>,
+    targets: BTreeMap<ProcessId, u64>,
     /// Units that processes lack to their targets.
     lacking: u64,
 }
@@ -38,12 +38,12 @@
 
 impl AccountDemand {
     /// Takes what a process needs in the place of what it needed.
-    pub(super) fn note(&mut self, who: Who, now: Time, demand: NodeDemand) {
+    pub(super) fn note(&mut self, who: ProcessId, now: Time, demand: NodeDemand) {
         self.by_process.insert(who, (now, demand));
     }
 
     /// A process needs nothing any more.
-    pub(super) fn forget(&mut self, who: &Who) {
+    pub(super) fn forget(&mut self, who: &ProcessId) {
         self.by_process.remove(who);
     }
 
@@ -58,7 +58,7 @@
         terms: &AccountTerms,
         free: u64,
         (now, ttl): (Time, Duration),
-        who: &Who,
+        who: &ProcessId,
     ) -> Share {
         let demand = self.by_process.get(who).map_or(NodeDemand::default(), |(_, demand)| *demand);
         let fresh = |shares: &Shares| now < shares.computed + MAX_AGE && shares.targets.contains_key(who);
@@ -72,7 +72,7 @@
 
     fn compute(&self, terms: &AccountTerms, free: u64, (now, ttl): (Time, Duration)) -> Shares {
         let alive = self.by_process.iter().filter(|(_, (heard, _))| now < *heard + ttl);
-        let (processes, demands): (Vec<Who>, Vec<NodeDemand>) =
+        let (processes, demands): (Vec<ProcessId>, Vec<NodeDemand>) =
             alive.map(|(who, (_, demand))| (*who, *demand)).unzip();
         let targets = targets(terms, free, &demands);
         let lacking =
--- a/crates/wallet/src/account/allocator/tests.rs
+++ b/crates/wallet/src/account/allocator/tests.rs
@@ -3,7 +3,7 @@
 use crate::price::Prices;
 use birchswitch_cluster::{Generation, MemberId};
 
-const RULES: Rules = Rules {
+const RULES: AllocatorSettings = AllocatorSettings {
     ttl: Duration::from_secs(2),
     expiry: Duration::from_secs(4),
     keep_in_doubt: true,
@@ -16,8 +16,8 @@
     vec![AccountTerms { account: "t".into(), prices, overdraft: 0, low: 100, resume: 10, ahead }]
 }
 
-fn who(n: u64) -> Who {
-    Who { id: MemberId(n), life: Generation::default() }
+fn who(n: u64) -> ProcessId {
+    ProcessId { id: MemberId(n), generation: Generation::default() }
 }
 
 fn s(s: u64) -> Time {
--- a/crates/wallet/src/account/apply.rs
+++ b/crates/wallet/src/account/apply.rs
@@ -2,7 +2,7 @@
 
 use super::{Account, Allotment, AllotmentReport, Entry, KeyDebit, LedgerState, Report};
 use super::{MAX_KEYS, MAX_TOP_UP_IDS};
-use birchswitch_mesh::Who;
+use birchswitch_mesh::ProcessId;
 
 /// Every time that so many keys have come, those whose windows are over are forgotten.
 const PRUNE_KEYS_EVERY: usize = 4096;
@@ -59,7 +59,7 @@
         self.accounts.entry(name.to_owned()).or_default()
     }
 
-    fn report(&mut self, who: Who, report: &Report, time: u64) {
+    fn report(&mut self, who: ProcessId, report: &Report, time: u64) {
         self.time = self.time.max(time);
         let now = self.time;
         for allotment in &report.allotments {
@@ -118,7 +118,7 @@
     }
 
     /// Applies a process's report of its own allotment, whose figures only rise, and never beyond the allotment. Whether it is closed.
-    fn report(&mut self, who: Who, report: &AllotmentReport) -> bool {
+    fn report(&mut self, who: ProcessId, report: &AllotmentReport) -> bool {
         let Some(allotment) = self.allotments.get(&report.number) else { return false };
         if allotment.who != who {
             return false;
--- a/crates/wallet/src/account/apply/tests.rs
+++ b/crates/wallet/src/account/apply/tests.rs
@@ -2,8 +2,8 @@
 use birchswitch_cluster::{Generation, MemberId};
 use proptest::prelude::*;
 
-fn who(n: u64) -> Who {
-    Who { id: MemberId(n), life: Generation::default() }
+fn who(n: u64) -> ProcessId {
+    ProcessId { id: MemberId(n), generation: Generation::default() }
 }
 
 fn top_up(id: &str, units: u64) -> Entry {
--- a/crates/wallet/src/account/entry.rs
+++ b/crates/wallet/src/account/entry.rs
@@ -1,6 +1,6 @@
 //! The ledger's entries. Replaying them in order gives the same state everywhere.
 
-use birchswitch_mesh::Who;
+use birchswitch_mesh::ProcessId;
 use serde::{Deserialize, Serialize};
 
 /// What became of an allotment so far. The figures are totals, so that applying a report twice changes nothing.
@@ -77,7 +77,7 @@
         /// The allotment's number.
         number: u64,
         /// The process.
-        who: Who,
+        who: ProcessId,
         /// Its units.
         units: u64,
         /// Sequence number of the renewal that it answers.
@@ -86,7 +86,7 @@
     /// A process's report.
     Report {
         /// The process.
-        who: Who,
+        who: ProcessId,
         /// The report.
         report: Report,
         /// The ledger's time in milliseconds.
--- a/crates/wallet/src/account/mod.rs
+++ b/crates/wallet/src/account/mod.rs
@@ -9,7 +9,7 @@
 pub use entry::{AllotmentReport, Entry, KeyDebit, Report};
 pub use targets::AccountTerms;
 
-use birchswitch_mesh::Who;
+use birchswitch_mesh::ProcessId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use totals::Totals;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allotment {
     /// The process.
-    pub who: Who,
+    pub who: ProcessId,
     /// Its units at first.
     pub units: u64,
     /// Units debited, as far as reported.
@@ -100,12 +100,12 @@
     /// Number of the next allotment.
     pub next_allotment: u64,
     /// Number of each process's latest report, and the ledger's time of it.
-    pub(crate) reports: BTreeMap<Who, (u64, u64)>,
+    pub(crate) reports: BTreeMap<ProcessId, (u64, u64)>,
     /// The ledger's time: milliseconds that never go back.
     pub time: u64,
     /// The accounts and numbers of each process's allotments. Not stored: [`LedgerState::from_snapshot`] works it out.
     #[serde(skip)]
-    held_by: BTreeMap<Who, BTreeSet<(String, u64)>>,
+    held_by: BTreeMap<ProcessId, BTreeSet<(String, u64)>>,
 }
 
 impl LedgerState {
@@ -122,12 +122,12 @@
     }
 
     /// Processes that hold allotments, in doubt or not.
-    pub(crate) fn holders(&self) -> impl Iterator<Item = &Who> {
+    pub(crate) fn holders(&self) -> impl Iterator<Item = &ProcessId> {
         self.held_by.keys()
     }
 
     /// The accounts, numbers and allotments that a process holds, in doubt or not.
-    pub(crate) fn held_by(&self, who: &Who) -> impl Iterator<Item = (&str, u64, &Allotment)> {
+    pub(crate) fn held_by(&self, who: &ProcessId) -> impl Iterator<Item = (&str, u64, &Allotment)> {
         self.held_by.get(who).into_iter().flatten().filter_map(|(name, number)| {
             let allotment = self.accounts.get(name)?.allotments.get(number)?;
             Some((name.as_str(), *number, allotment))
--- a/crates/wallet/src/client/renewal.rs
+++ b/crates/wallet/src/client/renewal.rs
@@ -51,7 +51,7 @@
 /// Sends a renewal to whoever claims to lead. The response with the highest token counts.
 async fn send(mesh: &Mesh, request: &RenewalRequest, patience: Duration) -> Option<RenewalResponse> {
     let request: Bytes = postcard::to_stdvec(&Request::Renew(request.clone())).ok()?.into();
-    let answers = mesh.ask_running(task_id(TASK), LANE, request, patience).await;
+    let answers = mesh.request_from_running(task_id(TASK), LANE, request, patience).await;
     let responses = answers.into_iter().filter_map(|answer| match postcard::from_bytes(&answer.ok()?) {
         Ok(Response::Renewed(response)) => Some(response),
         _ => None,
@@ -64,7 +64,7 @@
     let request = postcard::to_stdvec(&Request::Admin(command)).map_err(|e| e.to_string())?;
     let request = Bytes::from(request);
     let mut why = "nobody keeps the wallet now: try again".to_owned();
-    for answer in mesh.ask_running(task_id(TASK), LANE, request, ADMIN_TIMEOUT).await {
+    for answer in mesh.request_from_running(task_id(TASK), LANE, request, ADMIN_TIMEOUT).await {
         match answer.map(|answer| postcard::from_bytes(&answer)) {
             Ok(Ok(Response::Admin(text))) => return text,
             Ok(_) => why = "the answer makes no sense".to_owned(),
--- a/crates/wallet/src/leader/admin.rs
+++ b/crates/wallet/src/leader/admin.rs
@@ -95,7 +95,7 @@
     for (name, account) in &state.accounts {
         for (number, allotment) in account.allotments().iter().filter(|(_, a)| a.in_doubt) {
             let (units, spent) = (allotment.units, allotment.spent);
-            let (member, started) = (allotment.who.id.0, allotment.who.life.started);
+            let (member, started) = (allotment.who.id.0, allotment.who.generation.started);
             text += &format!("{name} {number} {units} {spent} {member:x} {started}\n");
         }
     }
--- a/crates/wallet/src/leader/mod.rs
+++ b/crates/wallet/src/leader/mod.rs
@@ -2,12 +2,12 @@
 
 mod admin;
 
-use crate::account::allocator::{Allocator, Rules};
+use crate::account::allocator::{Allocator, AllocatorSettings};
 use crate::account::{AccountTerms, Entry, LedgerState};
 use crate::ledger::Writer;
 use crate::message::{RenewalResponse, Request, Response};
 use birchswitch_cluster::MemberId;
-use birchswitch_mesh::{Mesh, Served, Who};
+use birchswitch_mesh::{Mesh, ProcessId, ResponseFuture};
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -46,7 +46,7 @@
 }
 
 struct PendingRequest {
-    who: Who,
+    who: ProcessId,
     request: Request,
     respond: oneshot::Sender<Response>,
 }
@@ -60,7 +60,7 @@
 struct Context {
     mesh: Mesh,
     terms: Vec<AccountTerms>,
-    rules: Rules,
+    rules: AllocatorSettings,
     /// The nodes that hold the ledger.
     nodes: Vec<MemberId>,
 }
@@ -76,7 +76,7 @@
         let (term, terms_of_leadership) = watch::channel(None);
         let (pending, requests) = mpsc::channel::<PendingRequest>(MAX_PENDING);
         let current = terms_of_leadership.clone();
-        let serve = move |who: Who, bytes: Bytes| {
+        let serve = move |who: ProcessId, bytes: Bytes| {
             let (pending, current) = (pending.clone(), current.clone());
             Box::pin(async move {
                 let leads = current.borrow().is_some();
@@ -85,13 +85,13 @@
                 } else {
                     None
                 }
-            }) as Served
+            }) as ResponseFuture
         };
         mesh.serve(LANE, Arc::new(serve));
         let clock = mesh.clock();
-        let rules = Rules {
+        let rules = AllocatorSettings {
             ttl: settings.ttl,
-            expiry: clock.longest(settings.ttl) + clock.longest(settings.longest_request),
+            expiry: clock.max_elapsed(settings.ttl) + clock.max_elapsed(settings.longest_request),
             keep_in_doubt: settings.keep_in_doubt,
             unique_top_ups: settings.unique_top_ups,
         };
@@ -111,7 +111,7 @@
 }
 
 /// Has a request answered by the task that leads; none: it is invalid, there are too many, or the term ends.
-async fn enqueue(pending: &mpsc::Sender<PendingRequest>, who: Who, bytes: &[u8]) -> Option<Bytes> {
+async fn enqueue(pending: &mpsc::Sender<PendingRequest>, who: ProcessId, bytes: &[u8]) -> Option<Bytes> {
     let request: Request = postcard::from_bytes(bytes).ok()?;
     if matches!(&request, Request::Renew(renewal) if !renewal.is_valid()) {
         return None;
--- a/crates/wallet/src/ledger/recover.rs
+++ b/crates/wallet/src/ledger/recover.rs
@@ -35,7 +35,7 @@
 
 pub(crate) async fn send(mesh: &Mesh, to: MemberId, request: &ReplicaRequest) -> Option<ReplicaResponse> {
     let bytes: Bytes = postcard::to_stdvec(request).ok()?.into();
-    let answer = mesh.ask(to, LEDGER_LANE, bytes, RESPONSE_TIMEOUT).await.ok()?;
+    let answer = mesh.request(to, LEDGER_LANE, bytes, RESPONSE_TIMEOUT).await.ok()?;
     postcard::from_bytes(&answer).ok()
 }
 
--- a/crates/wallet/src/ledger/replica.rs
+++ b/crates/wallet/src/ledger/replica.rs
@@ -2,7 +2,7 @@
 
 use super::store::{Store, StoreError};
 use super::{ReplicaRequest, ReplicaResponse, LEDGER_LANE, MAX_CHUNK};
-use birchswitch_mesh::{Mesh, Served, Who};
+use birchswitch_mesh::{Mesh, ProcessId, ResponseFuture};
 use bytes::Bytes;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,19 +24,19 @@
 }
 
 /// Leadership the ledger in a folder from now on, for whoever writes. An error: it can't be read. The node serves on without it.
-pub fn serve(mesh: &Mesh, folder: PathBuf, most: u64) -> Result<Arc<Replica>, StoreError> {
+pub fn serve_replica(mesh: &Mesh, folder: PathBuf, most: u64) -> Result<Arc<Replica>, StoreError> {
     let store = Store::open(&folder, most)?;
     let (promised, head) = (store.promised(), store.head());
     tracing::info!(target: "wallet", kind = "ledger_opened", promised, last = head.last.1, token = head.last.0);
     let state = Mutex::new(State { store: Some(store), incoming_snapshot: Default::default() });
     let replica = Arc::new(Replica { folder, most, state });
     let serves = replica.clone();
-    let answer = move |_: Who, bytes: Bytes| {
+    let answer = move |_: ProcessId, bytes: Bytes| {
         let replica = serves.clone();
         Box::pin(async move {
             // The disk may be slow.
             tokio::task::spawn_blocking(move || replica.answer(&bytes)).await.ok().flatten()
-        }) as Served
+        }) as ResponseFuture
     };
     mesh.serve(LEDGER_LANE, Arc::new(answer));
     Ok(replica)
--- a/crates/wallet/src/lib.rs
+++ b/crates/wallet/src/lib.rs
@@ -31,14 +31,14 @@
 mod price;
 mod settings;
 
-pub use account::allocator::{Allocator, Rules};
+pub use account::allocator::{Allocator, AllocatorSettings};
 pub use account::{Account, AccountTerms, Allotment, AllotmentReport, Entry, KeyDebit, LedgerState, Report};
 pub use client::allotments::{LocalAllotments, RejectionReason, Reservation};
 pub use client::renewal::{renew_allotments, send_command, RenewalStep};
 pub use leader::{Leader, LeaderSettings, LeadershipTerm, LANE, TASK};
-pub use ledger::replica::{serve, Replica};
+pub use ledger::replica::{serve_replica, Replica};
 pub use ledger::store::{Head, Store, StoreError};
 pub use ledger::{Record, LEDGER_LANE};
 pub use message::{AccountGrant, AdminCommand, Demand, RenewalRequest, RenewalResponse, Request, Response};
 pub use price::Prices;
-pub use settings::{Compiled, LedgerTable, WalletTable};
+pub use settings::{LedgerTable, WalletSettings, WalletTable};
--- a/crates/wallet/src/settings.rs
+++ b/crates/wallet/src/settings.rs
@@ -57,7 +57,7 @@
 
 /// All of it, checked.
 #[derive(Clone, Debug)]
-pub struct Compiled {
+pub struct WalletSettings {
     /// The accounts.
     pub accounts: Vec<AccountTerms>,
     /// The names of the nodes that keep the ledger.
@@ -65,7 +65,7 @@
     /// Where this one keeps it, if it does.
     pub folder: Option<PathBuf>,
     /// Bytes that it may take there.
-    pub most: u64,
+    pub max_bytes: u64,
     /// Between two questions of a node.
     pub renew: Duration,
     /// For how long parts may be used.
@@ -77,14 +77,14 @@
 /// Most whole units of any setting.
 const MOST: u64 = 1 << 53;
 
-impl Compiled {
+impl WalletSettings {
     /// Checks the tables beside the site's names; `own` is this node's name among the members.
     pub fn new(
         accounts: &[Spanned<WalletTable>],
         ledger: &Spanned<LedgerTable>,
         names: &Names,
         own: &str,
-    ) -> Result<Compiled, SettingError> {
+    ) -> Result<WalletSettings, SettingError> {
         let (mut places, table) = (SettingSpans::new("ledger", ledger), ledger.get_ref());
         let nodes = table.nodes.get_ref().clone();
         let wrong_nodes = |problem: String| SettingError { span: table.nodes.span(), problem };
@@ -126,11 +126,11 @@
             let problem = format!("two accounts are {:?}'s", accounts[n].account);
             return Err(SettingError { span: ledger.span(), problem });
         }
-        Ok(Compiled {
+        Ok(WalletSettings {
             accounts,
             nodes,
             folder: folder.filter(|_| keeps),
-            most: drill.most_kb.map_or(most << 20, |kb| kb << 10),
+            max_bytes: drill.most_kb.map_or(most << 20, |kb| kb << 10),
             renew,
             ttl,
             safeguards: [on(Without::Doubts), on(Without::Ids), on(Without::Once)],
@@ -194,14 +194,14 @@
         ledger: Spanned<LedgerTable>,
     }
 
-    fn compiled(text: &str) -> Result<Compiled, String> {
+    fn compiled(text: &str) -> Result<WalletSettings, String> {
         let file: File = toml::from_str(text).expect("its form is right");
         let names = Names {
             classes: vec!["buy".into(), "look".into()],
             tenants: vec!["t".into()],
             ..Names::default()
         };
-        Compiled::new(&file.wallet, &file.ledger, &names, "n0")
+        WalletSettings::new(&file.wallet, &file.ledger, &names, "n0")
             .map_err(|w| format!("{:?}: {}", text.get(w.span).unwrap_or_default(), w.problem))
     }
 
--- a/crates/wallet/tests/encoding.rs
+++ b/crates/wallet/tests/encoding.rs
@@ -2,7 +2,7 @@
 //! roll-out, and a ledger outlives its build.
 
 use birchswitch_cluster::{Generation, MemberId};
-use birchswitch_mesh::Who;
+use birchswitch_mesh::ProcessId;
 use birchswitch_wallet::{
     AccountGrant, AdminCommand, AllotmentReport, Demand, Entry, KeyDebit, LedgerState, Record,
     RenewalRequest, RenewalResponse, Report, Request, Response,
@@ -14,8 +14,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn who() -> Who {
-    Who { id: MemberId(77), life: Generation { started: 1_700_000, draw: 5 } }
+fn who() -> ProcessId {
+    ProcessId { id: MemberId(77), generation: Generation { started: 1_700_000, draw: 5 } }
 }
 
 fn report() -> Report {
--- a/crates/wallet/tests/nodes/mod.rs
+++ b/crates/wallet/tests/nodes/mod.rs
@@ -1,10 +1,10 @@
 //! Nodes of one process that hold a ledger, for tests and the bench.
 
 use birchswitch_cluster::{Generation, MemberId};
-use birchswitch_mesh::{Clock, Compiled, Identity, Member, Mesh, Roster, Who};
+use birchswitch_mesh::{Clock, Identity, Member, MembershipView, Mesh, MeshSettings, ProcessId};
 use birchswitch_wallet::{
-    serve, AccountTerms, AdminCommand, Leader, LeaderSettings, LeadershipTerm, Prices, Request, Response,
-    LANE,
+    serve_replica, AccountTerms, AdminCommand, Leader, LeaderSettings, LeadershipTerm, Prices, Request,
+    Response, LANE,
 };
 use bytes::Bytes;
 use std::sync::Arc;
@@ -29,20 +29,20 @@
 /// Starts them on these folders; `without` is one that does not come up.
 pub fn start(folders: Vec<TempDir>, without: Option<usize>) -> Nodes {
     let names = ["a", "b", "c"];
-    let life = Generation { started: 1, draw: 0 };
+    let generation = Generation { started: 1, draw: 0 };
     let mut meshes = Vec::new();
     for name in names {
-        let compiled = Compiled { bind: ([127, 0, 0, 1], 0).into(), advertise: None, connections: 16 };
-        let who = Identity { cluster: "c", name, life, clock: Clock::new(1000, 50) };
+        let compiled = MeshSettings { bind: ([127, 0, 0, 1], 0).into(), advertise: None, connections: 16 };
+        let who = Identity { cluster: "c", name, generation, clock: Clock::new(1000, 50) };
         meshes.push(Mesh::start(&compiled, &who).expect("a mesh"));
     }
     let member = |(n, mesh): (usize, &Mesh)| {
         let (name, zone) = (names[n].to_owned(), String::new());
         let address = Some(mesh.address()).filter(|_| Some(n) != without);
-        (MemberId::of(names[n]), Member { name, zone, life, address, tasks: Vec::new() })
+        (MemberId::of(names[n]), Member { name, zone, generation, address, tasks: Vec::new() })
     };
-    let roster = Roster { members: meshes.iter().enumerate().map(member).collect(), agreed: 3 };
-    meshes.iter().for_each(|m| m.told(roster.clone()));
+    let roster = MembershipView { members: meshes.iter().enumerate().map(member).collect(), agreed: 3 };
+    meshes.iter().for_each(|m| m.set_membership(roster.clone()));
     let ids: Vec<MemberId> = names.iter().map(|n| MemberId::of(n)).collect();
     let settings = LeaderSettings {
         ttl: Duration::from_secs(2),
@@ -53,7 +53,7 @@
     let mut leaders = Vec::new();
     for (n, mesh) in meshes.iter().enumerate() {
         if Some(n) != without {
-            serve(mesh, folders[n].path().into(), MOST).expect("a replica");
+            serve_replica(mesh, folders[n].path().into(), MOST).expect("a replica");
         }
         leaders.push(Leader::serve(mesh, terms(), settings, ids.clone()));
     }
@@ -67,8 +67,8 @@
 impl Nodes {
     pub async fn call(&self, at: usize, call: AdminCommand) -> Option<Result<String, String>> {
         let request: Bytes = postcard::to_stdvec(&Request::Admin(call)).expect("it encodes").into();
-        let own: Who = self.meshes[at].own();
-        let answer = self.meshes[at].ask(own.id, LANE, request, Duration::from_secs(3)).await.ok()?;
+        let own: ProcessId = self.meshes[at].own();
+        let answer = self.meshes[at].request(own.id, LANE, request, Duration::from_secs(3)).await.ok()?;
         match postcard::from_bytes(&answer).expect("sense") {
             Response::Admin(text) => Some(text),
             other => panic!("{other:?}"),
--- a/node/src/fleet/links.rs
+++ b/node/src/fleet/links.rs
@@ -5,7 +5,7 @@
 use birchswitch_cluster_host::Cluster;
 use birchswitch_figures::Figures;
 use birchswitch_lease_host::running_tasks;
-use birchswitch_mesh::{Clock, Compiled, Identity, Member, Mesh, MeshError, Roster};
+use birchswitch_mesh::{Clock, Identity, Member, MembershipView, Mesh, MeshError, MeshSettings};
 use birchswitch_operations::Call;
 use birchswitch_quota::Door;
 use std::fmt::Write;
@@ -17,12 +17,12 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// Starts the mesh under the member's name, and tells the others where it is.
-pub fn open(compiled: &Compiled, cluster: &Cluster, clock: Clock) -> Result<Mesh, MeshError> {
-    let (name, life) = {
+pub fn open(compiled: &MeshSettings, cluster: &Cluster, clock: Clock) -> Result<Mesh, MeshError> {
+    let (name, generation) = {
         let core = cluster.core();
         (core.own().name.clone(), core.own().generation)
     };
-    let mesh = Mesh::start(compiled, &Identity { cluster: cluster.name(), name: &name, life, clock })?;
+    let mesh = Mesh::start(compiled, &Identity { cluster: cluster.name(), name: &name, generation, clock })?;
     cluster.publish(Topic::Mesh, mesh.address().to_string().into_bytes());
     Ok(mesh)
 }
@@ -33,31 +33,34 @@
     spawn_local(async move {
         let mut every = tokio::time::interval(LOOK);
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut told = Roster::default();
+        let mut told = MembershipView::default();
         loop {
             every.tick().await;
             let now = roster(&cluster);
             if now != told {
                 door.iter().for_each(|door| door.agreed(now.agreed));
-                mesh.told(now.clone());
+                mesh.set_membership(now.clone());
                 told = now;
             }
         }
     });
 }
 
-fn roster(cluster: &Cluster) -> Roster {
+fn roster(cluster: &Cluster) -> MembershipView {
     let core = cluster.core();
     let member = |record: &Record| {
         let address = record.value(Topic::Mesh).and_then(|b| std::str::from_utf8(b).ok()?.parse().ok());
         let (name, zone) = (record.name.clone(), record.zone.clone());
-        (record.id(), Member { name, zone, life: record.generation, address, tasks: running_tasks(record) })
+        (
+            record.id(),
+            Member { name, zone, generation: record.generation, address, tasks: running_tasks(record) },
+        )
     };
     let others = core.members().filter(|(_, m)| m.state.is_live()).map(|(_, m)| member(&m.record));
     // Who has met nobody yet, and is to, knows nothing of the fleet's size.
     let unknown = core.standing() == Standing::Alone && core.seed_count() > 0;
     let agreed = if unknown { 0 } else { core.agreed_size() as u32 };
-    Roster { members: others.chain([member(core.own())]).collect(), agreed }
+    MembershipView { members: others.chain([member(core.own())]).collect(), agreed }
 }
 
 /// It, for operators.
@@ -66,7 +69,7 @@
 impl Part for Asked {
     fn figures(&self, figures: &Figures) {
         let ([open, ever], [asked, heard, told, replaced, unreached]) =
-            (self.0.counts().connections(), self.0.counts().messages());
+            (self.0.counters().connections(), self.0.counters().messages());
         let values = [
             ("open", open),
             ("connected", ever),
@@ -84,9 +87,9 @@
         if *call != Call::Mesh {
             return None;
         }
-        let [open, ever] = self.0.counts().connections();
+        let [open, ever] = self.0.counters().connections();
         let mut text = format!("# {open} connections are open, {ever} were\n# name zone address tasks\n");
-        for member in self.0.roster().members.values() {
+        for member in self.0.membership().members.values() {
             let address = member.address.map_or("-".to_owned(), |a| a.to_string());
             // Writing to a string never fails.
             let _ = writeln!(text, "{} {} {address} {}", member.name, member.zone, member.tasks.len());
--- a/node/src/fleet/mod.rs
+++ b/node/src/fleet/mod.rs
@@ -37,11 +37,11 @@
 /// What is wanted of it, checked.
 pub struct Wanted<'a> {
     /// `[mesh]`.
-    pub mesh: Option<&'a birchswitch_mesh::Compiled>,
+    pub mesh: Option<&'a birchswitch_mesh::MeshSettings>,
     /// `[[limits]]`.
     pub limits: Option<&'a quota::Compiled>,
     /// `[[wallet]]`.
-    pub wallet: Option<&'a birchswitch_wallet::Compiled>,
+    pub wallet: Option<&'a birchswitch_wallet::WalletSettings>,
     /// `[verdicts]`.
     pub verdicts: Option<birchswitch_verdict::Terms>,
     /// `[tuner]`.
--- a/node/src/fleet/reign.rs
+++ b/node/src/fleet/reign.rs
@@ -1,7 +1,7 @@
 //! A task of the whole fleet that serves on the mesh: it is told its token, and until when it may act, again and again.
 
 use birchswitch_lease_host::{SingletonTask, TaskLease};
-use birchswitch_mesh::{Mesh, Reign, Seat, Sitting};
+use birchswitch_mesh::{LeadershipTerm, LeasedService, Mesh, TermHandler};
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// Told of a token and of the time by the mesh's clock until which it may act under it; none: it may not.
-pub type Tell = dyn Fn(Option<Reign>);
+pub type Tell = dyn Fn(Option<LeadershipTerm>);
 
 /// See the module's words.
 pub struct Reigning {
@@ -24,8 +24,8 @@
 
 impl Reigning {
     /// Of a task that is served from a seat.
-    pub fn over<S: Sitting>(mesh: &Mesh, seat: Arc<Seat<S>>) -> Self {
-        Reigning { mesh: mesh.clone(), tell: Rc::new(move |reign| seat.reigns(reign)) }
+    pub fn over<S: TermHandler>(mesh: &Mesh, seat: Arc<LeasedService<S>>) -> Self {
+        Reigning { mesh: mesh.clone(), tell: Rc::new(move |reign| seat.set_term(reign)) }
     }
 }
 
@@ -44,7 +44,7 @@
         Box::pin(async move {
             while let Some((held, left)) = term.guard() {
                 let until = mesh.clock().after(left);
-                (ended.0)(Some(Reign { token: held.token, until }));
+                (ended.0)(Some(LeadershipTerm { token: held.token, until }));
                 tokio::select! {
                     () = term.stop_requested() => return,
                     () = tokio::time::sleep(LOOK) => {}
--- a/node/src/fleet/tuner.rs
+++ b/node/src/fleet/tuner.rs
@@ -5,7 +5,7 @@
 use birchswitch_host::{Host, Upstream};
 use birchswitch_lease::{task_id, Task};
 use birchswitch_lease_host::Tasks;
-use birchswitch_mesh::{report, Errand, Mesh, Reports};
+use birchswitch_mesh::{report_periodically, Mesh, ReportSettings, ReportStep};
 use birchswitch_tuner::{serve, Report, Sketches, Terms, Weights, LANE, TASK};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -42,8 +42,9 @@
         let task = Task { name: TASK.to_owned(), zone: String::new(), standbys: STANDBYS };
         tasks.register(task, Reigning::over(&mesh, serve(&mesh, terms)));
         let (errands, mut todo) = mpsc::unbounded_channel();
-        let to = Reports { task: task_id(TASK), lane: LANE, every: terms.look, patience: terms.look };
-        mesh.spawn(report(mesh.clone(), to, errands));
+        let to =
+            ReportSettings { task: task_id(TASK), lane: LANE, interval: terms.look, timeout: terms.look };
+        mesh.spawn(report_periodically(mesh.clone(), to, errands));
         let (sketches, host, advised) = (self.sketches.clone(), host.clone(), advised.clone());
         spawn_local(async move {
             let mut weights = Weights::default();
@@ -51,13 +52,13 @@
             loop {
                 tokio::select! {
                     errand = todo.recv() => match errand {
-                        Some(Errand::Report(tell)) => {
+                        Some(ReportStep::Collect(tell)) => {
                             let mut spans = sketches.borrow_mut().take();
                             spans.retain(|(name, _)| host.is_warm_server(*name) && !advised.withholds(*name));
                             // Whoever asked is gone with the mesh.
                             let _ = tell.send((mesh.clock().now(), Report { heard: weights.heard(), spans }));
                         }
-                        Some(Errand::Obey(asked, word)) => {
+                        Some(ReportStep::Apply(asked, word)) => {
                             if !weights.take(terms.ttl, asked, &word) {
                                 tracing::warn!(target: "tuner", kind = "lower", token = word.number.0, count = word.number.1);
                             }
--- a/node/src/fleet/verdicts.rs
+++ b/node/src/fleet/verdicts.rs
@@ -5,7 +5,7 @@
 use birchswitch_host::{AttemptRecord, Host, Upstream};
 use birchswitch_lease::{task_id, Task};
 use birchswitch_lease_host::Tasks;
-use birchswitch_mesh::{report, Errand, Mesh, Reports};
+use birchswitch_mesh::{report_periodically, Mesh, ReportSettings, ReportStep};
 use birchswitch_verdict::{Bench, Met, Obeyed, Report, Tally, Terms, LANE};
 use finchvale::Outcome;
 use std::cell::RefCell;
@@ -52,8 +52,13 @@
         let task = Task { name: name.clone(), zone: zone.to_owned(), standbys: STANDBYS };
         tasks.register(task, Reigning::over(&mesh, Bench::serve(&mesh, terms)));
         let (errands, mut todo) = mpsc::unbounded_channel();
-        let to = Reports { task: task_id(&name), lane: LANE, every: terms.renew, patience: terms.ttl / 2 };
-        mesh.spawn(report(mesh.clone(), to, errands));
+        let to = ReportSettings {
+            task: task_id(&name),
+            lane: LANE,
+            interval: terms.renew,
+            timeout: terms.ttl / 2,
+        };
+        mesh.spawn(report_periodically(mesh.clone(), to, errands));
         let (tally, host, advised) = (self.tally.clone(), host.clone(), advised.clone());
         spawn_local(async move {
             let mut obeyed = Obeyed::default();
@@ -61,14 +66,14 @@
             loop {
                 tokio::select! {
                     errand = todo.recv() => match errand {
-                        Some(Errand::Report(tell)) => {
+                        Some(ReportStep::Collect(tell)) => {
                             let now = mesh.clock().now();
                             let counts = tally.borrow_mut().counts(now);
                             let report = Report { heard: obeyed.heard(), listed: host.ready_server_count() as u32, counts };
                             // Whoever asked is gone with the mesh.
                             let _ = tell.send((now, report));
                         }
-                        Some(Errand::Obey(asked, word)) => {
+                        Some(ReportStep::Apply(asked, word)) => {
                             if !obeyed.take(&terms, asked, &word) {
                                 tracing::warn!(target: "verdict", kind = "lower", token = word.number.0, count = word.number.1);
                             }
--- a/node/src/fleet/wallet.rs
+++ b/node/src/fleet/wallet.rs
@@ -9,8 +9,8 @@
 use birchswitch_mesh::Mesh;
 use birchswitch_operations::Told;
 use birchswitch_wallet::{
-    renew_allotments, send_command, serve, AdminCommand, Compiled, Leader, LeaderSettings, LeadershipTerm,
-    LocalAllotments, RejectionReason, RenewalStep, Reservation, TASK,
+    renew_allotments, send_command, serve_replica, AdminCommand, Leader, LeaderSettings, LeadershipTerm,
+    LocalAllotments, RejectionReason, RenewalStep, Reservation, WalletSettings, TASK,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
 
 /// Prepaid accounts at this node.
 pub struct Wallet {
-    compiled: Compiled,
+    compiled: WalletSettings,
     longest_request: Duration,
     mesh: Mesh,
     allotments: Rc<RefCell<LocalAllotments>>,
@@ -39,7 +39,7 @@
 impl Wallet {
     /// With nothing to spend yet. `windows` are the classes' windows for keys, `longest_request` the longest that a request may run.
     pub fn open(
-        compiled: &Compiled,
+        compiled: &WalletSettings,
         tenants: &[String],
         windows: &[Duration],
         longest_request: Duration,
@@ -67,7 +67,7 @@
         let (mesh, c) = (&self.mesh, &self.compiled);
         if let Some(folder) = &c.folder {
             // The other replicas go on without it, and so does this node.
-            if let Err(error) = serve(mesh, folder.clone(), c.most) {
+            if let Err(error) = serve_replica(mesh, folder.clone(), c.max_bytes) {
                 tracing::error!(target: "wallet", kind = "ledger_damaged", error = %error);
             }
         }
@@ -94,7 +94,7 @@
         let (ttl, longest_request) = (c.ttl, self.longest_request);
         let settings = LeaderSettings { ttl, longest_request, keep_in_doubt, unique_top_ups };
         let leader = Leader::serve(mesh, c.accounts.clone(), settings, nodes);
-        let tell = move |reign: Option<birchswitch_mesh::Reign>| {
+        let tell = move |reign: Option<birchswitch_mesh::LeadershipTerm>| {
             leader.set_term(reign.map(|reign| LeadershipTerm { token: reign.token }));
         };
         let task = Task { name: TASK.to_owned(), zone: String::new(), standbys: STANDBYS };
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -74,7 +74,7 @@
     cluster: Option<ClusterTable>,
     lease: Option<Spanned<LeaseTable>>,
     health: Option<Spanned<crate::fleet::health::Table>>,
-    mesh: Option<Spanned<mesh::Table>>,
+    mesh: Option<Spanned<mesh::MeshTable>>,
     #[serde(default)]
     limits: Vec<Spanned<quota::LimitTable>>,
     quota: Option<Spanned<quota::Table>>,
@@ -125,11 +125,11 @@
     /// One node of a zone asks silent servers for all.
     pub health: Option<birchswitch_health::ProbeIntervals>,
     /// TCP between the nodes.
-    pub mesh: Option<mesh::Compiled>,
+    pub mesh: Option<mesh::MeshSettings>,
     /// Limits of the whole fleet.
     pub limits: Option<quota::Compiled>,
     /// Prepaid accounts.
-    pub wallet: Option<wallet::Compiled>,
+    pub wallet: Option<wallet::WalletSettings>,
     /// Verdicts on servers.
     pub verdicts: Option<verdict::Terms>,
     /// Tuned weights.
@@ -230,7 +230,7 @@
                 return Err(at(path, &text, ledger.span().start, problem));
             }
             (Some(_), Some(ledger), Some(_), Some(_)) => {
-                let compiled = wallet::Compiled::new(&file.wallet, ledger, names, &member);
+                let compiled = wallet::WalletSettings::new(&file.wallet, ledger, names, &member);
                 Some(
                     compiled
                         .map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?,
