--- a/crates/lab/src/agenda.rs
+++ b/crates/lab/src/agenda.rs
@@ -57,9 +57,9 @@
     /// A node tells judge and tuner what it met.
     Report(usize),
     /// The judge's word reaches a node that asked for it then.
-    Judged(usize, Duration, birchswitch_verdict::Word),
+    Judged(usize, Duration, birchswitch_verdict::EjectionList),
     /// The tuner's, likewise.
-    Weighed(usize, Duration, birchswitch_tuner::Word),
+    Weighed(usize, Duration, birchswitch_tuner::WeightList),
     /// Something is done at a server.
     Serve(usize),
     /// The registry has noticed something.
--- a/crates/lab/src/allowed.rs
+++ b/crates/lab/src/allowed.rs
@@ -7,10 +7,10 @@
 use crate::chance::Chance;
 use birchswitch_cluster::{Generation, MemberId};
 use birchswitch_mesh::{Clock, ProcessId, Time};
-use birchswitch_quota::bound::over;
+use birchswitch_quota::bound::max_excess;
 use birchswitch_quota::{
-    Allowance, Books, Counts, Demand, Grant, Held, Limit, LimitNeed, Measure, Need, Safeguards, Scope, Terms,
-    WhenCut, Word,
+    Allocator, Counters, DemandEstimator, Grant, HeldGrant, Limit, LimitRequest, LocalQuota, Measure,
+    QuotaTiming, RenewalRequest, RenewalResponse, Safeguards, Scope, WhenCut,
 };
 use std::time::{Duration, Instant};
 
@@ -88,14 +88,14 @@
 const COUNTED: f64 = 12.0;
 
 struct Node {
-    allowance: Allowance,
-    counts: Counts,
-    demand: Demand,
-    held: Option<(Held, Time)>,
+    allowance: LocalQuota,
+    counts: Counters,
+    demand: DemandEstimator,
+    held: Option<(HeldGrant, Time)>,
     heard: u64,
     next: f64,
     /// Answers on their way: when they arrive, when they were asked for, and what they say.
-    word: Option<(f64, Time, Word)>,
+    word: Option<(f64, Time, RenewalResponse)>,
     clock: f64,
 }
 
@@ -116,10 +116,10 @@
     }
 }
 
-fn terms() -> Terms {
+fn terms() -> QuotaTiming {
     let ms = Duration::from_millis;
-    let (renew, ttl, transit, hold) = (ms(400), ms(4500), Duration::ZERO, ms(1000));
-    Terms { renew, ttl, transit, hold, drift: DRIFT, safeguards: Safeguards::ALL }
+    let (renew, ttl, transit, longest_request) = (ms(400), ms(4500), Duration::ZERO, ms(1000));
+    QuotaTiming { renew, ttl, transit, longest_request, drift: DRIFT, safeguards: Safeguards::ALL }
 }
 
 /// Plays it.
@@ -131,10 +131,10 @@
     let limit = Limit { name: "l".into(), scope, measure, when_cut: WhenCut::Strict, id: 1 };
     let clock = Clock::new(1000, DRIFT);
     let node = |_| {
-        let counts = Counts::new(&[1.0]);
-        let demand = Demand::new(&counts);
+        let counts = Counters::new(&[1.0]);
+        let demand = DemandEstimator::new(&counts);
         let (next, rate) = (chance.unit() * terms.renew.as_secs_f64(), 0.96 + 0.08 * chance.unit());
-        let (allowance, held, heard, word) = (Allowance::default(), None, 0, None);
+        let (allowance, held, heard, word) = (LocalQuota::default(), None, 0, None);
         Node { allowance, counts, demand, held, heard, next, word, clock: rate }
     };
     let mut nodes: Vec<Node> = (0..plan.nodes).map(node).collect();
@@ -142,7 +142,7 @@
         .map(|_| Bucket { level: 0.0, at: 0.0, part: (per_s / plan.nodes as f64, burst / plan.nodes as f64) })
         .collect();
     let mut counter = Bucket { level: 0.0, at: 0.0, part: (per_s, burst) };
-    let (mut token, mut keeper) = (1, Some(Books::new(&limit, &terms, clock, 1, Time::ZERO)));
+    let (mut token, mut keeper) = (1, Some(Allocator::new(&limit, &terms, clock, 1, Time::ZERO)));
     let (mut let_in, mut came, mut quiet) = (Vec::new(), [0u64; 2], 0u64);
     let (mut messages, mut bytes, mut asks, mut took) = (0u64, 0.0, 0u64, Duration::ZERO);
     let troubled = |now: f64| (TROUBLE.0..TROUBLE.0 + TROUBLE.1).contains(&now);
@@ -154,7 +154,7 @@
             keeper = None;
         } else if keeper.is_none() && !dead {
             token += 1;
-            keeper = Some(Books::new(&limit, &terms, clock, token, Time::from_secs_f64(now)));
+            keeper = Some(Allocator::new(&limit, &terms, clock, token, Time::from_secs_f64(now)));
         }
         let loud = (now / MOVES) as usize;
         let loud_ones = (0..plan.nodes).filter(|n| (n + loud) % LOUD.0 == 0).count() as f64;
@@ -166,9 +166,16 @@
                 if word.token >= node.heard && !cut {
                     node.heard = word.token;
                     let until = asked + terms.ttl;
-                    for issue in &word.issues {
-                        node.allowance.grant(time, Some(Grant { part: issue.part, until: Some(until) }));
-                        let held = Held { token: word.token, number: issue.number, part: issue.part };
+                    for issue in &word.grants {
+                        node.allowance.set_grant(
+                            time,
+                            Some(Grant { allocation: issue.allocation, expires: Some(until) }),
+                        );
+                        let held = HeldGrant {
+                            token: word.token,
+                            number: issue.number,
+                            allocation: issue.allocation,
+                        };
                         node.held = Some((held, until));
                     }
                 }
@@ -176,15 +183,18 @@
             if way == Way::Grants && now >= node.next {
                 node.next = now + terms.renew.as_secs_f64();
                 let held = node.held.filter(|(_, until)| time < *until).map(|(held, _)| held);
-                let wants = node.demand.look(&node.counts, terms.renew.as_secs_f64(), false);
-                let need =
-                    Need { heard: node.heard, limits: vec![LimitNeed { limit: 1, wants, held, out: 0 }] };
+                let demand = node.demand.update(&node.counts, terms.renew.as_secs_f64(), false);
+                let need = RenewalRequest {
+                    highest_token: node.heard,
+                    limits: vec![LimitRequest { limit: 1, demand, held, in_flight: 0 }],
+                };
                 if let (Some(books), false) = (&mut keeper, cut) {
                     let who = ProcessId { id: MemberId(n as u64), generation: Generation::default() };
                     let began = Instant::now();
-                    let issue = books.ask(Time::from_secs_f64(now), who, need.heard, &need.limits[0]);
+                    let issue =
+                        books.renew(Time::from_secs_f64(now), who, need.highest_token, &need.limits[0]);
                     (took, asks) = (took + began.elapsed(), asks + 1);
-                    let word = Word { token, issues: issue.into_iter().collect() };
+                    let word = RenewalResponse { token, grants: issue.into_iter().collect() };
                     let size = |bytes: Result<Vec<u8>, _>| bytes.map_or(0, |b| b.len()) as f64;
                     bytes += size(postcard::to_stdvec(&need)) + size(postcard::to_stdvec(&word));
                     messages += 2;
@@ -198,7 +208,7 @@
                 came[usize::from(troubled(now))] += 1;
                 quiet += u64::from(settled(now));
                 let enters = match way {
-                    Way::Grants => node.allowance.may(time, false).is_ok(),
+                    Way::Grants => node.allowance.check(time, false).is_ok(),
                     Way::Even => even[n].takes(now),
                     Way::Counter => {
                         let heard = !cut && !dead;
@@ -208,9 +218,9 @@
                     }
                 };
                 if way == Way::Grants {
-                    node.counts.came(1.0, enters);
+                    node.counts.record(1.0, enters);
                     if enters {
-                        node.allowance.spend();
+                        node.allowance.consume();
                     }
                 }
                 if enters {
@@ -225,7 +235,7 @@
     let may = |came: u64, seconds: f64| (came as f64).min(per_s * seconds);
     let each = SECONDS * plan.nodes as f64;
     Came {
-        over: over(let_in.iter().copied(), per_s, burst),
+        over: max_excess(let_in.iter().copied(), per_s, burst),
         used: within(&|_| true) / may(came[0] + came[1], SECONDS),
         settled: within(&settled) / may(quiet, quiet_seconds),
         meanwhile: within(&troubled) / may(came[1], TROUBLE.1),
--- a/crates/lab/src/world/common.rs
+++ b/crates/lab/src/world/common.rs
@@ -8,26 +8,26 @@
 use birchswitch_engine::AttemptId;
 use birchswitch_tuner as tuner;
 use birchswitch_verdict as verdict;
-use birchswitch_verdict::Met;
+use birchswitch_verdict::AttemptObservation;
 use finchvale::{Outcome, ServerAdjustment, ServerId, Time};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// As an operator's file has them that says nothing.
-const JUDGED: verdict::Terms = verdict::Terms::USUAL;
+const JUDGED: verdict::VerdictSettings = verdict::VerdictSettings::DEFAULT;
 /// Likewise.
-const TUNED: tuner::Terms = tuner::Terms::USUAL;
+const TUNED: tuner::TunerSettings = tuner::TunerSettings::DEFAULT;
 /// The number under which they hold their leases.
 const TOKEN: u64 = 1;
 
 /// What a node tells and is told.
 #[derive(Default)]
 pub(super) struct Common {
-    tally: verdict::Tally,
-    obeyed: verdict::Obeyed,
-    sketches: tuner::Sketches,
-    weights: tuner::Weights,
+    tally: verdict::OutcomeWindow,
+    obeyed: verdict::ActiveEjections,
+    sketches: tuner::ServerSketches,
+    weights: tuner::AppliedWeights,
     /// When each attempt went to which server.
     went: FxHashMap<AttemptId, (usize, Time)>,
     /// When it told the tuner last.
@@ -37,14 +37,14 @@
 
 /// What judges and weighs for all.
 pub(super) struct Seats {
-    judges: Vec<verdict::Session<usize>>,
-    tuner: Option<tuner::Session>,
+    judges: Vec<verdict::Detector<usize>>,
+    tuner: Option<tuner::TuningSession>,
 }
 
 impl Seats {
     pub(super) fn new(nodes: &NodesOf, halls: u8) -> Self {
-        let judges = (0..halls).filter(|_| nodes.verdicts).map(|_| verdict::Session::new(TOKEN)).collect();
-        let tuner = nodes.tuned.then(|| tuner::Session::new(TUNED, TOKEN, Duration::ZERO));
+        let judges = (0..halls).filter(|_| nodes.verdicts).map(|_| verdict::Detector::new(TOKEN)).collect();
+        let tuner = nodes.tuned.then(|| tuner::TuningSession::new(TUNED, TOKEN, Duration::ZERO));
         Seats { judges, tuner }
     }
 }
@@ -75,13 +75,15 @@
         let met = match outcome {
             // One that has just started is slow by itself.
             Outcome::Served if !warm(server) => return,
-            Outcome::Served => Met::Answered(took),
-            Outcome::Error | Outcome::Broken | Outcome::TimedOut | Outcome::Unreachable => Met::Failed,
+            Outcome::Served => AttemptObservation::Answered(took),
+            Outcome::Error | Outcome::Broken | Outcome::TimedOut | Outcome::Unreachable => {
+                AttemptObservation::Failed
+            }
             Outcome::Rejected | Outcome::NotSent | Outcome::Cancelled => return,
         };
-        common.tally.met(since_origin(now), server as u64, met);
+        common.tally.record(since_origin(now), server as u64, met);
         if outcome == Outcome::Served {
-            common.sketches.add(server as u64, took);
+            common.sketches.record(server as u64, took);
         }
     }
 
@@ -94,11 +96,12 @@
         let listed = self.hall.borrow().machines.iter().filter(|m| m.life == Life::Up).count();
         let common = &mut self.nodes[node].common;
         let counts = common.tally.counts(at);
-        let report = verdict::Report { heard: common.obeyed.heard(), listed: listed as u32, counts };
+        let report =
+            verdict::Report { known_version: common.obeyed.version(), listed: listed as u32, counts };
         let heard = self.chance.unit() >= self.scenario.nodes.unheard;
         let zone = usize::from(self.nodes[node].zone);
         if let Some(judge) = self.seats.judges.get_mut(zone).filter(|_| heard) {
-            let (word, condemned) = judge.hear(&JUDGED, at, node, report);
+            let (word, condemned) = judge.receive(&JUDGED, at, node, report);
             let hall = self.hall.borrow();
             // A server is rightly condemned that does not do what others do.
             let sound = |s: u64| hall.machines.get(s as usize).is_some_and(|m| m.sound(at, JUDGED.ttl));
@@ -107,14 +110,14 @@
             drop(hall);
             self.agenda.put(self.now + back, Happening::Judged(node, at, word));
         }
-        let due = at >= self.nodes[node].common.told + TUNED.look;
+        let due = at >= self.nodes[node].common.told + TUNED.interval;
         if self.seats.tuner.is_some() && due && heard {
-            let spans = self.warm_spans(node);
+            let sketches = self.warm_spans(node);
             let common = &mut self.nodes[node].common;
             common.told = at;
-            let report = tuner::Report { heard: common.weights.heard(), spans };
-            if let Some((word, looked)) = self.seats.tuner.as_mut().map(|t| t.hear(at, &report)) {
-                self.book.taken_back += u64::from(looked.is_some_and(|l| l.back));
+            let report = tuner::Report { known_version: common.weights.version(), sketches };
+            if let Some((word, looked)) = self.seats.tuner.as_mut().map(|t| t.receive(at, &report)) {
+                self.book.taken_back += u64::from(looked.is_some_and(|l| l.rolled_back));
                 self.agenda.put(self.now + back, Happening::Weighed(node, at, word));
             }
         }
@@ -132,13 +135,13 @@
         common.sketches.take().into_iter().filter(|s| warm(s.0) && !withheld.contains(&s.0)).collect()
     }
 
-    pub(super) fn judged(&mut self, node: usize, asked: Duration, word: &verdict::Word) {
-        self.nodes[node].common.obeyed.take(&JUDGED, asked, word);
+    pub(super) fn judged(&mut self, node: usize, asked: Duration, word: &verdict::EjectionList) {
+        self.nodes[node].common.obeyed.apply(&JUDGED, asked, word);
         self.advise(node);
     }
 
-    pub(super) fn weighed(&mut self, node: usize, asked: Duration, word: &tuner::Word) {
-        self.nodes[node].common.weights.take(TUNED.ttl, asked, word);
+    pub(super) fn weighed(&mut self, node: usize, asked: Duration, word: &tuner::WeightList) {
+        self.nodes[node].common.weights.apply(TUNED.ttl, asked, word);
         self.advise(node);
     }
 
@@ -159,10 +162,10 @@
         let listed = |s: u64| hall.machines.get(s as usize).is_some_and(|m| m.life == Life::Up);
         let ready = hall.machines.iter().filter(|m| m.life == Life::Up).count();
         let common = &mut self.nodes[node].common;
-        for (server, open) in common.obeyed.now(&JUDGED, at, &listed, ready) {
+        for (server, open) in common.obeyed.current(&JUDGED, at, &listed, ready) {
             all.entry(server).or_insert_with(|| none(server)).share_limit = open;
         }
-        for (server, weight, sure) in common.weights.now(at) {
+        for (server, weight, sure) in common.weights.current(at) {
             let a = all.entry(server).or_insert_with(|| none(server));
             (a.weight_factor, a.confidence) = (weight, sure);
         }
--- a/crates/quota/benches/door.rs
+++ b/crates/quota/benches/limiter.rs
@@ -1,17 +1,19 @@
 //! What a request pays at the door: two of four limits count for it, with and without room.
 
 use birchswitch_mesh::Clock;
-use birchswitch_quota::{Apply, Door, Limit, Measure, Part, Safeguards, Scope, Terms, WhenCut};
+use birchswitch_quota::{
+    Allocation, GrantUpdate, Limit, Limiter, Measure, QuotaTiming, Safeguards, Scope, WhenCut,
+};
 use criterion::{criterion_group, criterion_main, Criterion};
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-fn door(c: &mut Criterion) {
-    let terms = Terms {
+fn limiter(c: &mut Criterion) {
+    let terms = QuotaTiming {
         renew: Duration::from_millis(400),
         ttl: Duration::from_secs(3600),
         transit: Duration::from_millis(50),
-        hold: Duration::from_secs(2),
+        longest_request: Duration::from_secs(2),
         drift: 50,
         safeguards: Safeguards::ALL,
     };
@@ -30,15 +32,15 @@
         limit(3, Some(7), None, rate),
     ];
     let clock = Clock::new(1000, 50);
-    let door = Door::new(&limits, terms, &[1.0, 2.0], clock);
-    let (done, _taken_up) = oneshot::channel();
+    let limiter = Limiter::new(&limits, terms, &[1.0, 2.0], clock);
+    let (applied, _applied) = oneshot::channel();
     let until = clock.now() + terms.ttl;
-    let grants = (0..3).map(|n| (n, Part { flow: 1e9, stock: 1e6 }, until)).collect();
-    door.apply(Apply { grants, done });
-    c.bench_function("let in by two limits", |b| b.iter(|| door.enter(0, 1)));
-    c.bench_function("turned away", |b| b.iter(|| door.enter(7, 0)));
-    c.bench_function("counts for none", |b| b.iter(|| door.enter(9, 0)));
+    let grants = (0..3).map(|n| (n, Allocation { rate: 1e9, capacity: 1e6 }, until)).collect();
+    limiter.apply_grants(GrantUpdate { grants, applied });
+    c.bench_function("let in by two limits", |b| b.iter(|| limiter.admit(0, 1)));
+    c.bench_function("turned away", |b| b.iter(|| limiter.admit(7, 0)));
+    c.bench_function("counts for none", |b| b.iter(|| limiter.admit(9, 0)));
 }
 
-criterion_group!(benches, door);
+criterion_group!(benches, limiter);
 criterion_main!(benches);
--- a/crates/quota/src/books.rs
+++ b/crates/quota/src/allocator.rs
@@ -3,8 +3,8 @@
 //! At any time the sum over all lives of the most that each may hold is at most the whole. A grant counts until a newer one is known to be
 //! held, or for as long as its node may use it. So a lower grant frees something only once its node says that it holds it.
 
-use crate::parting::{part, Turn};
-use crate::{Issue, Limit, LimitNeed, Measure, Part, Terms, Want};
+use crate::fair_share::{divide, RotationPriority};
+use crate::{Allocation, DemandAtWorth, IssuedGrant, Limit, LimitRequest, Measure, QuotaTiming};
 use birchswitch_mesh::{Clock, ProcessId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,17 +20,17 @@
 #[derive(Clone, Copy, Debug)]
 struct Issued {
     number: u64,
-    part: Part,
+    allocation: Allocation,
     over: Time,
 }
 
 #[derive(Clone, Debug)]
 struct Life {
     heard: Time,
-    wants: Vec<Want>,
+    wants: Vec<DemandAtWorth>,
     issued: Vec<Issued>,
     out: f64,
-    target: Part,
+    target: Allocation,
     /// Since when it has, or has not, had a unit.
     turned: Time,
     had: bool,
@@ -40,32 +40,32 @@
 
 impl Life {
     /// The most that it may hold, or may have let in.
-    fn most(&self) -> Part {
-        let held = self.issued.iter().fold(Part::NONE, |most, i| most.max(i.part));
-        held.max(Part { flow: 0.0, stock: self.out })
+    fn most(&self) -> Allocation {
+        let held = self.issued.iter().fold(Allocation::NONE, |most, i| most.max(i.allocation));
+        held.max(Allocation { rate: 0.0, capacity: self.out })
     }
 
-    fn turn(&self, now: Time) -> Turn {
+    fn turn(&self, now: Time) -> RotationPriority {
         match (self.had, now >= self.turned + TURN) {
-            (true, false) => Turn::Stays,
-            (false, true) => Turn::Waits,
-            _ => Turn::Any,
+            (true, false) => RotationPriority::Retain,
+            (false, true) => RotationPriority::Overdue,
+            _ => RotationPriority::Normal,
         }
     }
 }
 
 /// See the module's words.
 #[derive(Clone, Debug)]
-pub struct Books {
+pub struct Allocator {
     limit: Limit,
-    terms: Terms,
+    terms: QuotaTiming,
     clock: Clock,
-    whole: Part,
+    whole: Allocation,
     token: u64,
     /// Until then what an earlier keeper granted may be held by nodes that this one has not heard.
     quarantine: Time,
     /// What of that was confirmed by its nodes: all that is parted until then.
-    adopted: Part,
+    adopted: Allocation,
     lives: BTreeMap<ProcessId, Life>,
     /// What all lives together may hold. What ended since it was worked out counts still.
     sum: Sum,
@@ -77,41 +77,41 @@
 /// A sum to which parts are added, and from which they are taken.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
-    flow: f64,
-    stock: f64,
+    rate: f64,
+    capacity: f64,
 }
 
 impl Sum {
-    fn add(&mut self, part: Part) {
-        self.flow += part.flow;
-        self.stock += part.stock;
+    fn add(&mut self, allocation: Allocation) {
+        self.rate += allocation.rate;
+        self.capacity += allocation.capacity;
     }
 
-    fn take(&mut self, part: Part) {
-        self.flow -= part.flow;
-        self.stock -= part.stock;
+    fn take(&mut self, allocation: Allocation) {
+        self.rate -= allocation.rate;
+        self.capacity -= allocation.capacity;
     }
 
-    fn part(self) -> Part {
-        Part { flow: self.flow, stock: self.stock }
+    fn total(self) -> Allocation {
+        Allocation { rate: self.rate, capacity: self.capacity }
     }
 }
 
-impl Books {
+impl Allocator {
     /// Those of a keeper that begins now, under a token.
-    pub fn new(limit: &Limit, terms: &Terms, clock: Clock, token: u64, now: Time) -> Self {
+    pub fn new(limit: &Limit, terms: &QuotaTiming, clock: Clock, token: u64, now: Time) -> Self {
         let quarantine = match terms.safeguards.quarantine {
             true => now + terms.held(limit, &clock),
             false => now,
         };
-        Books {
+        Allocator {
             whole: terms.whole(limit),
             limit: limit.clone(),
             terms: *terms,
             clock,
             token,
             quarantine,
-            adopted: Part::NONE,
+            adopted: Allocation::NONE,
             lives: BTreeMap::new(),
             sum: Sum::default(),
             number: 0,
@@ -125,7 +125,7 @@
     }
 
     /// What may be parted now.
-    fn to_part(&self, now: Time) -> Part {
+    fn to_part(&self, now: Time) -> Allocation {
         match now < self.quarantine {
             true => self.adopted.min(self.whole),
             false => self.whole,
@@ -136,7 +136,13 @@
     ///
     /// What it holds of an earlier keeper's is taken up only from one that has heard this one's token: it asked after this one began, and
     /// the grant had not ended then, so that the earlier one never gave it to another; and it takes no more from that one.
-    pub fn ask(&mut self, now: Time, who: ProcessId, heard: u64, need: &LimitNeed) -> Option<Issue> {
+    pub fn renew(
+        &mut self,
+        now: Time,
+        who: ProcessId,
+        heard: u64,
+        need: &LimitRequest,
+    ) -> Option<IssuedGrant> {
         if now >= self.tidied + FRESH {
             self.tidy(now);
         }
@@ -149,7 +155,7 @@
             wants: Vec::new(),
             issued: Vec::new(),
             out: 0.0,
-            target: Part::NONE,
+            target: Allocation::NONE,
             turned: now,
             had: false,
             adopted: false,
@@ -161,33 +167,36 @@
         let fresh = !self.lives.contains_key(&who);
         let life = self.lives.entry(who).or_insert(new);
         self.sum.take(life.most());
-        (life.heard, life.wants) = (now, need.wants.clone());
-        life.out =
-            if matches!(self.limit.measure, Measure::InFlight { .. }) { f64::from(need.out) } else { 0.0 };
+        (life.heard, life.wants) = (now, need.demand.clone());
+        life.out = if matches!(self.limit.measure, Measure::InFlight { .. }) {
+            f64::from(need.in_flight)
+        } else {
+            0.0
+        };
         match need.held {
             Some(h) if h.token == self.token => life.issued.retain(|i| i.number >= h.number),
             Some(h)
                 if h.token < self.token && heard == self.token && !life.adopted && now < self.quarantine =>
             {
                 life.adopted = true;
-                life.issued.push(Issued { number: 0, part: h.part, over: now + held });
-                self.adopted = self.adopted.plus(h.part);
+                life.issued.push(Issued { number: 0, allocation: h.allocation, over: now + held });
+                self.adopted = self.adopted.plus(h.allocation);
             }
             _ => {}
         }
         if fresh || self.parted.is_none_or(|at| now >= at + FRESH) {
-            self.part(now);
+            self.reallocate(now);
         }
         // Without its own: that is added again below.
-        let free = self.to_part(now).less(self.sum.part());
+        let free = self.to_part(now).less(self.sum.total());
         let life = self.lives.get_mut(&who)?;
-        let given = life.target.min(Part { stock: free.stock.floor(), ..free });
+        let given = life.target.min(Allocation { capacity: free.capacity.floor(), ..free });
         self.number += 1;
-        let issued = Issued { number: self.number, part: given, over: now + held };
+        let issued = Issued { number: self.number, allocation: given, over: now + held };
         // Those before it may be what the node holds until it says otherwise; of many in a row the most that any was.
         life.issued.push(issued);
         self.sum.add(life.most());
-        Some(Issue { limit: self.limit.id, number: issued.number, part: given })
+        Some(IssuedGrant { limit: self.limit.id, number: issued.number, allocation: given })
     }
 
     /// Forgets what is surely over.
@@ -201,23 +210,23 @@
     }
 
     /// Works out what each life that asks should have.
-    fn part(&mut self, now: Time) {
+    fn reallocate(&mut self, now: Time) {
         self.parted = Some(now);
         let (whole, ttl) = (self.to_part(now), self.terms.ttl);
         let in_flight = self.in_flight();
         let mut asking: Vec<&mut Life> = self.lives.values_mut().filter(|l| now < l.heard + ttl).collect();
-        let wants: Vec<Vec<Want>> = asking.iter().map(|l| l.wants.clone()).collect();
-        let wants: Vec<&[Want]> = wants.iter().map(Vec::as_slice).collect();
-        let turns: Vec<Turn> = asking.iter().map(|l| l.turn(now)).collect();
-        let whole = if in_flight { Part { flow: 0.0, ..whole } } else { whole };
-        let parts = if whole.flow > 0.0 || in_flight {
-            part(whole, &wants, &turns)
+        let wants: Vec<Vec<DemandAtWorth>> = asking.iter().map(|l| l.wants.clone()).collect();
+        let wants: Vec<&[DemandAtWorth]> = wants.iter().map(Vec::as_slice).collect();
+        let turns: Vec<RotationPriority> = asking.iter().map(|l| l.turn(now)).collect();
+        let whole = if in_flight { Allocation { rate: 0.0, ..whole } } else { whole };
+        let parts = if whole.rate > 0.0 || in_flight {
+            divide(whole, &wants, &turns)
         } else {
-            vec![Part::NONE; asking.len()]
+            vec![Allocation::NONE; asking.len()]
         };
-        for (life, part) in asking.iter_mut().zip(parts) {
-            life.target = part;
-            let has = part.stock > 0.0;
+        for (life, allocation) in asking.iter_mut().zip(parts) {
+            life.target = allocation;
+            let has = allocation.capacity > 0.0;
             if has != life.had {
                 (life.had, life.turned) = (has, now);
             }
@@ -225,13 +234,13 @@
     }
 
     /// What may be held by all lives together: never more than the whole.
-    pub fn outstanding(&mut self, now: Time) -> Part {
+    pub fn outstanding(&mut self, now: Time) -> Allocation {
         self.tidy(now);
-        self.sum.part()
+        self.sum.total()
     }
 
     /// Lives that ask.
-    pub fn asking(&self, now: Time) -> usize {
+    pub fn active_nodes(&self, now: Time) -> usize {
         self.lives.values().filter(|l| now < l.heard + self.terms.ttl).count()
     }
 }
@@ -239,14 +248,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{Held, Safeguards, Scope, WhenCut};
+    use crate::{HeldGrant, Safeguards, Scope, WhenCut};
     use birchswitch_cluster::{Generation as Process, MemberId};
 
-    const TERMS: Terms = Terms {
+    const TERMS: QuotaTiming = QuotaTiming {
         renew: Duration::from_millis(400),
         ttl: Duration::from_secs(2),
         transit: Duration::from_millis(100),
-        hold: Duration::from_secs(1),
+        longest_request: Duration::from_secs(1),
         drift: 50,
         safeguards: Safeguards::ALL,
     };
@@ -256,16 +265,16 @@
         Limit { name: "l".into(), scope, measure, when_cut: WhenCut::Strict, id: 7 }
     }
 
-    fn books(measure: Measure, token: u64, now: Time) -> Books {
-        Books::new(&limit(measure), &TERMS, Clock::new(1000, 50), token, now)
+    fn books(measure: Measure, token: u64, now: Time) -> Allocator {
+        Allocator::new(&limit(measure), &TERMS, Clock::new(1000, 50), token, now)
     }
 
     fn who(n: u64) -> ProcessId {
         ProcessId { id: MemberId(n), generation: Process { started: 1, draw: 0 } }
     }
 
-    fn need(amount: f32, held: Option<Held>) -> LimitNeed {
-        LimitNeed { limit: 7, wants: vec![Want { worth: 1.0, amount }], held, out: 0 }
+    fn need(amount: f32, held: Option<HeldGrant>) -> LimitRequest {
+        LimitRequest { limit: 7, demand: vec![DemandAtWorth { worth: 1.0, amount }], held, in_flight: 0 }
     }
 
     fn s(s: f64) -> Time {
@@ -275,26 +284,33 @@
     const RATE: Measure = Measure::Rate { per_s: 105.0, burst: 30.5 };
 
     /// Asks, and says the next time that what was got is held.
-    fn asks(books: &mut Books, now: Time, n: u64, amount: f32, held: &mut Option<Held>) -> Part {
-        let issue = books.ask(now, who(n), books.token, &need(amount, *held)).expect("room");
-        *held = Some(Held { token: books.token, number: issue.number, part: issue.part });
-        issue.part
+    fn asks(
+        books: &mut Allocator,
+        now: Time,
+        n: u64,
+        amount: f32,
+        held: &mut Option<HeldGrant>,
+    ) -> Allocation {
+        let issue = books.renew(now, who(n), books.token, &need(amount, *held)).expect("room");
+        *held = Some(HeldGrant { token: books.token, number: issue.number, allocation: issue.allocation });
+        issue.allocation
     }
 
     #[test]
     fn a_new_keeper_gives_nothing_that_the_last_may_have_given() {
         let mut b = books(RATE, 2, s(10.0));
-        assert_eq!(asks(&mut b, s(10.1), 1, 500.0, &mut None), Part::NONE);
+        assert_eq!(asks(&mut b, s(10.1), 1, 500.0, &mut None), Allocation::NONE);
         // Confirmed by one that has heard of this keeper: this much goes on at once, to whom it is wanted most.
-        let mut held = Some(Held { token: 1, number: 9, part: Part { flow: 40.0, stock: 4.0 } });
-        assert_eq!(b.ask(s(10.2), who(2), 1, &need(500.0, held)), None, "it has not");
-        let part = asks(&mut b, s(10.2), 2, 500.0, &mut held);
-        assert!(part.flow <= 40.0 && part.flow > 0.0, "{part:?}");
+        let mut held =
+            Some(HeldGrant { token: 1, number: 9, allocation: Allocation { rate: 40.0, capacity: 4.0 } });
+        assert_eq!(b.renew(s(10.2), who(2), 1, &need(500.0, held)), None, "it has not");
+        let allocation = asks(&mut b, s(10.2), 2, 500.0, &mut held);
+        assert!(allocation.rate <= 40.0 && allocation.rate > 0.0, "{allocation:?}");
         let end = 10.0 + 2.0 * 1050.0 / 950.0;
-        assert!(b.ask(s(end - 0.1), who(3), 2, &need(500.0, None)).expect("room").part.flow < 1e-9);
+        assert!(b.renew(s(end - 0.1), who(3), 2, &need(500.0, None)).expect("room").allocation.rate < 1e-9);
         let mut sum = 0.0;
         for n in 1..=3 {
-            sum += asks(&mut b, s(end + 0.1), n, 500.0, &mut None).flow;
+            sum += asks(&mut b, s(end + 0.1), n, 500.0, &mut None).rate;
         }
         assert!(sum <= 100.0 + 1e-9 && sum > 50.0, "{sum}");
     }
@@ -304,34 +320,34 @@
         let mut b = books(RATE, 1, s(0.0));
         let (mut one, mut other) = (None, None);
         let full = asks(&mut b, s(5.0), 1, 500.0, &mut one);
-        assert!((full.flow - 100.0).abs() < 1e-9 && full.stock == 20.0, "{full:?}");
+        assert!((full.rate - 100.0).abs() < 1e-9 && full.capacity == 20.0, "{full:?}");
         // Another wants as much: nothing before the first has said that it holds less.
-        assert!(asks(&mut b, s(5.1), 2, 500.0, &mut other).flow < 1e-9);
+        assert!(asks(&mut b, s(5.1), 2, 500.0, &mut other).rate < 1e-9);
         let less = asks(&mut b, s(5.2), 1, 500.0, &mut one);
-        assert!((less.flow - 50.0).abs() < 1e-9, "{less:?}");
-        assert!(asks(&mut b, s(5.3), 2, 500.0, &mut other).flow < 1e-9, "told, and not yet known to be held");
+        assert!((less.rate - 50.0).abs() < 1e-9, "{less:?}");
+        assert!(asks(&mut b, s(5.3), 2, 500.0, &mut other).rate < 1e-9, "told, and not yet known to be held");
         asks(&mut b, s(5.4), 1, 500.0, &mut one);
-        assert!((asks(&mut b, s(5.5), 2, 500.0, &mut other).flow - 50.0).abs() < 1e-9);
+        assert!((asks(&mut b, s(5.5), 2, 500.0, &mut other).rate - 50.0).abs() < 1e-9);
         // One that says nothing more is counted until its clock, however slow, has ended its grant.
         let end = 5.4 + 2.0 * 1050.0 / 950.0;
-        assert!(asks(&mut b, s(end - 0.05), 2, 500.0, &mut other).flow < 51.0);
+        assert!(asks(&mut b, s(end - 0.05), 2, 500.0, &mut other).rate < 51.0);
         asks(&mut b, s(end + 0.05), 2, 500.0, &mut other);
-        assert!(asks(&mut b, s(end + 0.15), 2, 500.0, &mut other).flow > 99.0);
-        assert!(b.outstanding(s(end + 0.2)).flow <= 100.0 + 1e-9);
+        assert!(asks(&mut b, s(end + 0.15), 2, 500.0, &mut other).rate > 99.0);
+        assert!(b.outstanding(s(end + 0.2)).rate <= 100.0 + 1e-9);
     }
 
     #[test]
     fn requests_in_flight_count_beyond_the_grant_that_let_them_in() {
         let mut b = books(Measure::InFlight { most: 10 }, 1, s(0.0));
         let mut one = None;
-        assert_eq!(asks(&mut b, s(9.0), 1, 50.0, &mut one).stock, 10.0);
+        assert_eq!(asks(&mut b, s(9.0), 1, 50.0, &mut one).capacity, 10.0);
         let mut other = None;
         asks(&mut b, s(9.1), 2, 50.0, &mut other);
         // It holds five now, and has eight still out.
         asks(&mut b, s(9.2), 1, 50.0, &mut one);
-        let busy = LimitNeed { out: 8, ..need(50.0, one) };
-        b.ask(s(9.4), who(1), 1, &busy);
-        assert_eq!(asks(&mut b, s(9.5), 2, 50.0, &mut other).stock, 2.0);
+        let busy = LimitRequest { in_flight: 8, ..need(50.0, one) };
+        b.renew(s(9.4), who(1), 1, &busy);
+        assert_eq!(asks(&mut b, s(9.5), 2, 50.0, &mut other).capacity, 2.0);
     }
 
     #[test]
@@ -339,11 +355,11 @@
         let mut b = books(RATE, 1, s(0.0));
         asks(&mut b, s(5.0), 1, 500.0, &mut None);
         let reborn = ProcessId { generation: Process { started: 2, draw: 0 }, ..who(1) };
-        let issue = b.ask(s(5.1), reborn, 1, &need(500.0, None)).expect("room");
-        assert!(issue.part.flow < 1e-9, "{issue:?}");
+        let issue = b.renew(s(5.1), reborn, 1, &need(500.0, None)).expect("room");
+        assert!(issue.allocation.rate < 1e-9, "{issue:?}");
     }
 
-    /// An answer of the last keeper's that is late raises a part which the next one has halved: obeyed, it would make more than the whole.
+    /// An answer of the last keeper's that is late raises a allocation which the next one has halved: obeyed, it would make more than the whole.
     /// Whoever has heard the next one refuses it (`asker.rs`).
     #[test]
     fn a_lower_number_obeyed_would_be_more_than_the_whole() {
@@ -353,14 +369,14 @@
             asks(&mut first, s(5.0 + f64::from(n) * 0.1), 2, 0.0, &mut other);
             asks(&mut first, s(5.05 + f64::from(n) * 0.1), 1, 40.0, &mut one);
         }
-        let late = first.ask(s(5.7), who(1), 1, &need(500.0, one)).expect("room").part;
+        let late = first.renew(s(5.7), who(1), 1, &need(500.0, one)).expect("room").allocation;
         let mut second = books(RATE, 2, s(6.0));
         for _ in 0..4 {
             asks(&mut second, s(6.1), 1, 500.0, &mut one);
             asks(&mut second, s(6.2), 2, 500.0, &mut other);
         }
-        let [one, other] = [one, other].map(|held| held.map_or(0.0, |h| h.part.flow));
+        let [one, other] = [one, other].map(|held| held.map_or(0.0, |h| h.allocation.rate));
         assert!(one + other <= 100.0 + 1e-9 && other > 5.0, "{one} {other}");
-        assert!(late.flow + other > 101.0, "{late:?} {other}");
+        assert!(late.rate + other > 101.0, "{late:?} {other}");
     }
 }
--- a/crates/quota/src/parting/units.rs
+++ b/crates/quota/src/fair_share/apportion.rs
@@ -1,9 +1,9 @@
 //! Whole units by shares: one for each that has a share, then by largest remainders.
 
-use super::Turn;
+use super::RotationPriority;
 
 /// Parts so many units. Where they do not reach for one each, those whose turn it is come first, then the greater shares.
-pub fn units(whole: u32, shares: &[f64], turns: &[Turn]) -> Vec<u32> {
+pub fn apportion(whole: u32, shares: &[f64], turns: &[RotationPriority]) -> Vec<u32> {
     let mut order: Vec<usize> = (0..shares.len()).filter(|n| shares[*n] > 0.0).collect();
     order.sort_by(|a, b| turns[*a].cmp(&turns[*b]).then(shares[*b].total_cmp(&shares[*a])));
     let mut units = vec![0; shares.len()];
@@ -33,10 +33,10 @@
 
     #[test]
     fn each_gets_one_before_any_gets_more() {
-        assert_eq!(units(10, &[100.0, 1.0, 0.0], &[Turn::Any; 3]), [9, 1, 0]);
-        assert_eq!(units(1, &[1.0, 2.0], &[Turn::Any; 2]), [0, 1]);
-        assert_eq!(units(1, &[1.0, 2.0], &[Turn::Waits, Turn::Any]), [1, 0]);
-        assert_eq!(units(0, &[1.0], &[Turn::Any]), [0]);
+        assert_eq!(apportion(10, &[100.0, 1.0, 0.0], &[RotationPriority::Normal; 3]), [9, 1, 0]);
+        assert_eq!(apportion(1, &[1.0, 2.0], &[RotationPriority::Normal; 2]), [0, 1]);
+        assert_eq!(apportion(1, &[1.0, 2.0], &[RotationPriority::Overdue, RotationPriority::Normal]), [1, 0]);
+        assert_eq!(apportion(0, &[1.0], &[RotationPriority::Normal]), [0]);
     }
 
     proptest! {
@@ -44,7 +44,7 @@
         fn all_are_given_where_any_wants_them(
             whole in 0u32..500, shares in prop::collection::vec(0.0..10.0f64, 1..30),
         ) {
-            let given: u32 = units(whole, &shares, &vec![Turn::Any; shares.len()]).iter().sum();
+            let given: u32 = apportion(whole, &shares, &vec![RotationPriority::Normal; shares.len()]).iter().sum();
             let wanted = shares.iter().any(|s| *s > 0.0);
             prop_assert_eq!(given, if wanted { whole } else { 0 });
         }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -3,11 +3,11 @@
 //! ```text
 //!   a request    door ── allowance (one each limit) ──────────── the node's thread
 //!                  │ counts          ▲ grants
-//!   asker     ─────┴── needs ──> keeper ── books ── parting      tasks on the mesh
+//!   asker     ─────┴── needs ──> keeper ── books ── fair_share      tasks on the mesh
 //!   (each node)     <── word ──  (one node: a lease, number = token)
 //! ```
 //!
-//! Each limit is a flow and a stock ([`Part`]): a rate with its burst, or a number in flight. The keeper parts it into grants; a grant
+//! Each limit is a rate and a capacity ([`Allocation`]): a rate with its burst, or a number in flight. The keeper parts it into grants; a grant
 //! ends by its node's own clock, counted from before it asked, and counts as held at the keeper for as long as the slowest clock may take
 //! to that. Who has no grant does as the limit's `when_cut` says.
 //!
@@ -15,34 +15,34 @@
 //! clocks are right to the drift, and a request is on its way to its server for no longer than `transit`. `docs/design/limits.md` derives
 //! it; `tests/bound.rs` checks it on the plain functions in virtual time, the node's tests on processes, at the servers.
 //!
-//! What decides is plain functions ([`parting`], [`Books`], [`Allowance`], [`fallback`]); what talks is `keeper.rs` and `asker.rs`.
+//! What decides is plain functions ([`fair_share`], [`Allocator`], [`LocalQuota`], [`fallback`]); what talks is `keeper.rs` and `asker.rs`.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-mod allowance;
-mod asker;
-mod books;
+mod allocation;
+mod allocator;
 pub mod bound;
-mod counts;
-mod door;
+mod demand;
+pub mod fair_share;
 pub mod fallback;
-mod keeper;
+mod leader;
 mod limit;
+mod limiter;
+mod local_quota;
 mod message;
-mod part;
-pub mod parting;
+mod renewal;
 mod settings;
-mod terms;
+mod timing;
 
-pub use allowance::{Allowance, Grant};
-pub use asker::{ask, Apply};
-pub use books::Books;
-pub use counts::{Counts, Demand};
-pub use door::{Door, Taken, Turned};
-pub use keeper::{Keeper, LANE, TASK};
+pub use allocation::Allocation;
+pub use allocator::Allocator;
+pub use demand::{Counters, DemandEstimator};
+pub use leader::{Leader, LANE, TASK};
 pub use limit::{Limit, Measure, Scope, WhenCut};
-pub use message::{Held, Issue, LimitNeed, Need, Want, Word};
-pub use part::Part;
-pub use settings::{Compiled, LimitTable, Table};
-pub use terms::{Safeguards, Terms};
+pub use limiter::{Limiter, Permit, Rejection};
+pub use local_quota::{Grant, LocalQuota};
+pub use message::{DemandAtWorth, HeldGrant, IssuedGrant, LimitRequest, RenewalRequest, RenewalResponse};
+pub use renewal::{renew_grants, GrantUpdate};
+pub use settings::{LimitTable, QuotaSettings, QuotaTable};
+pub use timing::{QuotaTiming, Safeguards};
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -39,7 +39,7 @@
 
 impl Scope {
     /// Whether a request counts.
-    pub fn meets(&self, tenant: u16, class: u8) -> bool {
+    pub fn matches(&self, tenant: u16, class: u8) -> bool {
         self.tenant.is_none_or(|t| t == tenant) && self.class.is_none_or(|c| c == class)
     }
 }
--- a/crates/quota/src/door.rs
+++ b/crates/quota/src/limiter.rs
@@ -1,8 +1,8 @@
 //! The door of a node: what each request takes of the limits that it counts for, by the node's own thread alone.
 
-use crate::asker::Apply;
-use crate::fallback::without_grant;
-use crate::{Allowance, Counts, Grant, Limit, Measure, Terms, WhenCut};
+use crate::fallback::fallback_grant;
+use crate::renewal::GrantUpdate;
+use crate::{Counters, Grant, Limit, LocalQuota, Measure, QuotaTiming, WhenCut};
 use birchswitch_mesh::{Clock, Time};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,17 +11,17 @@
 
 /// A request is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turned {
+pub struct Rejection {
     /// By which limit.
     pub limit: usize,
     /// When it may be worth coming again.
-    pub wait: Duration,
+    pub retry_after: Duration,
 }
 
 struct Place {
     limit: Limit,
-    allowance: RefCell<Allowance>,
-    counts: Arc<Counts>,
+    allowance: RefCell<LocalQuota>,
+    counts: Arc<Counters>,
     /// It uses what holds without a grant.
     alone: Cell<bool>,
 }
@@ -32,14 +32,14 @@
     }
 
     fn open(&self, now: Time) -> bool {
-        self.limit.when_cut == WhenCut::Open && self.allowance.borrow().part(now).is_none()
+        self.limit.when_cut == WhenCut::Open && self.allowance.borrow().allocation(now).is_none()
     }
 }
 
 /// See the module's words. Its limits are fixed at the start.
-pub struct Door {
+pub struct Limiter {
     clock: Clock,
-    terms: Terms,
+    terms: QuotaTiming,
     places: Vec<Place>,
     worths: Vec<f64>,
     /// The fleet as last agreed; 0: not known.
@@ -47,17 +47,17 @@
 }
 
 /// What a request took, to be given back when it has ended.
-pub struct Taken {
-    door: Rc<Door>,
+pub struct Permit {
+    door: Rc<Limiter>,
     limits: Vec<usize>,
     /// When it was let in, or last counted as if.
     at: Cell<Time>,
     sent: Cell<bool>,
 }
 
-impl Taken {
+impl Permit {
     /// Whether it may go to a server now: one that was let in longer ago than `transit` counts anew, as if it came now.
-    pub fn fit(&self) -> Result<(), Turned> {
+    pub fn recheck(&self) -> Result<(), Rejection> {
         let now = self.door.clock.now();
         if self.sent.get() || now <= self.at.get() + self.door.terms.transit {
             return Ok(());
@@ -68,24 +68,24 @@
     }
 
     /// It has gone to a server: what is sent of it again is the same request.
-    pub fn sent(&self) {
+    pub fn mark_sent(&self) {
         self.sent.set(true);
     }
 }
 
-impl Drop for Taken {
+impl Drop for Permit {
     fn drop(&mut self) {
         for n in &self.limits {
             let place = &self.door.places[*n];
-            place.allowance.borrow_mut().ended();
-            place.counts.out(place.allowance.borrow().out());
+            place.allowance.borrow_mut().release();
+            place.counts.set_in_flight(place.allowance.borrow().in_flight());
         }
     }
 }
 
-impl Door {
+impl Limiter {
     /// A door with these limits; `worths` are the classes'.
-    pub fn new(limits: &[Limit], terms: Terms, worths: &[f64], clock: Clock) -> Rc<Self> {
+    pub fn new(limits: &[Limit], terms: QuotaTiming, worths: &[f64], clock: Clock) -> Rc<Self> {
         let place = |limit: &Limit| {
             let counted = worths.iter().enumerate();
             let counted =
@@ -94,45 +94,45 @@
             Place {
                 limit: limit.clone(),
                 allowance: RefCell::default(),
-                counts: Arc::new(Counts::new(&counted)),
+                counts: Arc::new(Counters::new(&counted)),
                 alone: Cell::new(false),
             }
         };
         let places = limits.iter().map(place).collect();
-        Rc::new(Door { clock, terms, places, worths: worths.to_vec(), nodes: Cell::new(0) })
+        Rc::new(Limiter { clock, terms, places, worths: worths.to_vec(), nodes: Cell::new(0) })
     }
 
     /// Each limit's counts.
-    pub fn counts(&self) -> Vec<Arc<Counts>> {
+    pub fn counters(&self) -> Vec<Arc<Counters>> {
         self.places.iter().map(|p| p.counts.clone()).collect()
     }
 
     /// The fleet as last agreed, for limits that are shared without a grant; 0: not known.
-    pub fn agreed(&self, nodes: u32) {
+    pub fn set_fleet_size(&self, nodes: u32) {
         self.nodes.set(nodes);
     }
 
     /// Takes up grants. What they are the answer to may be told then.
-    pub fn apply(&self, apply: Apply) {
+    pub fn apply_grants(&self, apply: GrantUpdate) {
         let now = self.clock.now();
-        for (n, part, until) in &apply.grants {
+        for (n, allocation, expires) in &apply.grants {
             let Some(place) = self.places.get(*n) else { continue };
             place.alone.set(false);
-            let until = self.terms.safeguards.ends.then_some(*until);
-            place.allowance.borrow_mut().grant(now, Some(Grant { part: *part, until }));
+            let expires = self.terms.safeguards.expiry.then_some(*expires);
+            place.allowance.borrow_mut().set_grant(now, Some(Grant { allocation: *allocation, expires }));
         }
         // Whoever asked is gone with the mesh.
-        let _ = apply.done.send(());
+        let _ = apply.applied.send(());
     }
 
     /// Lets a request in, or turns it away. What is returned is dropped when the request has ended.
-    pub fn enter(self: &Rc<Self>, tenant: u16, class: u8) -> Result<Option<Taken>, Turned> {
+    pub fn admit(self: &Rc<Self>, tenant: u16, class: u8) -> Result<Option<Permit>, Rejection> {
         let mut limits = Vec::new();
         let now = self.clock.now();
         let worth = self.worths.get(usize::from(class)).copied().unwrap_or_default();
         let mut turned = None;
         for (n, place) in self.places.iter().enumerate() {
-            if !place.limit.scope.meets(tenant, class) {
+            if !place.limit.scope.matches(tenant, class) {
                 continue;
             }
             limits.push(n);
@@ -140,55 +140,55 @@
                 continue;
             }
             self.fall_back(place, now);
-            if let Err(wait) = place.allowance.borrow_mut().may(now, place.in_flight()) {
-                turned = Some(Turned { limit: n, wait: wait.unwrap_or(self.terms.renew) });
+            if let Err(wait) = place.allowance.borrow_mut().check(now, place.in_flight()) {
+                turned = Some(Rejection { limit: n, retry_after: wait.unwrap_or(self.terms.renew) });
                 break;
             }
         }
         if let Some(turned) = turned {
             let place = &self.places[turned.limit];
-            place.counts.came(worth, false);
+            place.counts.record(worth, false);
             return Err(turned);
         }
         for n in &limits {
             let place = &self.places[*n];
-            place.allowance.borrow_mut().take();
-            place.counts.came(worth, true);
-            place.counts.out(place.allowance.borrow().out());
+            place.allowance.borrow_mut().admit();
+            place.counts.record(worth, true);
+            place.counts.set_in_flight(place.allowance.borrow().in_flight());
         }
         let (at, sent) = (Cell::new(now), Cell::new(false));
-        Ok((!limits.is_empty()).then(|| Taken { door: self.clone(), limits, at, sent }))
+        Ok((!limits.is_empty()).then(|| Permit { door: self.clone(), limits, at, sent }))
     }
 
     /// One that is in takes from its rates again.
-    fn again(&self, limits: &[usize], now: Time) -> Result<(), Turned> {
+    fn again(&self, limits: &[usize], now: Time) -> Result<(), Rejection> {
         let rates = || limits.iter().filter(|n| !self.places[**n].in_flight() && !self.places[**n].open(now));
         for n in rates() {
             let place = &self.places[*n];
             self.fall_back(place, now);
-            let may = place.allowance.borrow_mut().may(now, false);
-            may.map_err(|wait| Turned { limit: *n, wait: wait.unwrap_or(self.terms.renew) })?;
+            let may = place.allowance.borrow_mut().check(now, false);
+            may.map_err(|wait| Rejection { limit: *n, retry_after: wait.unwrap_or(self.terms.renew) })?;
         }
-        rates().for_each(|n| self.places[*n].allowance.borrow_mut().spend());
+        rates().for_each(|n| self.places[*n].allowance.borrow_mut().consume());
         Ok(())
     }
 
     /// A node whose grant has ended uses what is its own by the settings.
     fn fall_back(&self, place: &Place, now: Time) {
         let mut allowance = place.allowance.borrow_mut();
-        if place.limit.when_cut == WhenCut::Share && allowance.part(now).is_none() {
-            let own = without_grant(place.limit.when_cut, self.terms.whole(&place.limit), self.nodes.get());
-            allowance.grant(now, own);
+        if place.limit.when_cut == WhenCut::Share && allowance.allocation(now).is_none() {
+            let own = fallback_grant(place.limit.when_cut, self.terms.whole(&place.limit), self.nodes.get());
+            allowance.set_grant(now, own);
             place.alone.set(true);
         }
     }
 
     /// A line each: name, what holds now, requests a second and at once, let in, turned away, out.
-    pub fn text(&self) -> String {
+    pub fn status_table(&self) -> String {
         let now = self.clock.now();
         let mut text = String::from("# limit holds per_s at_once let_in turned_away out\n");
         for place in &self.places {
-            let part = place.allowance.borrow().part(now);
+            let part = place.allowance.borrow().allocation(now);
             let holds = match (part, place.alone.get()) {
                 (Some(_), false) => "grant",
                 (Some(_), true) => "share",
@@ -198,16 +198,16 @@
             let (part, [let_in, turned, out]) = (part.unwrap_or_default(), place.counts.totals());
             text += &format!(
                 "{} {holds} {:.3} {} {let_in} {turned} {out}\n",
-                place.limit.name, part.flow, part.stock
+                place.limit.name, part.rate, part.capacity
             );
         }
         text
     }
 
     /// Requests a second that this node holds of each.
-    pub fn holds(&self) -> Vec<f64> {
+    pub fn granted_rates(&self) -> Vec<f64> {
         let now = self.clock.now();
-        self.places.iter().map(|p| p.allowance.borrow().part(now).unwrap_or_default().flow).collect()
+        self.places.iter().map(|p| p.allowance.borrow().allocation(now).unwrap_or_default().rate).collect()
     }
 
     /// The limits.
--- a/crates/quota/src/asker.rs
+++ b/crates/quota/src/renewal.rs
@@ -1,7 +1,10 @@
 //! A node's side: it asks whoever says that it keeps the limits, again and again, and hands what it gets to the node's thread.
 
-use crate::counts::Demand;
-use crate::{Counts, Held, Limit, LimitNeed, Measure, Need, Part, Terms, Word, LANE, TASK};
+use crate::demand::DemandEstimator;
+use crate::{
+    Allocation, Counters, HeldGrant, Limit, LimitRequest, Measure, QuotaTiming, RenewalRequest,
+    RenewalResponse, LANE, TASK,
+};
 use birchswitch_lease::task_id;
 use birchswitch_mesh::{Mesh, Time};
 use bytes::Bytes;
@@ -13,25 +16,25 @@
 
 /// Grants for the node's thread: which limit, how much, and until when by its clock.
 #[derive(Debug)]
-pub struct Apply {
+pub struct GrantUpdate {
     /// By the limits' places.
-    pub grants: Vec<(usize, Part, Time)>,
+    pub grants: Vec<(usize, Allocation, Time)>,
     /// Told once they hold.
-    pub done: oneshot::Sender<()>,
+    pub applied: oneshot::Sender<()>,
 }
 
 /// Asks for good. What the node may be using is told only once its thread has taken it up.
-pub async fn ask(
+pub async fn renew_grants(
     mesh: Mesh,
     limits: Vec<Limit>,
-    terms: Terms,
-    counts: Vec<Arc<Counts>>,
-    apply: mpsc::UnboundedSender<Apply>,
+    terms: QuotaTiming,
+    counts: Vec<Arc<Counters>>,
+    apply: mpsc::UnboundedSender<GrantUpdate>,
 ) {
-    let mut demands: Vec<Demand> = counts.iter().map(|c| Demand::new(c)).collect();
+    let mut demands: Vec<DemandEstimator> = counts.iter().map(|c| DemandEstimator::new(c)).collect();
     let places: BTreeMap<u64, usize> = limits.iter().enumerate().map(|(n, limit)| (limit.id, n)).collect();
-    let mut held: Vec<Option<(Held, Time)>> = vec![None; limits.len()];
-    let (mut heard, mut looked) = (0, Instant::now());
+    let mut held: Vec<Option<(HeldGrant, Time)>> = vec![None; limits.len()];
+    let (mut highest_token, mut looked) = (0, Instant::now());
     let mut every = interval(terms.renew);
     every.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -39,37 +42,38 @@
         let seconds = looked.elapsed().as_secs_f64();
         looked = Instant::now();
         let asked = mesh.clock().now();
-        let need = limits.iter().enumerate().map(|(n, limit)| LimitNeed {
+        let need = limits.iter().enumerate().map(|(n, limit)| LimitRequest {
             limit: limit.id,
-            wants: demands[n].look(&counts[n], seconds, matches!(limit.measure, Measure::InFlight { .. })),
+            demand: demands[n].update(&counts[n], seconds, matches!(limit.measure, Measure::InFlight { .. })),
             // One that has ended may be another's by now.
             held: held[n].filter(|(_, until)| asked < *until).map(|(held, _)| held),
-            out: counts[n].totals()[2] as u32,
+            in_flight: counts[n].totals()[2] as u32,
         });
-        let need = Need { heard, limits: need.collect() };
+        let need = RenewalRequest { highest_token, limits: need.collect() };
         let Some(word) = best(&mesh, &need, terms.ttl / 2).await else { continue };
-        if word.token < heard && terms.safeguards.numbers {
-            tracing::warn!(target: "quota", kind = "lower", token = word.token, heard);
+        if word.token < highest_token && terms.safeguards.reject_stale {
+            tracing::warn!(target: "quota", kind = "lower", token = word.token, heard = highest_token);
             continue;
         }
-        if word.token > heard {
+        if word.token > highest_token {
             // A later keeper takes up what is held once it is known to have been heard.
             every.reset_immediately();
         }
-        heard = heard.max(word.token);
+        highest_token = highest_token.max(word.token);
         let until = asked + terms.ttl;
         let mut grants = Vec::new();
         let mut now_held = held.clone();
-        for issue in &word.issues {
+        for issue in &word.grants {
             let Some(&n) = places.get(&issue.limit) else { continue };
-            if issue.part.sound() {
-                grants.push((n, issue.part, until));
-                let held = Held { token: word.token, number: issue.number, part: issue.part };
+            if issue.allocation.is_valid() {
+                grants.push((n, issue.allocation, until));
+                let held =
+                    HeldGrant { token: word.token, number: issue.number, allocation: issue.allocation };
                 now_held[n] = Some((held, until));
             }
         }
-        let (done, taken_up) = oneshot::channel();
-        if apply.send(Apply { grants, done }).is_err() || taken_up.await.is_err() {
+        let (applied, taken_up) = oneshot::channel();
+        if apply.send(GrantUpdate { grants, applied }).is_err() || taken_up.await.is_err() {
             // The node's thread is gone: so is the node.
             return;
         }
@@ -78,9 +82,9 @@
 }
 
 /// The word of whoever keeps the limits; of two, while they change hands, the later one's.
-async fn best(mesh: &Mesh, need: &Need, patience: Duration) -> Option<Word> {
+async fn best(mesh: &Mesh, need: &RenewalRequest, patience: Duration) -> Option<RenewalResponse> {
     let question: Bytes = postcard::to_stdvec(need).ok()?.into();
     let answers = mesh.request_from_running(task_id(TASK), LANE, question, patience).await;
-    let words = answers.into_iter().filter_map(|a| postcard::from_bytes::<Word>(&a.ok()?).ok());
+    let words = answers.into_iter().filter_map(|a| postcard::from_bytes::<RenewalResponse>(&a.ok()?).ok());
     words.max_by_key(|word| word.token)
 }
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -1,6 +1,6 @@
 //! The `[[limits]]` tables of an operator's file, and `[quota]` beside them.
 
-use crate::{Limit, Measure, Safeguards, Scope, Terms, WhenCut};
+use crate::{Limit, Measure, QuotaTiming, Safeguards, Scope, WhenCut};
 use birchswitch_cluster_host::{Drill, HumanDuration, SettingError, SettingSpans};
 use birchswitch_site::Names;
 use serde::Deserialize;
@@ -35,7 +35,7 @@
 /// `[quota]` as it is written.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Table {
+pub struct QuotaTable {
     renew: Option<Spanned<HumanDuration>>,
     ttl: Option<Spanned<HumanDuration>>,
     transit: Option<Spanned<HumanDuration>>,
@@ -53,22 +53,22 @@
 
 /// All of it, checked.
 #[derive(Clone, Debug)]
-pub struct Compiled {
+pub struct QuotaSettings {
     /// The limits.
     pub limits: Vec<Limit>,
     /// How long grants last.
-    pub terms: Terms,
+    pub timing: QuotaTiming,
 }
 
-impl Compiled {
-    /// Checks the tables beside the site's names; `hold` is the longest deadline of any class, `lease` and `drift` are the leases'.
+impl QuotaSettings {
+    /// Checks the tables beside the site's names; `longest_request` is the longest deadline of any class, `lease` and `drift` are the leases'.
     pub fn new(
         limits: &[Spanned<LimitTable>],
-        table: Option<&Spanned<Table>>,
+        table: Option<&Spanned<QuotaTable>>,
         names: &Names,
-        (hold, lease, drift): (Duration, Duration, u32),
-    ) -> Result<Compiled, SettingError> {
-        let terms = terms(table, hold, lease, drift)?;
+        (longest_request, lease, drift): (Duration, Duration, u32),
+    ) -> Result<QuotaSettings, SettingError> {
+        let terms = terms(table, longest_request, lease, drift)?;
         if let Some(more) = limits.get(MOST) {
             return Err(SettingError { span: more.span(), problem: format!("more than {MOST} limits") });
         }
@@ -81,22 +81,22 @@
             }
             all.push(limit);
         }
-        Ok(Compiled { limits: all, terms })
+        Ok(QuotaSettings { limits: all, timing: terms })
     }
 }
 
 fn terms(
-    table: Option<&Spanned<Table>>,
-    hold: Duration,
+    table: Option<&Spanned<QuotaTable>>,
+    longest_request: Duration,
     lease: Duration,
     drift: u32,
-) -> Result<Terms, SettingError> {
+) -> Result<QuotaTiming, SettingError> {
     // So long that grants outlive the time in which a keeper's death leaves the fleet without one.
-    let mut terms = Terms {
+    let mut terms = QuotaTiming {
         renew: Duration::from_millis(400),
         ttl: (lease * 3 / 2).max(Duration::from_secs(2)),
         transit: Duration::from_millis(50),
-        hold,
+        longest_request,
         drift,
         safeguards: Safeguards::ALL,
     };
@@ -116,14 +116,14 @@
     }
     let on = |w| Drill::enabled(&given.drill, w);
     terms.safeguards = Safeguards {
-        ends: on(Without::Ends),
+        expiry: on(Without::Ends),
         quarantine: on(Without::Quarantine),
-        numbers: on(Without::Numbers),
+        reject_stale: on(Without::Numbers),
     };
     Ok(terms)
 }
 
-fn one(written: &Spanned<LimitTable>, terms: &Terms, names: &Names) -> Result<Limit, SettingError> {
+fn one(written: &Spanned<LimitTable>, terms: &QuotaTiming, names: &Names) -> Result<Limit, SettingError> {
     let table = written.get_ref();
     let mut places = SettingSpans::new("limits", written);
     let name = table.name.get_ref();
@@ -182,10 +182,10 @@
 }
 
 /// Over all that has to be the same on every node: others are not granted anything, rather than something else.
-fn id(table: &LimitTable, measure: &Measure, terms: &Terms) -> u64 {
+fn id(table: &LimitTable, measure: &Measure, terms: &QuotaTiming) -> u64 {
     let name = |given: &Option<Spanned<String>>| given.as_ref().map(|g| g.get_ref().clone());
     let mut hash = Xxh3::new();
-    let times = (terms.ttl, terms.transit, terms.hold, terms.drift);
+    let times = (terms.ttl, terms.transit, terms.longest_request, terms.drift);
     let all = format!(
         "{:?} {:?} {:?} {measure:?} {times:?}",
         table.name.get_ref(),
@@ -204,14 +204,14 @@
     struct File {
         #[serde(default)]
         limits: Vec<Spanned<LimitTable>>,
-        quota: Option<Spanned<Table>>,
+        quota: Option<Spanned<QuotaTable>>,
     }
 
-    fn compiled(text: &str) -> Result<Compiled, String> {
+    fn compiled(text: &str) -> Result<QuotaSettings, String> {
         let file: File = toml::from_str(text).expect("its form is right");
         let names = Names { classes: vec!["buy".into()], tenants: vec!["t".into()], ..Names::default() };
         let times = (Duration::from_secs(2), Duration::from_secs(2), 50);
-        Compiled::new(&file.limits, file.quota.as_ref(), &names, times)
+        QuotaSettings::new(&file.limits, file.quota.as_ref(), &names, times)
             .map_err(|w| format!("{:?}: {}", text.get(w.span).unwrap_or_default(), w.problem))
     }
 
@@ -223,7 +223,7 @@
         let text = "[quota]\nttl = \"4s\"\n[[limits]]\nname = \"b\"\nclass = \"buy\"\nin_flight = 5\nwhen_cut = \"strict\"";
         let c = compiled(text).expect("it is right");
         assert_eq!(
-            (c.limits[0].measure, c.terms.ttl),
+            (c.limits[0].measure, c.timing.ttl),
             (Measure::InFlight { most: 5 }, Duration::from_secs(4))
         );
         assert_eq!(c.limits[0].scope, Scope { tenant: None, class: Some(0) });
--- a/crates/quota/src/terms.rs
+++ b/crates/quota/src/timing.rs
@@ -1,12 +1,12 @@
 //! How long grants last, and what of a limit is parted so that clocks and ways may be off.
 
-use crate::{Limit, Measure, Part};
+use crate::{Allocation, Limit, Measure};
 use birchswitch_mesh::Clock;
 use std::time::Duration;
 
 /// The same on all nodes; it goes into every limit's id.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct QuotaTiming {
     /// Between two asks of a node.
     pub renew: Duration,
     /// For how long a grant holds, by its node's clock, from before that asked.
@@ -14,7 +14,7 @@
     /// Longest time from a request's admission to its server.
     pub transit: Duration,
     /// For how long a server may work on a request after it was sent, at the most.
-    pub hold: Duration,
+    pub longest_request: Duration,
     /// Thousandths by which clocks may be off.
     pub drift: u32,
     /// All on but in tests that show what each is for.
@@ -25,28 +25,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// Grants end.
-    pub ends: bool,
+    pub expiry: bool,
     /// A new keeper waits for the last one's grants.
     pub quarantine: bool,
     /// Lower numbers than the highest heard are refused.
-    pub numbers: bool,
+    pub reject_stale: bool,
 }
 
 impl Safeguards {
     /// All of them.
-    pub const ALL: Safeguards = Safeguards { ends: true, quarantine: true, numbers: true };
+    pub const ALL: Safeguards = Safeguards { expiry: true, quarantine: true, reject_stale: true };
 }
 
-impl Terms {
-    /// What of a limit is parted: a fast clock makes more of a flow, and what was on its way may come together.
-    pub fn whole(&self, limit: &Limit) -> Part {
+impl QuotaTiming {
+    /// What of a limit is parted: a fast clock makes more of a rate, and what was on its way may come together.
+    pub fn whole(&self, limit: &Limit) -> Allocation {
         match limit.measure {
             Measure::Rate { per_s, burst } => {
                 let drift = f64::from(self.drift) / 1000.0;
-                let stock = burst - per_s * self.transit.as_secs_f64();
-                Part { flow: per_s / (1.0 + drift), stock: (stock + 1e-9).floor().max(0.0) }
+                let capacity = burst - per_s * self.transit.as_secs_f64();
+                Allocation { rate: per_s / (1.0 + drift), capacity: (capacity + 1e-9).floor().max(0.0) }
             }
-            Measure::InFlight { most } => Part { flow: 0.0, stock: f64::from(most) },
+            Measure::InFlight { most } => Allocation { rate: 0.0, capacity: f64::from(most) },
         }
     }
 
@@ -56,7 +56,7 @@
         match limit.measure {
             Measure::Rate { .. } => use_ends,
             // What was let in at the last moment still runs.
-            Measure::InFlight { .. } => use_ends + clock.max_elapsed(self.hold),
+            Measure::InFlight { .. } => use_ends + clock.max_elapsed(self.longest_request),
         }
     }
 }
--- a/crates/quota/tests/bound.rs
+++ b/crates/quota/tests/bound.rs
@@ -4,8 +4,8 @@
 use birchswitch_cluster::{Generation, MemberId};
 use birchswitch_mesh::{Clock, ProcessId, Time};
 use birchswitch_quota::{
-    bound, Allowance, Books, Grant, Held, Limit, LimitNeed, Measure, Part, Safeguards, Scope, Terms, Want,
-    WhenCut,
+    bound, Allocation, Allocator, DemandAtWorth, Grant, HeldGrant, Limit, LimitRequest, LocalQuota, Measure,
+    QuotaTiming, Safeguards, Scope, WhenCut,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -36,21 +36,21 @@
     asked: Time,
     arrives: f64,
     heard: u64,
-    need: LimitNeed,
+    need: LimitRequest,
 }
 
 struct Answer {
     asked: Time,
     arrives: f64,
     token: u64,
-    issue: Option<(u64, Part)>,
+    issue: Option<(u64, Allocation)>,
 }
 
 #[derive(Default)]
 struct Node {
     rate: f64,
-    allowance: Allowance,
-    held: Option<(Held, Time)>,
+    allowance: LocalQuota,
+    held: Option<(HeldGrant, Time)>,
     heard: u64,
     next: f64,
     question: Option<Question>,
@@ -68,9 +68,16 @@
     }
 }
 
-fn terms(safeguards: Safeguards) -> Terms {
+fn terms(safeguards: Safeguards) -> QuotaTiming {
     let (renew, ttl) = (Duration::from_millis(100), Duration::from_secs(2));
-    Terms { renew, ttl, transit: Duration::ZERO, hold: Duration::from_secs(1), drift: DRIFT, safeguards }
+    QuotaTiming {
+        renew,
+        ttl,
+        transit: Duration::ZERO,
+        longest_request: Duration::from_secs(1),
+        drift: DRIFT,
+        safeguards,
+    }
 }
 
 /// When each request was let in, and ended, by true time.
@@ -86,7 +93,7 @@
         .collect();
     let mut let_in = Vec::new();
     let (mut token, mut rate, mut begins, mut ends) = (0, 1.0, 0.0, 0.0);
-    let mut books: Option<Books> = None;
+    let mut books: Option<Allocator> = None;
     let mut now: f64 = 100.0;
     let last = now + SECONDS;
     let mut shift = now;
@@ -100,7 +107,7 @@
             token += 1;
             rate = chance.between(0.96, 1.04);
             ends = now + chance.between(1.0, 9.0);
-            books = Some(Books::new(&limit, &terms, clock, token, Time::from_secs_f64(now * rate)));
+            books = Some(Allocator::new(&limit, &terms, clock, token, Time::from_secs_f64(now * rate)));
         }
         if now >= shift {
             shift = now + chance.between(1.0, 5.0);
@@ -117,8 +124,8 @@
                     if question.heard <= token {
                         let who = ProcessId { id: MemberId(n as u64), generation: Generation::default() };
                         let keeper = Time::from_secs_f64(now * rate);
-                        let issue = books.ask(keeper, who, question.heard, &question.need);
-                        let issue = issue.map(|i| (i.number, i.part));
+                        let issue = books.renew(keeper, who, question.heard, &question.need);
+                        let issue = issue.map(|i| (i.number, i.allocation));
                         let late = if chance.unit() < lateness { chance.between(0.2, 1.9) } else { 0.01 };
                         if chance.unit() > 0.1 {
                             node.answers.push(Answer {
@@ -137,42 +144,42 @@
             let time = node.time(now);
             node.out.retain(|ends| {
                 if now >= *ends {
-                    node.allowance.ended();
+                    node.allowance.release();
                 }
                 now < *ends
             });
             // In any order: nothing says that a later question's answer comes later.
             while let Some(at) = node.answers.iter().position(|a| now >= a.arrives) {
                 let answer = node.answers.swap_remove(at);
-                if answer.token < node.heard && safeguards.numbers {
+                if answer.token < node.heard && safeguards.reject_stale {
                     continue;
                 }
                 node.heard = node.heard.max(answer.token);
-                if let Some((number, part)) = answer.issue {
+                if let Some((number, allocation)) = answer.issue {
                     // Of one keeper's the later number counts.
                     if node.held.is_some_and(|(h, _)| h.token == answer.token && h.number > number) {
                         continue;
                     }
                     let until = answer.asked + terms.ttl;
-                    let end = safeguards.ends.then_some(until);
-                    node.allowance.grant(time, Some(Grant { part, until: end }));
-                    node.held = Some((Held { token: answer.token, number, part }, until));
+                    let end = safeguards.expiry.then_some(until);
+                    node.allowance.set_grant(time, Some(Grant { allocation, expires: end }));
+                    node.held = Some((HeldGrant { token: answer.token, number, allocation }, until));
                 }
             }
             let stale = node.question.as_ref().is_some_and(|q| now > q.sent + 1.0);
             if now >= node.next && (node.question.is_none() || stale) {
                 node.next = now + 0.1;
                 let held = node.held.filter(|(_, until)| time < *until).map(|(held, _)| held);
-                let wants = vec![Want { worth: 1.0, amount: node.wants as f32 }];
-                let need = LimitNeed { limit: 1, wants, held, out: node.allowance.out() };
+                let demand = vec![DemandAtWorth { worth: 1.0, amount: node.wants as f32 }];
+                let need = LimitRequest { limit: 1, demand, held, in_flight: node.allowance.in_flight() };
                 let arrives = now + if chance.unit() < 0.1 { chance.between(0.1, 0.9) } else { 0.005 };
                 node.question = Some(Question { sent: now, asked: time, arrives, heard: node.heard, need });
             }
             let mut tries = node.wants * STEP;
             while tries > chance.unit() {
                 tries -= 1.0;
-                if node.allowance.may(time, in_flight).is_ok() {
-                    node.allowance.take();
+                if node.allowance.check(time, in_flight).is_ok() {
+                    node.allowance.admit();
                     let ends = now + chance.between(0.05, 0.95);
                     node.out.push(ends);
                     let_in.push((now, ends));
@@ -186,7 +193,7 @@
 
 /// By how many requests the worst window goes over per_s·W + burst.
 fn over(let_in: &[(f64, f64)], per_s: f64, burst: f64) -> f64 {
-    bound::over(let_in.iter().map(|(at, _)| *at), per_s, burst)
+    bound::max_excess(let_in.iter().map(|(at, _)| *at), per_s, burst)
 }
 
 /// The most at once.
@@ -231,7 +238,7 @@
 #[test]
 fn each_safeguard_taken_away_is_found() {
     let without = [
-        ("grants without end", Safeguards { ends: false, ..Safeguards::ALL }),
+        ("grants without end", Safeguards { expiry: false, ..Safeguards::ALL }),
         ("no waiting for the last keeper's grants", Safeguards { quarantine: false, ..Safeguards::ALL }),
     ];
     for (what, safeguards) in without {
--- a/crates/standin/src/rig/bounds.rs
+++ b/crates/standin/src/rig/bounds.rs
@@ -6,7 +6,7 @@
 /// By how many requests the worst window W holds more than `per_s`·W + `burst`, of these in order; nothing or less: none does.
 pub fn over_rate(at: &[Nanos], per_s: f64, burst: f64) -> f64 {
     let Some(first) = at.first() else { return f64::NEG_INFINITY };
-    bound::over(at.iter().map(|at| (at - first) as f64 / 1e9), per_s, burst)
+    bound::max_excess(at.iter().map(|at| (at - first) as f64 / 1e9), per_s, burst)
 }
 
 /// The most that overlap; what has no end goes on.
--- a/crates/tuner/src/curve.rs
+++ b/crates/tuner/src/curve.rs
@@ -9,7 +9,7 @@
 
 /// One look at a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sample {
+pub struct LoadSample {
     /// Requests a second that it got.
     pub rate: f64,
     /// Requests that were counted.
@@ -20,7 +20,7 @@
 
 /// A straight line: `part` at `rate`, and what it rises by as the rate doubles; never falling.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Curve {
+pub struct LoadCurve {
     /// Requests a second about which it was fitted.
     pub rate: f64,
     /// Part of the requests over the threshold there.
@@ -29,7 +29,7 @@
     pub rise: f64,
 }
 
-impl Curve {
+impl LoadCurve {
     /// The part at another rate.
     pub fn at(&self, rate: f64) -> f64 {
         (self.part + self.rise * (rate / self.rate.max(1e-9) - 1.0)).clamp(0.0, 1.0)
@@ -38,7 +38,7 @@
 
 /// Fits a server's looks, the latest last, by least squares weighted by tries. What it lacks in looks it takes from the mean part of all
 /// servers, and from what a queue would do. A server that is the slower the emptier it is comes out flat: its line may not fall.
-pub fn fit(samples: &[Sample], mean: f64) -> Option<Curve> {
+pub fn fit(samples: &[LoadSample], mean: f64) -> Option<LoadCurve> {
     let tries: f64 = samples.iter().map(|s| s.tries).sum();
     let rate = samples.iter().map(|s| s.rate * s.tries).sum::<f64>() / tries.max(1e-9);
     if tries < 1.0 || rate <= 0.0 {
@@ -52,15 +52,17 @@
         across += s.tries * x * (s.over / s.tries - over / tries);
         along += s.tries * x * x;
     }
-    Some(Curve { rate, part, rise: (across / along).max(0.0) })
+    Some(LoadCurve { rate, part, rise: (across / along).max(0.0) })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn looks(all: &[(f64, f64)]) -> Vec<Sample> {
-        all.iter().map(|(rate, part)| Sample { rate: *rate, tries: 5000.0, over: 5000.0 * part }).collect()
+    fn looks(all: &[(f64, f64)]) -> Vec<LoadSample> {
+        all.iter()
+            .map(|(rate, part)| LoadSample { rate: *rate, tries: 5000.0, over: 5000.0 * part })
+            .collect()
     }
 
     #[test]
@@ -74,7 +76,7 @@
 
     #[test]
     fn few_looks_say_what_all_are_like() {
-        let few = [Sample { rate: 1.0, tries: 3.0, over: 3.0 }];
+        let few = [LoadSample { rate: 1.0, tries: 3.0, over: 3.0 }];
         let curve = fit(&few, 0.01).expect("a fit");
         assert!(curve.part < 0.12 && curve.rise > curve.part, "{curve:?}");
     }
--- a/crates/tuner/src/seat.rs
+++ b/crates/tuner/src/leader.rs
@@ -1,8 +1,8 @@
 //! The tuner's side: while this node holds the lease, whoever reports is told the weights.
 
-use crate::message::{Report, Word};
-use crate::session::{Looked, Session};
-use crate::step::Terms;
+use crate::message::{Report, WeightList};
+use crate::session::{TuningSession, TuningStep};
+use crate::tuner::TunerSettings;
 use birchswitch_mesh::{LeasedService, Mesh, ProcessId, TermHandler, Time};
 use std::sync::Arc;
 
@@ -12,27 +12,33 @@
 pub const TASK: &str = "tuner";
 
 /// Serves on the mesh from now on, whenever it is tuner.
-pub fn serve(mesh: &Mesh, terms: Terms) -> Arc<LeasedService<Session>> {
+pub fn serve(mesh: &Mesh, terms: TunerSettings) -> Arc<LeasedService<TuningSession>> {
     LeasedService::serve(mesh, LANE, move |token, now| {
         tracing::info!(target: "tuner", kind = "tunes", token);
-        Session::new(terms, token, now)
+        TuningSession::new(terms, token, now)
     })
 }
 
-impl TermHandler for Session {
+impl TermHandler for TuningSession {
     type Request = Report;
-    type Response = Word;
+    type Response = WeightList;
 
     fn highest_token(report: &Report) -> Option<u64> {
-        Some(report.heard.0)
+        Some(report.known_version.0)
     }
 
-    fn handle(&mut self, now: Time, _: ProcessId, report: Report) -> Word {
-        let (word, looked) = self.hear(now, &report);
-        if let Some(Looked { back, turned, servers, parts: [without, with, predicted] }) = looked {
-            if back {
+    fn handle(&mut self, now: Time, _: ProcessId, report: Report) -> WeightList {
+        let (word, looked) = self.receive(now, &report);
+        if let Some(TuningStep {
+            rolled_back,
+            toggled,
+            servers,
+            slow_fractions: [without, with, predicted],
+        }) = looked
+        {
+            if rolled_back {
                 tracing::warn!(target: "tuner", kind = "taken_back", without, with, predicted);
-            } else if turned {
+            } else if toggled {
                 tracing::info!(target: "tuner", kind = "weighs", servers, without);
             }
         }
--- a/crates/tuner/src/lib.rs
+++ b/crates/tuner/src/lib.rs
@@ -16,23 +16,23 @@
 #![deny(missing_docs)]
 
 mod curve;
-mod guard;
+mod leader;
 mod message;
-mod seat;
+mod regression;
 mod session;
 mod settings;
 mod sketch;
-mod solve;
-mod step;
+mod split;
+mod tuner;
 mod weights;
 
-pub use curve::{fit, Curve, Sample};
-pub use guard::{Guard, Watched};
-pub use message::{Report, Weight, Word};
-pub use seat::{serve, LANE, TASK};
-pub use session::{Looked, Session};
-pub use settings::Table;
-pub use sketch::{Sketches, Span};
-pub use solve::solve;
-pub use step::{Terms, Tuner};
-pub use weights::Weights;
+pub use curve::{fit, LoadCurve, LoadSample};
+pub use leader::{serve, LANE, TASK};
+pub use message::{Report, Weight, WeightList};
+pub use regression::{GuardResult, RegressionGuard};
+pub use session::{TuningSession, TuningStep};
+pub use settings::TunerTable;
+pub use sketch::{LatencySketch, ServerSketches};
+pub use split::optimal_split;
+pub use tuner::{Tuner, TunerSettings};
+pub use weights::AppliedWeights;
--- a/crates/tuner/src/message.rs
+++ b/crates/tuner/src/message.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The highest number that it has heard.
-    pub heard: (u64, u64),
+    pub known_version: (u64, u64),
     /// By the servers' names' hashes: only those that take new requests, are warm and are not withheld.
-    pub spans: Vec<(u64, Vec<u8>)>,
+    pub sketches: Vec<(u64, Vec<u8>)>,
 }
 
 /// One server's weight.
@@ -22,9 +22,9 @@
 
 /// What the tuner answers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct WeightList {
     /// Token, and count under it.
-    pub number: (u64, u64),
+    pub version: (u64, u64),
     /// None: nodes go by their own estimates.
     pub weights: Vec<Weight>,
 }
--- a/crates/tuner/src/session.rs
+++ b/crates/tuner/src/session.rs
@@ -1,8 +1,8 @@
 //! One tuner's time under one token, without I/O: reports in, words out.
 
-use crate::message::{Report, Weight, Word};
-use crate::sketch::Span;
-use crate::step::{Terms, Tuner};
+use crate::message::{Report, Weight, WeightList};
+use crate::sketch::LatencySketch;
+use crate::tuner::{Tuner, TunerSettings};
 use birchswitch_mesh::Time;
 use std::collections::BTreeMap;
 
@@ -11,57 +11,62 @@
 
 /// What a look came to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Looked {
+pub struct TuningStep {
     /// The weights were taken back, since the tail was worse with them.
-    pub back: bool,
+    pub rolled_back: bool,
     /// Weights are told from now on, or none any more.
-    pub turned: bool,
+    pub toggled: bool,
     /// Servers that have a weight.
     pub servers: usize,
     /// Parts of requests over the threshold: without weights, with them, and as foreseen.
-    pub parts: [f64; 3],
+    pub slow_fractions: [f64; 3],
 }
 
 /// What a tuner knows.
 #[derive(Debug)]
-pub struct Session {
-    terms: Terms,
+pub struct TuningSession {
+    terms: TunerSettings,
     token: u64,
     count: u64,
     looked: Time,
-    spans: BTreeMap<u64, Span>,
+    spans: BTreeMap<u64, LatencySketch>,
     tuner: Tuner,
     weights: Vec<Weight>,
 }
 
-impl Session {
+impl TuningSession {
     /// With no report heard yet.
-    pub fn new(terms: Terms, token: u64, now: Time) -> Self {
+    pub fn new(terms: TunerSettings, token: u64, now: Time) -> Self {
         let (spans, weights) = (BTreeMap::new(), Vec::new());
-        Session { terms, token, count: 0, looked: now, spans, tuner: Tuner::new(terms), weights }
+        TuningSession { terms, token, count: 0, looked: now, spans, tuner: Tuner::new(terms), weights }
     }
 
     /// Takes in a node's report, and says what is to be told to it, and what came of a look, where one was due.
-    pub fn hear(&mut self, now: Time, report: &Report) -> (Word, Option<Looked>) {
-        for (server, bytes) in &report.spans {
-            let Some(span) = Span::decode(bytes) else { continue };
+    pub fn receive(&mut self, now: Time, report: &Report) -> (WeightList, Option<TuningStep>) {
+        for (server, bytes) in &report.sketches {
+            let Some(span) = LatencySketch::decode(bytes) else { continue };
             if self.spans.len() < SERVERS || self.spans.contains_key(server) {
                 let _ = self.spans.entry(*server).or_default().0.add(&span.0);
             }
         }
-        let looked = (now >= self.looked + self.terms.look).then(|| self.look(now));
-        (Word { number: (self.token, self.count), weights: self.weights.clone() }, looked)
+        let looked = (now >= self.looked + self.terms.interval).then(|| self.look(now));
+        (WeightList { version: (self.token, self.count), weights: self.weights.clone() }, looked)
     }
 
-    fn look(&mut self, now: Time) -> Looked {
+    fn look(&mut self, now: Time) -> TuningStep {
         let seconds = now.saturating_sub(std::mem::replace(&mut self.looked, now)).as_secs_f64();
         let spans = std::mem::take(&mut self.spans);
         let had = !self.weights.is_empty();
-        let (weights, back) = self.tuner.look(seconds, spans);
+        let (weights, rolled_back) = self.tuner.look(seconds, spans);
         self.weights =
             weights.iter().map(|(server, w)| Weight { server: *server, weight: *w as f32 }).collect();
         self.count += 1;
-        let turned = had == self.weights.is_empty();
-        Looked { back, turned, servers: self.weights.len(), parts: self.tuner.parts() }
+        let toggled = had == self.weights.is_empty();
+        TuningStep {
+            rolled_back,
+            toggled,
+            servers: self.weights.len(),
+            slow_fractions: self.tuner.slow_fractions(),
+        }
     }
 }
--- a/crates/tuner/src/sketch.rs
+++ b/crates/tuner/src/sketch.rs
@@ -10,18 +10,20 @@
 
 /// Times, in microseconds.
 #[derive(Clone, Debug)]
-pub struct Span(pub Histogram<u32>);
+pub struct LatencySketch(pub Histogram<u32>);
 
-impl Default for Span {
+impl Default for LatencySketch {
     fn default() -> Self {
         // The bounds are fixed and sound.
-        Span(Histogram::new_with_bounds(1, LONGEST, DIGITS).unwrap_or_else(|_| unreachable!("fixed bounds")))
+        LatencySketch(
+            Histogram::new_with_bounds(1, LONGEST, DIGITS).unwrap_or_else(|_| unreachable!("fixed bounds")),
+        )
     }
 }
 
-impl Span {
+impl LatencySketch {
     /// One more.
-    pub fn add(&mut self, seconds: f64) {
+    pub fn record(&mut self, seconds: f64) {
         self.0.saturating_record(((seconds * 1e6) as u64).clamp(1, LONGEST));
     }
 
@@ -40,9 +42,9 @@
     }
 
     /// Reads what a peer sent; none: it makes no sense.
-    pub fn decode(bytes: &[u8]) -> Option<Span> {
+    pub fn decode(bytes: &[u8]) -> Option<LatencySketch> {
         let each: Vec<(u64, u32)> = postcard::from_bytes(bytes).ok()?;
-        let mut own = Span::default();
+        let mut own = LatencySketch::default();
         each.iter().for_each(|(value, count)| own.0.saturating_record_n((*value).clamp(1, LONGEST), *count));
         Some(own)
     }
@@ -50,12 +52,12 @@
 
 /// See the module's words. Used by the node's thread alone.
 #[derive(Debug, Default)]
-pub struct Sketches(BTreeMap<u64, Span>);
+pub struct ServerSketches(BTreeMap<u64, LatencySketch>);
 
-impl Sketches {
+impl ServerSketches {
     /// A server answered after so many seconds.
-    pub fn add(&mut self, server: u64, seconds: f64) {
-        self.0.entry(server).or_default().add(seconds);
+    pub fn record(&mut self, server: u64, seconds: f64) {
+        self.0.entry(server).or_default().record(seconds);
     }
 
     /// All of it, which then begins anew.
@@ -71,9 +73,9 @@
 
     #[test]
     fn what_travels_is_what_was_counted() {
-        let mut span = Span::default();
-        (1..=100).for_each(|ms| span.add(f64::from(ms) / 1e3));
-        let read = Span::decode(&span.encode()).expect("its own");
+        let mut span = LatencySketch::default();
+        (1..=100).for_each(|ms| span.record(f64::from(ms) / 1e3));
+        let read = LatencySketch::decode(&span.encode()).expect("its own");
         let (all, over) = read.over(0.09);
         assert_eq!(all, 100);
         assert!((6..=14).contains(&over), "{over}");
@@ -83,7 +85,7 @@
     proptest! {
         #[test]
         fn no_bytes_panic(bytes: Vec<u8>) {
-            let _ = Span::decode(&bytes);
+            let _ = LatencySketch::decode(&bytes);
         }
     }
 }
--- a/crates/tuner/src/solve.rs
+++ b/crates/tuner/src/split.rs
@@ -1,12 +1,12 @@
 //! The best split of a load: the fewest requests over the threshold, each server within its bounds.
 
-use crate::curve::Curve;
+use crate::curve::LoadCurve;
 
 /// Requests a second for each server, of the given sum where the bounds allow it: the minimum of the sum of rate·part(rate), in which all
 /// servers that are at no bound cost the same at the margin (a convex problem: each margin rises with its rate).
-pub fn solve(curves: &[Curve], bounds: &[(f64, f64)], sum: f64) -> Vec<f64> {
-    let margin = |c: &Curve, rate: f64| c.part - c.rise + 2.0 * c.rise * rate / c.rate.max(1e-9);
-    let at = |c: &Curve, (least, most): (f64, f64), price: f64| {
+pub fn optimal_split(curves: &[LoadCurve], bounds: &[(f64, f64)], sum: f64) -> Vec<f64> {
+    let margin = |c: &LoadCurve, rate: f64| c.part - c.rise + 2.0 * c.rise * rate / c.rate.max(1e-9);
+    let at = |c: &LoadCurve, (least, most): (f64, f64), price: f64| {
         let slope = 2.0 * c.rise / c.rate.max(1e-9);
         // One that is flat is full or empty: it costs the same whatever it gets.
         if slope < 1e-12 {
@@ -37,15 +37,15 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn cost(curves: &[Curve], rates: &[f64]) -> f64 {
+    fn cost(curves: &[LoadCurve], rates: &[f64]) -> f64 {
         curves.iter().zip(rates).map(|(c, r)| r * (c.part + c.rise * (r / c.rate - 1.0))).sum()
     }
 
     #[test]
     fn load_moves_from_a_server_with_a_tail_to_those_without() {
-        let slow = Curve { rate: 10.0, part: 0.05, rise: 0.1 };
-        let fast = Curve { rate: 10.0, part: 0.005, rise: 0.01 };
-        let rates = solve(&[slow, fast, fast], &[(8.5, 11.5); 3], 30.0);
+        let slow = LoadCurve { rate: 10.0, part: 0.05, rise: 0.1 };
+        let fast = LoadCurve { rate: 10.0, part: 0.005, rise: 0.01 };
+        let rates = optimal_split(&[slow, fast, fast], &[(8.5, 11.5); 3], 30.0);
         assert_eq!(rates[0], 8.5);
         assert!(
             (rates[1] - 10.75).abs() < 1e-6 && (rates.iter().sum::<f64>() - 30.0).abs() < 1e-6,
@@ -58,12 +58,12 @@
         fn no_small_move_is_better(
             all in prop::collection::vec((1.0..50.0f64, 0.0..0.2f64, 0.0..0.5f64), 2..12), part in 0.0..1.0f64,
         ) {
-            let curves: Vec<Curve> =
-                all.iter().map(|(rate, part, rise)| Curve { rate: *rate, part: *part, rise: *rise }).collect();
+            let curves: Vec<LoadCurve> =
+                all.iter().map(|(rate, part, rise)| LoadCurve { rate: *rate, part: *part, rise: *rise }).collect();
             let bounds: Vec<(f64, f64)> = curves.iter().map(|c| (0.85 * c.rate, 1.15 * c.rate)).collect();
             let [least, most] = [0, 1].map(|n| bounds.iter().map(|b| if n == 0 { b.0 } else { b.1 }).sum::<f64>());
             let sum = least + (most - least) * part;
-            let rates = solve(&curves, &bounds, sum);
+            let rates = optimal_split(&curves, &bounds, sum);
             prop_assert!((rates.iter().sum::<f64>() - sum).abs() < 1e-4 * sum);
             prop_assert!(rates.iter().zip(&bounds).all(|(r, b)| (b.0 - 1e-9..=b.1 + 1e-9).contains(r)));
             for from in 0..rates.len() {
--- a/crates/tuner/src/step.rs
+++ b/crates/tuner/src/tuner.rs
@@ -1,9 +1,9 @@
 //! One look after the other: what servers did, what their weights should be, and a small way there.
 
-use crate::curve::{fit, Curve, Sample};
-use crate::guard::{Guard, Watched};
-use crate::sketch::Span;
-use crate::solve::solve;
+use crate::curve::{fit, LoadCurve, LoadSample};
+use crate::regression::{GuardResult, RegressionGuard};
+use crate::sketch::LatencySketch;
+use crate::split::optimal_split;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -25,43 +25,43 @@
 
 /// What an operator settled.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct TunerSettings {
     /// Between two looks, and two reports of a node.
-    pub look: Duration,
+    pub interval: Duration,
     /// For how long weights count, by the node's clock from before it asked.
     pub ttl: Duration,
     /// The part of requests that the percentile leaves over: 0.01 for p99.
-    pub tail: f64,
+    pub tail_fraction: f64,
     /// How far a server's load may move in one look, as a part of it.
-    pub trust: f64,
+    pub trust_region: f64,
     /// Only in drills: the fit is turned over, so that every step makes it worse.
-    pub wrong: bool,
+    pub inverted_fit: bool,
 }
 
-impl Terms {
+impl TunerSettings {
     /// Where an operator's file says nothing.
-    pub const USUAL: Terms = Terms {
-        look: Duration::from_secs(2),
+    pub const DEFAULT: TunerSettings = TunerSettings {
+        interval: Duration::from_secs(2),
         ttl: Duration::from_secs(10),
-        tail: 0.01,
-        trust: 0.1,
-        wrong: false,
+        tail_fraction: 0.01,
+        trust_region: 0.1,
+        inverted_fit: false,
     };
 }
 
 /// A server as the tuner sees it.
 #[derive(Clone, Debug)]
 struct Server {
-    looks: VecDeque<Sample>,
+    looks: VecDeque<LoadSample>,
     weight: f64,
 }
 
 /// See the module's words.
 #[derive(Debug)]
 pub struct Tuner {
-    terms: Terms,
+    terms: TunerSettings,
     servers: BTreeMap<u64, Server>,
-    guard: Guard,
+    guard: RegressionGuard,
     /// Looks without weights that are still to come.
     rests: u32,
     threshold: f64,
@@ -70,11 +70,11 @@
 
 impl Tuner {
     /// One that has seen nothing.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: TunerSettings) -> Self {
         Tuner {
             terms,
             servers: BTreeMap::new(),
-            guard: Guard::default(),
+            guard: RegressionGuard::default(),
             rests: FIRST,
             threshold: 0.0,
             predicted: 0.0,
@@ -82,15 +82,15 @@
     }
 
     /// The part over the threshold without weights and with, and what was predicted for the next look.
-    pub fn parts(&self) -> [f64; 3] {
-        let [without, with] = self.guard.parts();
+    pub fn slow_fractions(&self) -> [f64; 3] {
+        let [without, with] = self.guard.slow_fractions();
         [without, with, self.predicted]
     }
 
     /// Takes in what all nodes' requests took in the last so many seconds, by server; says the weights from now on, mean 1. True: they were
     /// taken back.
-    pub fn look(&mut self, seconds: f64, spans: BTreeMap<u64, Span>) -> (Vec<(u64, f64)>, bool) {
-        let mut all = Span::default();
+    pub fn look(&mut self, seconds: f64, spans: BTreeMap<u64, LatencySketch>) -> (Vec<(u64, f64)>, bool) {
+        let mut all = LatencySketch::default();
         for span in spans.values() {
             let _ = all.0.add(&span.0);
         }
@@ -101,7 +101,7 @@
         let rests = self.rests > 0 || self.threshold <= 0.0;
         if rests {
             // The threshold is the percentile as it is without weights.
-            let now = all.0.value_at_quantile(1.0 - self.terms.tail) as f64 / 1e6;
+            let now = all.0.value_at_quantile(1.0 - self.terms.tail_fraction) as f64 / 1e6;
             self.threshold =
                 if self.threshold > 0.0 { self.threshold + (now - self.threshold) * 0.3 } else { now };
         }
@@ -112,7 +112,7 @@
             self.rests = self.rests.saturating_sub(1);
             return (Vec::new(), false);
         }
-        if self.guard.with(over.0 as f64, over.1 as f64) == Watched::Worse {
+        if self.guard.with(over.0 as f64, over.1 as f64) == GuardResult::Regressed {
             self.servers.values_mut().for_each(|s| s.weight = 1.0);
             self.rests = AFTER;
             return (Vec::new(), true);
@@ -122,13 +122,13 @@
     }
 
     /// Keeps what each server's requests came to beside the threshold.
-    fn take(&mut self, seconds: f64, spans: &BTreeMap<u64, Span>) {
+    fn take(&mut self, seconds: f64, spans: &BTreeMap<u64, LatencySketch>) {
         for (server, span) in spans {
             let (tries, over) = span.over(self.threshold);
             let (rate, tries, over) = (tries as f64 / seconds.max(1e-3), tries as f64, over as f64);
             let new = || Server { looks: VecDeque::new(), weight: 1.0 };
             let looks = &mut self.servers.entry(*server).or_insert_with(new).looks;
-            looks.push_back(Sample { rate, tries, over });
+            looks.push_back(LoadSample { rate, tries, over });
             if looks.len() > LOOKS {
                 looks.pop_front();
             }
@@ -137,31 +137,33 @@
 
     fn step(&mut self, mean: f64) {
         let terms = self.terms;
-        let mut fitted: Vec<(u64, f64, Curve)> = Vec::new();
+        let mut fitted: Vec<(u64, f64, LoadCurve)> = Vec::new();
         for (server, s) in &self.servers {
-            let samples: Vec<Sample> = s.looks.iter().copied().collect();
+            let samples: Vec<LoadSample> = s.looks.iter().copied().collect();
             if samples.last().is_none_or(|s| s.tries < FEWEST) {
                 continue;
             }
             let last: Vec<f64> = samples.iter().rev().take(RATES).map(|s| s.rate).collect();
             let now = last.iter().sum::<f64>() / last.len() as f64;
             if let Some(mut curve) = fit(&samples, mean) {
-                if terms.wrong {
+                if terms.inverted_fit {
                     (curve.part, curve.rise) = (1e-4 / (1e-4 + curve.part), 1e-6);
                 }
                 fitted.push((*server, now, curve));
             }
         }
-        let curves: Vec<Curve> = fitted.iter().map(|f| f.2).collect();
-        let bounds: Vec<(f64, f64)> =
-            fitted.iter().map(|f| (f.1 * (1.0 - terms.trust), f.1 * (1.0 + terms.trust))).collect();
+        let curves: Vec<LoadCurve> = fitted.iter().map(|f| f.2).collect();
+        let bounds: Vec<(f64, f64)> = fitted
+            .iter()
+            .map(|f| (f.1 * (1.0 - terms.trust_region), f.1 * (1.0 + terms.trust_region)))
+            .collect();
         let sum: f64 = fitted.iter().map(|f| f.1).sum();
-        let rates = solve(&curves, &bounds, sum);
+        let rates = optimal_split(&curves, &bounds, sum);
         let over =
             |rates: &[f64]| curves.iter().zip(rates).map(|(c, r)| c.at(*r) * r).sum::<f64>() / sum.max(1e-9);
         let as_is: Vec<f64> = fitted.iter().map(|f| f.1).collect();
         self.predicted = over(&rates);
-        if self.predicted > (1.0 - WORTH * terms.trust) * over(&as_is) {
+        if self.predicted > (1.0 - WORTH * terms.trust_region) * over(&as_is) {
             return;
         }
         for ((server, now, _), rate) in fitted.iter().zip(&rates) {
--- a/crates/tuner/src/weights.rs
+++ b/crates/tuner/src/weights.rs
@@ -1,6 +1,6 @@
 //! What a node makes of weights: nothing lower than it has heard, nothing beyond its end, and no jumps.
 
-use crate::message::Word;
+use crate::message::WeightList;
 use birchswitch_mesh::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,26 +10,26 @@
 
 /// See the module's words.
 #[derive(Debug, Default)]
-pub struct Weights {
-    number: (u64, u64),
+pub struct AppliedWeights {
+    version: (u64, u64),
     until: Time,
     weights: BTreeMap<u64, f64>,
     sure: f64,
     at: Time,
 }
 
-impl Weights {
+impl AppliedWeights {
     /// The highest number that it has heard.
-    pub fn heard(&self) -> (u64, u64) {
-        self.number
+    pub fn version(&self) -> (u64, u64) {
+        self.version
     }
 
     /// Takes up a word that was asked for at that time. False: it is lower than one before.
-    pub fn take(&mut self, ttl: Duration, asked: Time, word: &Word) -> bool {
-        if word.number < self.number {
+    pub fn apply(&mut self, ttl: Duration, asked: Time, word: &WeightList) -> bool {
+        if word.version < self.version {
             return false;
         }
-        self.number = word.number;
+        self.version = word.version;
         if word.weights.is_empty() {
             // Taken back: by degrees as well.
             self.until = Time::ZERO;
@@ -43,7 +43,7 @@
     }
 
     /// Each server's weight, and how far it counts now.
-    pub fn now(&mut self, now: Time) -> Vec<(u64, f64, f64)> {
+    pub fn current(&mut self, now: Time) -> Vec<(u64, f64, f64)> {
         let time = now.saturating_sub(std::mem::replace(&mut self.at, now)).as_secs_f64().min(1.0) / FADE;
         self.sure = (self.sure + if now < self.until { time } else { -time }).clamp(0.0, 1.0);
         if self.sure <= 0.0 {
@@ -61,17 +61,17 @@
     #[test]
     fn weights_come_and_go_by_degrees_and_never_by_a_lower_number() {
         let (s, ttl) = (Time::from_secs, Duration::from_secs(4));
-        let word = |number, weight| Word { number, weights: vec![Weight { server: 1, weight }] };
-        let mut weights = Weights::default();
-        weights.now(s(9));
-        assert!(weights.take(ttl, s(10), &word((3, 1), 2.0)));
-        assert_eq!(weights.now(s(10)), [(1, 2.0, 0.2)]);
-        (11..14).for_each(|t| drop(weights.now(s(t))));
-        assert!(!weights.take(ttl, s(13), &word((2, 9), 0.5)));
-        let after = weights.now(s(15));
+        let word = |version, weight| WeightList { version, weights: vec![Weight { server: 1, weight }] };
+        let mut weights = AppliedWeights::default();
+        weights.current(s(9));
+        assert!(weights.apply(ttl, s(10), &word((3, 1), 2.0)));
+        assert_eq!(weights.current(s(10)), [(1, 2.0, 0.2)]);
+        (11..14).for_each(|t| drop(weights.current(s(t))));
+        assert!(!weights.apply(ttl, s(13), &word((2, 9), 0.5)));
+        let after = weights.current(s(15));
         assert!(after[0].1 == 2.0 && after[0].2 < 0.8, "beyond its end it fades: {after:?}");
-        (16..20).for_each(|t| drop(weights.now(s(t))));
-        assert_eq!(weights.now(s(21)), []);
-        assert!(weights.take(ttl, s(21), &word((4, 0), f32::NAN)) && weights.now(s(22)).is_empty());
+        (16..20).for_each(|t| drop(weights.current(s(t))));
+        assert_eq!(weights.current(s(21)), []);
+        assert!(weights.apply(ttl, s(21), &word((4, 0), f32::NAN)) && weights.current(s(22)).is_empty());
     }
 }
--- a/crates/verdict/src/lib.rs
+++ b/crates/verdict/src/lib.rs
@@ -19,23 +19,23 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-mod bench;
+mod active;
+mod detection;
+mod detector;
 mod evidence;
-mod expiry;
-mod judge;
+mod leader;
 mod message;
-mod obey;
-mod session;
+mod outcomes;
+mod recovery;
 mod settings;
-mod tally;
 pub mod wilson;
 
-pub use bench::{Bench, LANE};
-pub use evidence::Fault;
-pub use expiry::Record;
-pub use judge::{judge, Safeguards, Terms};
-pub use message::{Report, Sentence, Word};
-pub use obey::Obeyed;
-pub use session::Session;
-pub use settings::Table;
-pub use tally::{Counts, Met, Tally};
+pub use active::ActiveEjections;
+pub use detection::{detect_outliers, Safeguards, VerdictSettings};
+pub use detector::Detector;
+pub use evidence::OutlierKind;
+pub use leader::{Leader, LANE};
+pub use message::{Ejection, EjectionList, Report};
+pub use outcomes::{AttemptCounts, AttemptObservation, OutcomeWindow};
+pub use recovery::EjectionRecord;
+pub use settings::VerdictTable;
--- a/crates/verdict/src/expiry.rs
+++ b/crates/verdict/src/recovery.rs
@@ -1,8 +1,8 @@
 //! Servers that are condemned, and how they are let in again: by what their trickle meets, not by silence.
 
-use crate::evidence::{at, worst, Fault};
-use crate::judge::Terms;
-use crate::tally::Counts;
+use crate::detection::VerdictSettings;
+use crate::evidence::{at, worst, OutlierKind};
+use crate::outcomes::AttemptCounts;
 use birchswitch_mesh::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// What stands against one.
 #[derive(Clone, Copy, Debug)]
 struct Standing {
-    fault: Fault,
+    fault: OutlierKind,
     /// When something told against it last.
     since: Time,
     /// How far it is open, in thousandths.
@@ -27,25 +27,26 @@
 
 /// See the module's words.
 #[derive(Clone, Debug, Default)]
-pub struct Record(BTreeMap<u64, Standing>);
+pub struct EjectionRecord(BTreeMap<u64, Standing>);
 
-impl Record {
+impl EjectionRecord {
     /// Something told against a server.
-    pub(crate) fn condemn(&mut self, server: u64, fault: Fault, since: Time, open: u16, surely: f64) {
+    pub(crate) fn condemn(&mut self, server: u64, fault: OutlierKind, since: Time, open: u16, surely: f64) {
         self.0.insert(server, Standing { fault, since, open, surely });
     }
 
     /// Opens further what rested long enough, and lets go of what is open. A server that fails whatever its trickle brings
     /// would come back for a while after each rest otherwise, to be met anew by all.
-    pub(crate) fn open(&mut self, terms: &Terms, now: Time, reports: &[&[(u64, Counts)]]) {
+    pub(crate) fn open(&mut self, terms: &VerdictSettings, now: Time, reports: &[&[(u64, AttemptCounts)]]) {
         for (server, s) in &mut self.0 {
             // One node's word alone keeps a server shut no more than it condemns one.
             let worst = worst(s.fault, *server, reports);
             let others = reports.iter().enumerate().filter(|(n, _)| Some(*n) != worst);
-            let met = others.fold(Counts::default(), |sum, (_, report)| sum.plus(at(*server, report)));
-            let least = if s.fault == Fault::Fails { terms.fails } else { terms.late };
-            let bad = f64::from(s.fault.of(&met)) > least * f64::from(met.tries);
-            let rest = if met.tries == 0 { UNHEARD } else { REST };
+            let met = others.fold(AttemptCounts::default(), |sum, (_, report)| sum.plus(at(*server, report)));
+            let least =
+                if s.fault == OutlierKind::Failing { terms.failed_fraction } else { terms.late_fraction };
+            let bad = f64::from(s.fault.of(&met)) > least * f64::from(met.attempts);
+            let rest = if met.attempts == 0 { UNHEARD } else { REST };
             if bad {
                 s.since = now;
             } else if now >= s.since + rest {
@@ -64,20 +65,23 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::judge::judge;
+    use crate::detection::detect_outliers;
 
-    const TERMS: Terms = Terms { most: 0.3, ..Terms::USUAL };
+    const TERMS: VerdictSettings = VerdictSettings { max_ejected_fraction: 0.3, ..VerdictSettings::DEFAULT };
 
     /// Looks once a second at what three nodes met at server 1 and at a sound one, and says how far 1 is open after each.
-    fn opens(seconds: std::ops::Range<u64>, met: [(u32, u32); 3], record: &mut Record) -> Vec<u16> {
+    fn opens(seconds: std::ops::Range<u64>, met: [(u32, u32); 3], record: &mut EjectionRecord) -> Vec<u16> {
         let look = |second| {
-            let report = |(tries, failed)| {
-                vec![(1, Counts { tries, failed, late: 0 }), (2, Counts { tries: 30, failed: 0, late: 0 })]
+            let report = |(attempts, failed)| {
+                vec![
+                    (1, AttemptCounts { attempts, failed, late: 0 }),
+                    (2, AttemptCounts { attempts: 30, failed: 0, late: 0 }),
+                ]
             };
             let reports = met.map(report);
-            let reports: Vec<&[(u64, Counts)]> = reports.iter().map(Vec::as_slice).collect();
-            let sentences = judge(&TERMS, record, Time::from_secs(second), 10, &reports);
-            sentences.first().map_or(1000, |s| s.open)
+            let reports: Vec<&[(u64, AttemptCounts)]> = reports.iter().map(Vec::as_slice).collect();
+            let ejections = detect_outliers(&TERMS, record, Time::from_secs(second), 10, &reports);
+            ejections.first().map_or(1000, |s| s.open)
         };
         seconds.map(look).collect()
     }
@@ -85,7 +89,7 @@
     /// At a trickle few nodes meet a server at a time: too few to condemn it anew, and no reason to let it in.
     #[test]
     fn what_its_trickle_fails_keeps_a_server_shut_and_what_it_serves_opens_it() {
-        let mut record = Record::default();
+        let mut record = EjectionRecord::default();
         assert_eq!(opens(0..1, [(9, 9); 3], &mut record), [50]);
         // Two nodes meet it still: without what tells most, one does.
         assert!(opens(1..20, [(1, 1), (1, 1), (0, 0)], &mut record).iter().all(|open| *open == 50));
@@ -96,7 +100,7 @@
     /// One node's bad road keeps nobody shut, and a trickle that meets nothing opens it in the end.
     #[test]
     fn one_nodes_word_keeps_nobody_shut_and_silence_not_for_ever() {
-        let mut record = Record::default();
+        let mut record = EjectionRecord::default();
         opens(0..1, [(9, 9); 3], &mut record);
         assert_eq!(opens(1..20, [(5, 5), (2, 0), (2, 0)], &mut record).last(), Some(&1000));
         opens(20..21, [(9, 9); 3], &mut record);
--- a/crates/verdict/src/settings.rs
+++ b/crates/verdict/src/settings.rs
@@ -1,6 +1,6 @@
 //! The `[verdicts]` table of an operator's file.
 
-use crate::judge::{Safeguards, Terms};
+use crate::detection::{Safeguards, VerdictSettings};
 use birchswitch_cluster_host::{Drill, HumanDuration, SettingError, SettingSpans};
 use serde::Deserialize;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 /// The table as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Table {
+pub struct VerdictTable {
     renew: Option<Spanned<HumanDuration>>,
     ttl: Option<Spanned<HumanDuration>>,
     fails: Option<Spanned<f64>>,
@@ -28,11 +28,11 @@
     Numbers,
 }
 
-impl Table {
+impl VerdictTable {
     /// Checks each setting by itself and beside the others.
-    pub fn compile(written: &Spanned<Table>) -> Result<Terms, SettingError> {
+    pub fn compile(written: &Spanned<VerdictTable>) -> Result<VerdictSettings, SettingError> {
         let (mut places, table) = (SettingSpans::new("verdicts", written), written.get_ref());
-        let usual = Terms::USUAL;
+        let usual = VerdictSettings::DEFAULT;
         let (mut renew, mut ttl) = (usual.renew, usual.ttl);
         places.apply_duration("renew", &table.renew, &mut renew);
         places.apply_duration("ttl", &table.ttl, &mut ttl);
@@ -51,18 +51,26 @@
                 false => Err(places.error_at(key, format!("`{key}` has to be {least} to {most}"))),
             }
         };
-        let fails = part("fails", &table.fails, usual.fails, 0.01, 1.0)?;
-        let late = part("late", &table.late, usual.late, 0.01, 1.0)?;
+        let failed_fraction = part("fails", &table.fails, usual.failed_fraction, 0.01, 1.0)?;
+        let late_fraction = part("late", &table.late, usual.late_fraction, 0.01, 1.0)?;
         let trickle = part("trickle", &table.trickle, f64::from(usual.trickle) / 1000.0, 0.01, 0.5)?;
-        let most = part("most", &table.most, usual.most, 0.0, 0.5)?;
+        let max_ejected_fraction = part("most", &table.most, usual.max_ejected_fraction, 0.0, 0.5)?;
         let on = |w| Drill::enabled(&table.drill, w);
         let safeguards = Safeguards {
             evidence: on(Without::Evidence),
-            ration: on(Without::Ration),
-            numbers: on(Without::Numbers),
+            ejection_cap: on(Without::Ration),
+            reject_stale: on(Without::Numbers),
         };
         let trickle = (trickle * 1000.0).round() as u16;
-        Ok(Terms { renew, ttl, fails, late, trickle, most, safeguards })
+        Ok(VerdictSettings {
+            renew,
+            ttl,
+            failed_fraction,
+            late_fraction,
+            trickle,
+            max_ejected_fraction,
+            safeguards,
+        })
     }
 }
 
@@ -72,16 +80,16 @@
 
     #[derive(Deserialize)]
     struct File {
-        verdicts: Spanned<Table>,
+        verdicts: Spanned<VerdictTable>,
     }
 
     #[test]
     fn mistakes_are_told_where_they_are() {
         let compile = |text: &str| {
             let file: File = toml::from_str(text).expect("its form is right");
-            Table::compile(&file.verdicts).map_err(|w| text.get(w.span).unwrap_or_default().to_owned())
+            VerdictTable::compile(&file.verdicts).map_err(|w| text.get(w.span).unwrap_or_default().to_owned())
         };
-        assert_eq!(compile("[verdicts]").map(|t| (t.trickle, t.most)), Ok((50, 0.25)));
+        assert_eq!(compile("[verdicts]").map(|t| (t.trickle, t.max_ejected_fraction)), Ok((50, 0.25)));
         for (setting, place) in [
             ("renew = \"1ms\"", "\"1ms\""),
             ("ttl = \"1s\"", "\"1s\""),
--- a/crates/wallet/src/account/targets.rs
+++ b/crates/wallet/src/account/targets.rs
@@ -1,7 +1,7 @@
 //! How many units of an account each node should hold: enough for a while ahead, and fewer as the balance falls.
 
 use crate::price::Prices;
-use birchswitch_quota::parting::fair;
+use birchswitch_quota::fair_share::max_min_fair;
 use std::time::Duration;
 
 /// The terms of one account.
@@ -60,7 +60,7 @@
     let ahead = terms.ahead.as_secs_f64();
     let wanted = |node: &NodeDemand| (node.units_per_s * ahead).ceil().max(node.largest_rejected as f64);
     let wanted: Vec<f64> = nodes.iter().map(wanted).collect();
-    let shares = fair(pool as f64 * ALLOTTED_FRACTION, &wanted);
+    let shares = max_min_fair(pool as f64 * ALLOTTED_FRACTION, &wanted);
     shares.iter().map(|share| share.floor() as u64).collect()
 }
 
--- a/node/src/fleet/links.rs
+++ b/node/src/fleet/links.rs
@@ -7,7 +7,7 @@
 use birchswitch_lease_host::running_tasks;
 use birchswitch_mesh::{Clock, Identity, Member, MembershipView, Mesh, MeshError, MeshSettings};
 use birchswitch_operations::Call;
-use birchswitch_quota::Door;
+use birchswitch_quota::Limiter;
 use std::fmt::Write;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 }
 
 /// Tells the mesh who lives, for good, and the door how many.
-pub fn follow(cluster: &Rc<Cluster>, mesh: &Mesh, door: Option<Rc<Door>>) {
+pub fn follow(cluster: &Rc<Cluster>, mesh: &Mesh, door: Option<Rc<Limiter>>) {
     let (cluster, mesh) = (cluster.clone(), mesh.clone());
     spawn_local(async move {
         let mut every = tokio::time::interval(LOOK);
@@ -38,7 +38,7 @@
             every.tick().await;
             let now = roster(&cluster);
             if now != told {
-                door.iter().for_each(|door| door.agreed(now.agreed));
+                door.iter().for_each(|door| door.set_fleet_size(now.agreed));
                 mesh.set_membership(now.clone());
                 told = now;
             }
--- a/node/src/fleet/mod.rs
+++ b/node/src/fleet/mod.rs
@@ -39,13 +39,13 @@
     /// `[mesh]`.
     pub mesh: Option<&'a birchswitch_mesh::MeshSettings>,
     /// `[[limits]]`.
-    pub limits: Option<&'a quota::Compiled>,
+    pub limits: Option<&'a quota::QuotaSettings>,
     /// `[[wallet]]`.
     pub wallet: Option<&'a birchswitch_wallet::WalletSettings>,
     /// `[verdicts]`.
-    pub verdicts: Option<birchswitch_verdict::Terms>,
+    pub verdicts: Option<birchswitch_verdict::VerdictSettings>,
     /// `[tuner]`.
-    pub tuner: Option<birchswitch_tuner::Terms>,
+    pub tuner: Option<birchswitch_tuner::TunerSettings>,
     /// The settings' classes.
     pub classes: &'a [finchvale::Class],
     /// The settings' tenants.
--- a/node/src/fleet/verdicts.rs
+++ b/node/src/fleet/verdicts.rs
@@ -6,7 +6,9 @@
 use birchswitch_lease::{task_id, Task};
 use birchswitch_lease_host::Tasks;
 use birchswitch_mesh::{report_periodically, Mesh, ReportSettings, ReportStep};
-use birchswitch_verdict::{Bench, Met, Obeyed, Report, Tally, Terms, LANE};
+use birchswitch_verdict::{
+    ActiveEjections, AttemptObservation, Leader, OutcomeWindow, Report, VerdictSettings, LANE,
+};
 use finchvale::Outcome;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,14 +23,14 @@
 
 /// What a node has of them.
 pub struct Verdicts {
-    terms: Terms,
-    tally: Rc<RefCell<Tally>>,
+    terms: VerdictSettings,
+    tally: Rc<RefCell<OutcomeWindow>>,
     mesh: Mesh,
 }
 
 impl Verdicts {
     /// With nothing met yet.
-    pub fn open(terms: Terms, mesh: &Mesh) -> Self {
+    pub fn open(terms: VerdictSettings, mesh: &Mesh) -> Self {
         Verdicts { terms, tally: Rc::default(), mesh: mesh.clone() }
     }
 
@@ -37,12 +39,14 @@
         let met = match outcome {
             // One that has just started is slow by itself.
             Outcome::Served if !warm => return,
-            Outcome::Served => Met::Answered(latency.as_secs_f64()),
-            Outcome::Error | Outcome::Broken | Outcome::TimedOut | Outcome::Unreachable => Met::Failed,
+            Outcome::Served => AttemptObservation::Answered(latency.as_secs_f64()),
+            Outcome::Error | Outcome::Broken | Outcome::TimedOut | Outcome::Unreachable => {
+                AttemptObservation::Failed
+            }
             // Full is no failure, and the others say nothing of the server.
             Outcome::Rejected | Outcome::NotSent | Outcome::Cancelled => return,
         };
-        self.tally.borrow_mut().met(self.mesh.clock().now(), name, met);
+        self.tally.borrow_mut().record(self.mesh.clock().now(), name, met);
     }
 
     /// Reports, obeys, and judges whenever its zone's lease is this node's.
@@ -50,7 +54,7 @@
         let (terms, mesh) = (self.terms, self.mesh.clone());
         let name = format!("verdict/{zone}");
         let task = Task { name: name.clone(), zone: zone.to_owned(), standbys: STANDBYS };
-        tasks.register(task, Reigning::over(&mesh, Bench::serve(&mesh, terms)));
+        tasks.register(task, Reigning::over(&mesh, Leader::serve(&mesh, terms)));
         let (errands, mut todo) = mpsc::unbounded_channel();
         let to = ReportSettings {
             task: task_id(&name),
@@ -61,7 +65,7 @@
         mesh.spawn(report_periodically(mesh.clone(), to, errands));
         let (tally, host, advised) = (self.tally.clone(), host.clone(), advised.clone());
         spawn_local(async move {
-            let mut obeyed = Obeyed::default();
+            let mut obeyed = ActiveEjections::default();
             let mut every = tokio::time::interval(LOOK);
             loop {
                 tokio::select! {
@@ -69,20 +73,20 @@
                         Some(ReportStep::Collect(tell)) => {
                             let now = mesh.clock().now();
                             let counts = tally.borrow_mut().counts(now);
-                            let report = Report { heard: obeyed.heard(), listed: host.ready_server_count() as u32, counts };
+                            let report = Report { known_version: obeyed.version(), listed: host.ready_server_count() as u32, counts };
                             // Whoever asked is gone with the mesh.
                             let _ = tell.send((now, report));
                         }
                         Some(ReportStep::Apply(asked, word)) => {
-                            if !obeyed.take(&terms, asked, &word) {
-                                tracing::warn!(target: "verdict", kind = "lower", token = word.number.0, count = word.number.1);
+                            if !obeyed.apply(&terms, asked, &word) {
+                                tracing::warn!(target: "verdict", kind = "lower", token = word.version.0, count = word.version.1);
                             }
                         }
                         None => return,
                     },
                     _ = every.tick() => {}
                 }
-                let open = obeyed.now(
+                let open = obeyed.current(
                     &terms,
                     mesh.clock().now(),
                     &|name| host.is_ready_server(name),
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -77,12 +77,12 @@
     mesh: Option<Spanned<mesh::MeshTable>>,
     #[serde(default)]
     limits: Vec<Spanned<quota::LimitTable>>,
-    quota: Option<Spanned<quota::Table>>,
+    quota: Option<Spanned<quota::QuotaTable>>,
     #[serde(default)]
     wallet: Vec<Spanned<wallet::WalletTable>>,
     ledger: Option<Spanned<wallet::LedgerTable>>,
-    verdicts: Option<Spanned<verdict::Table>>,
-    tuner: Option<Spanned<tuner::Table>>,
+    verdicts: Option<Spanned<verdict::VerdictTable>>,
+    tuner: Option<Spanned<tuner::TunerTable>>,
     log: Option<Log>,
 }
 
@@ -127,13 +127,13 @@
     /// TCP between the nodes.
     pub mesh: Option<mesh::MeshSettings>,
     /// Limits of the whole fleet.
-    pub limits: Option<quota::Compiled>,
+    pub limits: Option<quota::QuotaSettings>,
     /// Prepaid accounts.
     pub wallet: Option<wallet::WalletSettings>,
     /// Verdicts on servers.
-    pub verdicts: Option<verdict::Terms>,
+    pub verdicts: Option<verdict::VerdictSettings>,
     /// Tuned weights.
-    pub tuner: Option<tuner::Terms>,
+    pub tuner: Option<tuner::TunerSettings>,
     /// The structured log.
     pub log: Option<Log>,
 }
@@ -198,7 +198,7 @@
             (Some(_), Some(lease), Some(_)) => {
                 let hold = site.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
                 let times = (hold, lease.terms.ttl, lease.terms.drift);
-                let compiled = quota::Compiled::new(&file.limits, file.quota.as_ref(), names, times);
+                let compiled = quota::QuotaSettings::new(&file.limits, file.quota.as_ref(), names, times);
                 Some(
                     compiled
                         .map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?,
@@ -213,13 +213,13 @@
             let problem = "tuned weights of the whole fleet want a [lease] and a [mesh] table".to_owned();
             return Err(at(path, &text, tuner.span().start, problem));
         }
-        let tuner = file.tuner.as_ref().map(tuner::Table::compile).transpose();
+        let tuner = file.tuner.as_ref().map(tuner::TunerTable::compile).transpose();
         let tuner = tuner.map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?;
         if let (Some(verdicts), true) = (&file.verdicts, lease.is_none() || mesh.is_none()) {
             let problem = "verdicts of the whole fleet want a [lease] and a [mesh] table".to_owned();
             return Err(at(path, &text, verdicts.span().start, problem));
         }
-        let verdicts = file.verdicts.as_ref().map(verdict::Table::compile).transpose();
+        let verdicts = file.verdicts.as_ref().map(verdict::VerdictTable::compile).transpose();
         let verdicts =
             verdicts.map_err(|SettingError { span, problem }| at(path, &text, span.start, problem))?;
         let member = cluster.as_ref().and_then(|c| c.node.clone()).unwrap_or_else(|| name.to_owned());
