--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,16 +1,16 @@
-//! Everything that crosses the border of the decision module: settings, events, actions and ids.
+//! The public types of this crate: settings, events, actions and ids.
 
 use std::fmt;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A point on the embedding node's own clock, in nanoseconds from an arbitrary origin.
+/// A point in time on the node's clock, in nanoseconds from an arbitrary origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Add<Duration> for Time {
     type Output = Time;
-    /// Saturates at the end of the clock.
+    /// Saturates at the maximum.
     fn add(self, d: Duration) -> Time {
         Time(self.0.saturating_add(u64::try_from(d.as_nanos()).unwrap_or(u64::MAX)))
     }
@@ -42,24 +42,24 @@
     RequestId(u64);
     /// One server (backend process slot).
     ServerId(u32);
-    /// Position in [`Settings::classes`].
+    /// Index into [`Settings::classes`].
     ClassId(u8);
-    /// Position in [`Settings::tenants`].
+    /// Index into [`Settings::tenants`].
     TenantId(u16);
-    /// Position in the site's list of locations.
+    /// Index into the site's list of zones.
     ZoneId(u8);
-    /// Position in the site's list of machine kinds.
+    /// Index into the site's list of machine kinds.
     KindId(u8);
-    /// A small group of servers that remember each other's keys.
+    /// A small group of servers that share their records of idempotency keys.
     CellId(u16);
-    /// Names a timer set by the balancer.
+    /// Identifies a timer set by the balancer.
     TimerId(u32);
 }
 
-/// Which servers drop the repeats of a keyed request.
+/// The servers among which repeats of a keyed request are deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every server.
+    /// All servers.
     All,
     /// The servers of one zone.
     Zone,
@@ -67,99 +67,99 @@
     Cell,
 }
 
-/// How far a class of requests may be repeated.
+/// Whether and where requests of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Any number of times.
     Safe,
-    /// Inside the group, for `window` after the first send that may have run.
+    /// Within the scope, for `window` after the first send that may have run.
     Keyed {
-        /// Where repeats are dropped.
+        /// Where repeats are deduplicated.
         scope: KeyScope,
-        /// For how long.
+        /// How long repeats are deduplicated.
         window: Duration,
     },
-    /// Only once every earlier attempt is known not to have run.
+    /// Only if every earlier attempt is known not to have run.
     Unsafe,
 }
 
-/// One class of requests.
+/// The settings of one request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// How far it may be repeated.
+    /// Whether its requests may be repeated.
     pub effect: Effect,
-    /// An answer within this time earns the full worth.
+    /// Latency target: an answer within this time earns the full worth.
     pub aim: Duration,
-    /// The aim grows by this many times the request's own work.
+    /// The target grows by this multiple of the request's own work.
     pub aim_stretch: f64,
-    /// The client's whole wait.
+    /// How long the client waits.
     pub deadline: Duration,
-    /// Worth of an answer in time.
+    /// Worth of an answer within the target.
     pub worth: f64,
-    /// Fraction of the worth left after the aim.
+    /// Fraction of the worth that an answer after the target earns.
     pub late_worth: f64,
-    /// The answer is streamed.
+    /// Whether answers are streamed.
     pub streamed: bool,
-    /// The only zones it may go to; `None`: any. An empty list closes it everywhere.
+    /// Zones that may serve the class; `None` allows all, an empty list none.
     pub zones: Option<Vec<ZoneId>>,
-    /// The only machine kinds it may go to; `None`: any.
+    /// Machine kinds that may serve the class; `None` allows all.
     pub kinds: Option<Vec<KindId>>,
 }
 
-/// One customer whose traffic is weighed against a share.
+/// The settings of one tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second over all nodes that count in full.
+    /// Requests per second, over all nodes, that count with their full worth.
     pub quota_per_s: f64,
 }
 
-/// How load reports reach the node.
+/// How the node receives load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
     /// With every answer.
     WithAnswers,
     /// Only in answers to probes.
     ByProbe,
-    /// Never.
+    /// Not at all.
     Absent,
 }
 
-/// The site's figures for the rules.
+/// Timing and capacity parameters of the balancing rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// Nothing new goes to a server later than this after word of its drain.
+    /// After a server's drain is announced, new requests may go to it for this long at most.
     pub drain_grace: Duration,
-    /// A server starts with this fraction of its capacity, or more.
+    /// Lower bound on the fraction of its capacity that a server starts with.
     pub cold_from: f64,
-    /// It has all of it after this time, at the latest.
+    /// Time after which a started server has its full capacity, at the latest.
     pub warm_up: Duration,
-    /// More than this multiple of its present capacity ...
+    /// A cold server fails if it receives more than this multiple of its current capacity ...
     pub fall_multiple: f64,
-    /// ... for this long pushes a cold server over.
+    /// ... for this long.
     pub fall_time: Duration,
-    /// A node without a watch is deemed informed this long after something was listed.
+    /// Upper bound on the time until a node that does not subscribe to changes learns of a listed change.
     pub list_poll_interval: Duration,
 }
 
-/// What a site counts for each of these, as a part of the worth of a mean request. 0: nothing.
+/// Costs of a node's own traffic, as fractions of the worth of a mean request; 0 means free.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// One probe.
+    /// Cost of one probe.
     pub probe: f64,
-    /// One new connection to a server.
+    /// Cost of one new connection to a server.
     pub handshake: f64,
 }
 
-/// All that a balancer is told at start.
+/// Configuration of a [`Balancer`](crate::Balancer).
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Nodes in this tier, this one included.
+    /// Number of nodes in this tier, including this one.
     pub nodes: u32,
-    /// Which of them this one is, from 0; `None` where that is not told.
+    /// Index of this node, from 0; `None` if unknown.
     pub node_index: Option<u32>,
-    /// What the site pays for a node's asking and connecting.
+    /// Costs of probes and of new connections.
     pub prices: Prices,
-    /// Where this node stands.
+    /// Zone of this node.
     pub zone: ZoneId,
     /// Number of zones.
     pub zones: u8,
@@ -167,52 +167,52 @@
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of its worth.
+    /// Worth of a request beyond its tenant's quota, as a fraction of its regular worth.
     pub over_share_worth: f64,
-    /// Worth counts by unit of work rather than by request.
+    /// Whether worth counts per unit of work instead of per request.
     pub worth_by_work: bool,
-    /// The list gives weights that mean something.
+    /// Whether the weights in the server list are meaningful.
     pub use_listed_weights: bool,
-    /// How load reports come.
+    /// How load reports arrive.
     pub reports: Reports,
-    /// Reports carry both `busy` and `rate`.
+    /// Whether reports carry both `busy` and `rate`.
     pub reports_rate: bool,
-    /// List changes come only when asked for.
+    /// Whether list changes arrive only after an [`Action::Watch`].
     pub subscribe_to_lists: bool,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub may_probe: bool,
-    /// Two attempts of one request may be out together.
+    /// Whether two attempts of one request may be in flight at once.
     pub second_copies: bool,
-    /// An idle connection closes after this time.
+    /// Time after which an idle connection closes.
     pub conn_idle: Duration,
-    /// A connection not up by then counts as [`Outcome::Unreachable`].
+    /// Time after which a connection attempt counts as [`Outcome::Unreachable`].
     pub connect_timeout: Duration,
-    /// Longest wait a refused client follows; `None` where advice is not passed on.
+    /// Longest wait suggested to a refused client; `None` if no wait is suggested.
     pub max_retry_after: Option<Duration>,
-    /// The figures of the rules.
+    /// Parameters of the balancing rules.
     pub rules: Rules,
 }
 
-/// Why settings were turned down.
+/// Error returned for invalid [`Settings`].
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// No classes, or more than ids can name.
-    #[error("classes: between 1 and 256 are needed")]
-    NoClasses,
-    /// A figure that is negative, not finite, or out of its range.
-    #[error("{setting}: {value} is not usable here")]
-    BadFigure {
+    /// No classes, or more than 256.
+    #[error("classes: expected between 1 and 256")]
+    InvalidClassCount,
+    /// A value that is negative, not finite, or out of range.
+    #[error("{setting}: {value} is out of range")]
+    InvalidValue {
         /// Name of the setting.
         setting: &'static str,
-        /// What was given.
+        /// The given value.
         value: f64,
     },
-    /// The node's zone is not among the zones.
-    #[error("zone: {zone} is not among the {zones} zones")]
+    /// The node's zone is not below the number of zones.
+    #[error("zone: {zone} must be below {zones}, the number of zones")]
     UnknownZone {
         /// The node's zone.
         zone: u8,
@@ -221,25 +221,25 @@
     },
 }
 
-/// What a list says of a server.
+/// State of a server according to the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes its work; nothing new.
+    /// Completes its requests but accepts no new ones.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of a server list.
+/// One entry of a server list.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
-    /// Names it alike at every node, where `server` may differ.
+    /// Hash of the server's name: the same at every node, unlike `server`.
     pub name: u64,
-    /// Its location.
+    /// Its zone.
     pub zone: ZoneId,
     /// Its machine kind.
     pub kind: KindId,
@@ -247,53 +247,53 @@
     pub cell: CellId,
     /// Its state.
     pub state: ServerState,
-    /// Its weight, of use where [`Settings::use_listed_weights`].
+    /// Its weight; used if [`Settings::use_listed_weights`].
     pub weight: f64,
-    /// When it last started; `None` for long ago.
+    /// Its last start; `None` if long ago.
     pub started: Option<Time>,
 }
 
-/// What a list event holds.
+/// Content of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The whole list as last held; it may be old.
+    /// A complete list that may be outdated.
     Cached,
-    /// Changed entries.
+    /// Changed entries only.
     Changes,
-    /// The whole list.
+    /// The complete current list.
     Full,
-    /// A call failed or the watch broke; the list held stays valid.
+    /// The call failed or the subscription broke; the current list remains valid.
     Failed,
 }
 
-/// How an attempt or a probe ended.
+/// Result of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// A successful answer.
     Served,
     /// The server answered with an error.
     Error,
-    /// Turned away unseen.
+    /// The server rejected the request without running it.
     Rejected,
     /// No answer in time.
     TimedOut,
-    /// No connection.
+    /// No connection could be established.
     Unreachable,
     /// The connection broke.
     Broken,
-    /// Withdrawn by the node.
+    /// Cancelled by the node.
     Cancelled,
     /// Never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the server itself has said something.
+    /// Whether the server itself answered.
     pub fn server_responded(self) -> bool {
         matches!(self, Outcome::Served | Outcome::Error | Outcome::Rejected)
     }
 
-    /// Whether nothing was heard of the server, though it was to be.
+    /// Whether the server failed to answer.
     pub fn server_unresponsive(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken)
     }
@@ -304,18 +304,18 @@
     }
 }
 
-/// A server's own word on its load; what it does not report is `None`.
+/// Load as reported by a server; `None` marks values it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Busy part of its cores.
+    /// Utilized fraction of its cores.
     pub busy: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub rate: Option<f64>,
-    /// Requests waiting.
+    /// Requests that wait.
     pub waiting: Option<f64>,
-    /// Requests held, waiting ones included.
+    /// Requests in the server, including those that wait.
     pub held: Option<f64>,
-    /// Seconds a request took lately, without waiting.
+    /// Recent mean time in seconds to process a request, without waiting.
     pub service: Option<f64>,
 }
 
@@ -328,15 +328,16 @@
     pub class: ClassId,
     /// Its tenant, if the site has tenants.
     pub tenant: TenantId,
-    /// Time before the client stops waiting.
+    /// Time until the client stops waiting.
     pub remaining: Duration,
     /// Expected work on a standard core, if known.
     pub work: Option<Duration>,
-    /// All of it is there. Else an attempt begins to count with [`Event::RequestWritten`]: until then its server only waits.
+    /// Whether the request was received completely. If not, the server cannot start before
+    /// [`Event::RequestWritten`], and the attempt counts from then on only.
     pub body_complete: bool,
 }
 
-/// An attempt ended.
+/// Details of an attempt that ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded {
     /// The request.
@@ -345,64 +346,64 @@
     pub attempt: u32,
     /// Its server.
     pub server: ServerId,
-    /// How.
+    /// Its result.
     pub outcome: Outcome,
-    /// Time from the send.
+    /// Time since it was sent.
     pub latency: Duration,
-    /// The request needs no answer any more.
+    /// Whether the request needs no further answer.
     pub closed: bool,
-    /// The server's report, if one came along.
+    /// The server's load report, if one was attached.
     pub report: Option<LoadReport>,
 }
 
-/// A probe ended.
+/// Details of a probe that ended.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeEnded {
-    /// The server.
+    /// The probed server.
     pub server: ServerId,
-    /// How.
+    /// Its result.
     pub outcome: Outcome,
-    /// Time from the send.
+    /// Time since it was sent.
     pub latency: Duration,
-    /// The server's report, if one came along.
+    /// The server's load report, if one was attached.
     pub report: Option<LoadReport>,
 }
 
-/// What the whole fleet knows of a server.
+/// Correction of a server's share and weight, derived from observations of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerAdjustment {
     /// The server.
     pub server: ServerId,
-    /// The most of a mean share that it gets: 1 or more, it is not bounded.
+    /// Upper bound of its share relative to the mean share; 1 or more means no bound.
     pub share_limit: f64,
-    /// What its weight ζ, the list's or this node's own estimate, is multiplied by, ...
+    /// Factor for its weight ζ, whether listed or estimated by this node, ...
     pub weight_factor: f64,
-    /// ... to this power, from 0 to 1: how far that counts.
+    /// ... raised to this power, from 0 (ignored) to 1 (applied in full).
     pub confidence: f64,
 }
 
-/// What the node tells the balancer.
+/// Inputs of the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A server list or changes to it.
     List {
-        /// What it holds.
+        /// What the entries are.
         kind: ListKind,
-        /// Its lines.
+        /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A client's request.
+    /// A client's request arrived.
     Arrival(Arrival),
-    /// A streamed answer has begun.
+    /// A streamed answer started.
     ResponseStarted {
         /// The request.
         request: RequestId,
         /// The attempt, counted from 0.
         attempt: u32,
-        /// Time from the send.
+        /// Time since it was sent.
         latency: Duration,
     },
-    /// The last byte of an attempt whose request was not whole has been sent: its server can begin.
+    /// The last byte of a request that arrived incomplete was sent: the attempt's server can start.
     RequestWritten {
         /// The request.
         request: RequestId,
@@ -411,50 +412,50 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// The client left; nothing is owed.
+    /// The client disconnected; no answer is due any more.
     ClientGone {
         /// The request.
         request: RequestId,
     },
-    /// A timer is due.
+    /// A timer expired.
     Timer {
-        /// Which.
+        /// The timer.
         timer: TimerId,
     },
     /// A probe ended.
     ProbeEnded(ProbeEnded),
-    /// What the whole fleet knows of servers: in the place of all that was said so before.
+    /// Corrections derived by the whole fleet; they replace all earlier ones.
     Adjustments(Vec<ServerAdjustment>),
-    /// Where this node stands among those that live, in place of [`Settings::node_index`]; not before a list came.
+    /// This node's position among the live nodes, replacing [`Settings::node_index`]. Sent only after a list.
     RingPosition {
-        /// The part of the ring of servers at which it begins, from 0 to 1.
+        /// Where its aperture starts on the ring of servers, from 0 to 1.
         start: f64,
-        /// Nodes of the fleet as last agreed. More than [`Settings::nodes`] make this node's part of a server smaller; fewer
-        /// change nothing.
+        /// Number of nodes in the fleet's agreed view. More than [`Settings::nodes`] lower this node's
+        /// assumed share of the fleet's traffic; fewer do not raise it.
         nodes: u32,
     },
 }
 
-/// What is to be done, in this order.
+/// Actions, in the order in which they are to be carried out.
 pub(crate) type Actions = Vec<Action>;
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Its work, as it was hinted, can't be done in time on an idle server.
+    /// Its hinted work cannot be finished in time even on an idle server.
     Infeasible,
-    /// Servers have no room for all, and it is worth less than what is let in.
+    /// Capacity is short and the request is worth less than those admitted.
     BelowThreshold,
-    /// No server that may take it is open.
+    /// No server that may take it is available.
     NoServer,
-    /// Where it would go its chance of being in time is too small.
+    /// Its chance of an answer in time is too low at the chosen server.
     Unlikely,
-    /// Its attempts came to nothing, and neither time nor budget allow another.
+    /// Its attempts failed, and time or retry budget do not allow another.
     AttemptsExhausted,
 }
 
 impl Refusal {
-    /// All of them, in the order of their numbers.
+    /// All reasons, in the order in which they are counted.
     pub const ALL: [Refusal; 5] = [
         Refusal::Infeasible,
         Refusal::BelowThreshold,
@@ -463,7 +464,7 @@
         Refusal::AttemptsExhausted,
     ];
 
-    /// In figures and logs.
+    /// Label for metrics and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Refusal::Infeasible => "hopeless",
@@ -475,28 +476,28 @@
     }
 }
 
-/// What the balancer wants done, in this order.
+/// Outputs of the balancer, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// Its time-out; `None`: until the client stops waiting.
+        /// Timeout of the attempt; `None`: the time until the client stops waiting.
         limit: Option<Duration>,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused, and safe to repeat.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Advised wait.
+        /// Suggested wait before the client retries.
         wait: Option<Duration>,
-        /// What for.
+        /// Reason for the refusal.
         why: Refusal,
     },
-    /// Final answer: failed, without promise.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
@@ -508,51 +509,51 @@
         /// The attempt.
         attempt: u32,
     },
-    /// Ask for [`Event::Timer`].
+    /// Schedule [`Event::Timer`].
     SetTimer {
-        /// When.
+        /// When it is due.
         at: Time,
-        /// Its name.
+        /// Its id.
         timer: TimerId,
     },
     /// Ask a server for its load.
     Probe {
-        /// Which.
+        /// The server.
         server: ServerId,
     },
-    /// Ask for list changes from now on.
+    /// Subscribe to list changes.
     Watch,
     /// A line for the node's log.
     Log(String),
 }
 
 impl Settings {
-    /// Says what makes no sense, if anything does.
+    /// Validates the settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() || self.classes.len() > 256 {
-            return Err(SettingsError::NoClasses);
+            return Err(SettingsError::InvalidClassCount);
         }
-        let least = |setting, value: f64, least, most| {
-            let fine = value.is_finite() && value >= least && value <= most;
-            fine.then_some(()).ok_or(SettingsError::BadFigure { setting, value })
+        let check = |setting, value: f64, min, max| {
+            let valid = value.is_finite() && value >= min && value <= max;
+            valid.then_some(()).ok_or(SettingsError::InvalidValue { setting, value })
         };
         for class in &self.classes {
-            least("classes.aim", class.aim.as_secs_f64(), 1e-9, f64::MAX)?;
-            least("classes.deadline", class.deadline.as_secs_f64(), 1e-9, f64::MAX)?;
-            least("classes.worth", class.worth, 0.0, f64::MAX)?;
-            least("classes.late_worth", class.late_worth, 0.0, f64::MAX)?;
-            least("classes.aim_stretch", class.aim_stretch, 0.0, f64::MAX)?;
+            check("classes.aim", class.aim.as_secs_f64(), 1e-9, f64::MAX)?;
+            check("classes.deadline", class.deadline.as_secs_f64(), 1e-9, f64::MAX)?;
+            check("classes.worth", class.worth, 0.0, f64::MAX)?;
+            check("classes.late_worth", class.late_worth, 0.0, f64::MAX)?;
+            check("classes.aim_stretch", class.aim_stretch, 0.0, f64::MAX)?;
         }
         for tenant in &self.tenants {
-            least("tenants.quota_per_s", tenant.quota_per_s, 0.0, f64::MAX)?;
+            check("tenants.quota_per_s", tenant.quota_per_s, 0.0, f64::MAX)?;
         }
-        least("over_share_worth", self.over_share_worth, 0.0, f64::MAX)?;
-        least("rules.cold_from", self.rules.cold_from, 0.0, 1.0)?;
-        least("rules.fall_multiple", self.rules.fall_multiple, 0.0, f64::MAX)?;
-        least("nodes", f64::from(self.nodes), 1.0, f64::MAX)?;
-        least("prices.probe", self.prices.probe, 0.0, f64::MAX)?;
-        least("prices.handshake", self.prices.handshake, 0.0, f64::MAX)?;
-        least("max_attempts", f64::from(self.max_attempts), 1.0, f64::MAX)?;
+        check("over_share_worth", self.over_share_worth, 0.0, f64::MAX)?;
+        check("rules.cold_from", self.rules.cold_from, 0.0, 1.0)?;
+        check("rules.fall_multiple", self.rules.fall_multiple, 0.0, f64::MAX)?;
+        check("nodes", f64::from(self.nodes), 1.0, f64::MAX)?;
+        check("prices.probe", self.prices.probe, 0.0, f64::MAX)?;
+        check("prices.handshake", self.prices.handshake, 0.0, f64::MAX)?;
+        check("max_attempts", f64::from(self.max_attempts), 1.0, f64::MAX)?;
         if self.zone.0 >= self.zones {
             return Err(SettingsError::UnknownZone { zone: self.zone.0, zones: self.zones });
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! finchvale makes the decisions of a reverse proxy that spreads requests over servers.
+//! Load balancing decisions of a reverse proxy.
 //!
-//! Each node keeps a price per server, moved by a projected dual step on reported load, and draws servers from
-//! the shares that maximise concave, speed-valued utility minus price. The crate does no I/O, reads no clock,
-//! starts no threads and keeps no globals: the node feeds [`Event`]s with its own time and carries out the
-//! [`Action`]s. The same settings, seed and events give the same actions.
+//! Each node keeps a price per server, which moves by a projected dual step on reported load, and draws servers
+//! by the shares that maximise concave utility, weighted by speed, less price. The crate does no I/O, reads no
+//! clock, starts no threads and has no global state: the node passes in [`Event`]s with its own time and carries
+//! out the resulting [`Action`]s. Equal settings, seed and events give equal actions.
 //!
 //! ```
 //! use std::time::Duration;
