--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -1,60 +1,69 @@
-//! What is let in: each request's worth against a toll that turns away the least worth when servers are full.
+//! Admission control: when servers are full, requests worth less per unit of work than a threshold are
+//! rejected.
 
 mod shedding;
 mod threshold;
 
-pub(crate) use shedding::met;
+pub(crate) use shedding::record_outcome;
 
 use super::estimate;
 use super::market::{self, Solved};
 use crate::interface::{Arrival, ClassId, Refusal, Time};
 use crate::state::Balancer;
 
-pub(crate) const TENANT_WINDOW: f64 = 5.0; // s for tenants: at low rates a shorter one is all chance
-const SPARE: [f64; 2] = [0.8, 1.5]; // mean load up to which servers have room, and from which they have none
-const LEAST_CHANCE: [f64; 2] = [0.3, 0.6]; // least chance up to there, and where all servers are full
-const WORKS: usize = 64; // recent arrivals whose works tell what is light
+/// Window of tenants' rates in seconds: at low rates a shorter window would measure only noise.
+pub(crate) const TENANT_WINDOW: f64 = 5.0;
+/// Mean loads up to which servers have spare capacity, and from which they have none.
+const SCARCITY_LOADS: [f64; 2] = [0.8, 1.5];
+/// Minimum chance of an answer in time at the first of these loads and at the second.
+const MIN_CHANCE: [f64; 2] = [0.3, 0.6];
+/// Number of recent arrivals whose work determines which requests are light.
+const RECENT_WORKS: usize = 64;
 
-/// Brings prices, shares and the tolls that follow from them up to date, once a tick, when a draw is due.
+/// Updates prices, shares and admission thresholds; at most once per tick, before a draw.
 pub(crate) fn refresh(b: &mut Balancer, now: Time) {
     let Some(Solved { unplaced, dt, known }) = market::solve(b, now) else { return };
     for (c, unplaced) in unplaced.into_iter().enumerate() {
-        if c == b.markets[c].leader {
+        if c == b.markets[c].representative {
             let shed = shedding::shed(b, now, c, dt);
-            threshold::clear(b, c, shed.max(unplaced));
+            threshold::set(b, c, shed.max(unplaced));
         }
     }
     if known {
-        b.learn_part(now, dt, market::PART_WINDOW);
+        b.learn_fleet_share(now, dt, market::FLEET_SHARE_WINDOW);
     }
 }
 
-/// Whether a request is turned away at the door: it can't be in time, or its worth is not worth a place now.
-pub(crate) fn turned_away(b: &mut Balancer, now: Time, a: &Arrival, class: ClassId) -> bool {
-    let (worth, takes) = threshold::worth(b, now, class, a.tenant);
+/// Whether a request is rejected on arrival: it cannot be answered in time, or its worth is below the
+/// threshold.
+pub(crate) fn rejects(b: &mut Balancer, now: Time, a: &Arrival, class: ClassId) -> bool {
+    let (worth, expected_work) = threshold::worth(b, now, class, a.tenant);
     refresh(b, now);
-    let toll = b.markets[b.markets[usize::from(class.0)].leader].toll;
-    // Work beyond the aim can only be late, and takes room from work that can be in time.
+    let threshold = b.markets[b.markets[usize::from(class.0)].representative].threshold;
+    // Work longer than the latency target can only be late and takes capacity from requests that can be in
+    // time.
     let work = a.work.map(|w| w.as_secs_f64());
-    let idle = |w| estimate::alone(w).in_time(w, b.aim(class, work));
-    let hopeless = work.is_some_and(|w| idle(w) < least_chance(b));
-    b.note(class, work, hopeless, WORKS);
-    let whole = worth * if b.settings.worth_by_work { work.unwrap_or(b.mean_work) } else { takes };
-    b.mean_worth += (whole - b.mean_worth) * if b.mean_worth > 0.0 { 1.0 / 64.0 } else { 1.0 };
-    let tolled = a.remaining.is_zero() || b.random() * worth < toll;
+    let idle = |w| estimate::idle_estimate(w).chance_in_time(w, b.aim(class, work));
+    let infeasible = work.is_some_and(|w| idle(w) < min_chance(b));
+    b.record_work(class, work, infeasible, RECENT_WORKS);
+    let total_worth =
+        worth * if b.settings.worth_by_work { work.unwrap_or(b.mean_work) } else { expected_work };
+    b.mean_worth += (total_worth - b.mean_worth) * if b.mean_worth > 0.0 { 1.0 / 64.0 } else { 1.0 };
+    let below_threshold = a.remaining.is_zero() || b.random() * worth < threshold;
     if let Some(r) = b.requests.get_mut(&a.request) {
-        r.worth = whole / b.mean_worth.max(1e-9);
+        r.worth = total_worth / b.mean_worth.max(1e-9);
         r.why = [Refusal::NoServer, Refusal::BelowThreshold, Refusal::Infeasible]
-            [usize::from(tolled).max(2 * usize::from(hopeless))];
+            [usize::from(below_threshold).max(2 * usize::from(infeasible))];
     }
-    hopeless || tolled
+    infeasible || below_threshold
 }
 
-/// The least chance of being in time for which a request is given a server: whatever has any while servers
-/// stand idle, and only what surely makes it when they are full.
-pub(crate) fn least_chance(b: &Balancer) -> f64 {
-    let scarce = ((b.mean_load - SPARE[0]) / (SPARE[1] - SPARE[0])).clamp(0.0, 1.0);
-    LEAST_CHANCE[0] + (LEAST_CHANCE[1] - LEAST_CHANCE[0]) * scarce
+/// The minimum chance of an answer in time for a request to be sent: low while servers are idle, and high
+/// when they are full.
+pub(crate) fn min_chance(b: &Balancer) -> f64 {
+    let scarcity =
+        ((b.mean_load - SCARCITY_LOADS[0]) / (SCARCITY_LOADS[1] - SCARCITY_LOADS[0])).clamp(0.0, 1.0);
+    MIN_CHANCE[0] + (MIN_CHANCE[1] - MIN_CHANCE[0]) * scarcity
 }
 
 #[cfg(test)]
--- a/src/policy/aperture.rs
+++ b/src/policy/aperture.rs
@@ -1,54 +1,72 @@
-//! The aperture: with which servers a node deals.
+//! The aperture: the subset of servers that a node sends to.
 //!
-//! All nodes see the same ring of servers; each begins at its own part of it and goes round as far as it
-//! wants (Finagle's deterministic aperture), so that every server lies in as many apertures as any other.
-//! Servers that are closed by their price stand for none, and cold ones for what they may get where few are
-//! left: the aperture then reaches further at once, and draws in by degrees.
+//! All nodes see the same ring of servers. Each node starts at its own position and takes as many servers as
+//! it
+//! needs (Finagle's deterministic aperture), so that every server lies in the same number of apertures.
+//! Servers
+//! closed by their price do not count, and if few others are left, cold servers count for their bounded share
+//! only: the aperture then widens at once and narrows gradually.
 
-use super::estimate::{distribution::Prospect, Estimate};
+use super::estimate::{distribution::WorthDistribution, Estimate};
 use crate::interface::Reports;
-use crate::state::{Balancer, Line};
+use crate::state::{Balancer, ShareInput};
 
-const NEWS: [f64; 2] = [1.0, 0.5]; // s in which a node hears of each server, without and with probes ...
-pub(crate) const LEAST_OPEN: f64 = 5.0; // ... and the fewest that it deals with for a class
-const CLOSED: f64 = 0.5; // part of its share below which a server stands for less than one
-const MANY: usize = 4; // servers asked together where asking costs nothing, but one
-const NARROWING: f64 = 5.0; // s in which an aperture that reached further draws in
+/// Seconds within which a node should hear from each server of its aperture, without and with probes ...
+const CONTACT_INTERVAL: [f64; 2] = [1.0, 0.5];
+/// ... and the minimum number of servers per class.
+pub(crate) const MIN_APERTURE: f64 = 5.0;
+/// Part of its normal share from which a server counts in full.
+const COUNTED_SHARE: f64 = 0.5;
+/// Number of earlier probes to assume when evaluating whether one more pays off.
+const FREE_PROBES: usize = 4;
+/// Time constant in seconds with which a widened aperture narrows.
+const SHRINK_TIME: f64 = 5.0;
 
-/// Cuts a class's servers, in ring order, to those that this node deals with.
-pub(crate) fn cut(b: &mut Balancer, class: usize, open: &mut Vec<usize>, lines: &[Line], flow: f64, dt: f64) {
-    let narrow = b.blind || b.settings.reports == Reports::ByProbe && !all_worth_asking(b);
-    let (all, wanted) = (open.len(), (NEWS[usize::from(!b.blind)] * flow).max(LEAST_OPEN).ceil());
+/// Limits a class's servers, in ring order, to the aperture.
+pub(crate) fn limit(
+    b: &mut Balancer,
+    class: usize,
+    open: &mut Vec<usize>,
+    inputs: &[ShareInput],
+    flow: f64,
+    dt: f64,
+) {
+    let aperture_active =
+        b.capacity_unknown || b.settings.reports == Reports::ByProbe && !probing_pays_everywhere(b);
+    let (all, wanted) =
+        (open.len(), (CONTACT_INTERVAL[usize::from(!b.capacity_unknown)] * flow).max(MIN_APERTURE).ceil());
     let m = &mut b.markets[class];
-    m.narrow = narrow;
-    if !narrow {
+    m.aperture_active = aperture_active;
+    if !aperture_active {
         return;
     }
-    // What its price leaves of a server's share, beside one that costs what all do: [1/(price + 1/2) - 1].
-    let usual = b.going_price.min(b.mean_price);
-    let share = |k: usize| 1.0 / (0.5 + (lines[k].price - usual).max(0.0)) - 1.0;
+    // The share left by its price, relative to a server with the usual price: [1/(price + 1/2) - 1].
+    let usual = b.market_price.min(b.mean_price);
+    let share = |k: usize| 1.0 / (0.5 + (inputs[k].price - usual).max(0.0)) - 1.0;
     let (mut fit, mut able) = (0.0, 0.0);
     let enough = |k: &usize| {
-        fit += (share(*k) / CLOSED).clamp(0.0, 1.0);
-        able += share(*k).min(lines[*k].most).clamp(0.0, 1.0);
-        fit > wanted - 1e-9 && able > LEAST_OPEN.min(wanted) - 1e-9
+        fit += (share(*k) / COUNTED_SHARE).clamp(0.0, 1.0);
+        able += share(*k).min(inputs[*k].max_share).clamp(0.0, 1.0);
+        fit > wanted - 1e-9 && able > MIN_APERTURE.min(wanted) - 1e-9
     };
     let needed = open.iter().position(enough).map_or(all, |last| last + 1) as f64;
-    m.reach = needed.max(m.reach - (m.reach - needed) * (dt / NARROWING).min(1.0)).min(all as f64);
-    open.truncate(m.reach.ceil() as usize);
+    m.aperture_size = needed
+        .max(m.aperture_size - (m.aperture_size - needed) * (dt / SHRINK_TIME).min(1.0))
+        .min(all as f64);
+    open.truncate(m.aperture_size.ceil() as usize);
 }
 
-/// Whether one more of many servers would be worth asking if nothing were known of any: then it is no use to
-/// know few.
-fn all_worth_asking(b: &Balancer) -> bool {
+/// Whether one more probe pays off even after several others, with nothing known of any server. A small
+/// aperture has no advantage then.
+fn probing_pays_everywhere(b: &Balancer) -> bool {
     let (work, aims) = (b.mean_work, b.settings.classes.iter().map(|c| c.aim.as_secs_f64()));
     let aim = aims.fold(f64::MAX, f64::min);
     let usual = b.loads[0].usual().iter().enumerate();
     let usual =
-        usual.map(|(held, p)| (Estimate::behind(b, held as f64, work).worth(work, aim, aim, false), *p));
-    let one = Prospect::new(usual);
-    let many = (1..MANY).fold(one, |many, _| many.or(&one));
-    many.or(&one).expected(0.0) - many.expected(0.0) >= b.settings.prices.probe
+        usual.map(|(held, p)| (Estimate::queued(b, held as f64, work).worth(work, aim, aim, false), *p));
+    let one = WorthDistribution::new(usual);
+    let many = (1..FREE_PROBES).fold(one, |many, _| many.max(&one));
+    many.max(&one).expected(0.0) - many.expected(0.0) >= b.settings.prices.probe
 }
 
 #[cfg(test)]
--- a/src/policy/cold.rs
+++ b/src/policy/cold.rs
@@ -1,38 +1,46 @@
-//! Cold starts: what a server that has just started may be given, by this node's part of all.
+//! Cold starts: the load that a recently started server may receive from this node.
 //!
-//! A server starts with a part of its capacity and gains the rest evenly. Given more than a stated multiple
-//! of what it can do, over a stated time, it falls over. Nodes don't talk to each other: each keeps its share
-//! of the requests so low that all together stay inside the budget, chance included.
+//! A server starts with a fraction of its capacity and gains the rest linearly. It fails if it receives more
+//! than a configured multiple of its current capacity for a configured time. Nodes do not coordinate on this:
+//! each node keeps its share low enough that all together stay within the budget, random variation included.
 
 use crate::interface::Rules;
 use std::collections::VecDeque;
 
-const COLD_PART: f64 = 0.5; // part of a cold server's budget that all nodes spend, at most
-const CHANCE: f64 = 5.0; // standard deviations of the work that comes by chance, kept free below the budget
-const LEAST_LOAD: f64 = 0.5; // load taken for that of a warm peer where less is reported: reports miss some
-const LIGHT: f64 = 0.75; // part of the aim that the work of one for a cold server may take there
-const LEAST_BROUGHT: f64 = 0.1; // part of all work that light requests are taken to bring, at least
-pub(crate) const PROBES: usize = 3; // of the servers asked for a request may be cold
-const HEAVY_PART: f64 = 0.25; // part of the budget that one request may take
+/// Fraction of a cold server's budget that all nodes together may use.
+const BUDGET_FRACTION: f64 = 0.5;
+/// Standard deviations of random variation in the arriving work that are kept free within the budget.
+const ARRIVAL_DEVIATIONS: f64 = 5.0;
+/// Minimum load assumed for a warm server, because reports miss some of it.
+const MIN_WARM_LOAD: f64 = 0.5;
+/// Fraction of the latency target that a request's work may take on a cold server.
+const LIGHT_FRACTION: f64 = 0.75;
+/// Minimum fraction of all work that light requests are assumed to bring.
+const MIN_LIGHT_WORK: f64 = 0.1;
+/// Maximum number of cold servers among a request's candidates.
+pub(crate) const MAX_COLD_PROBES: usize = 3;
+/// Fraction of the budget that a single request may take.
+const HEAVY_FRACTION: f64 = 0.25;
 
-/// Whether a request with this much work can be in time at a server this warm; only such are sent there.
+/// Whether a request with this work can be in time at a server of this warmth; others are not sent to cold
+/// servers.
 pub(crate) fn light(work: f64, aim: f64, warmth: f64) -> bool {
-    warmth >= 1.0 || work <= LIGHT * aim * warmth
+    warmth >= 1.0 || work <= LIGHT_FRACTION * aim * warmth
 }
 
-/// What all nodes together may send to cold servers, for one moment.
-pub(crate) struct Budget<'a> {
+/// The current limit for what all nodes together may send to cold servers.
+pub(crate) struct ColdBudget<'a> {
     rules: &'a Rules,
-    /// Load of a warm server, in capacities.
+    /// Load of a warm server, relative to its capacity.
     load: f64,
-    /// Works of recent requests, ascending, and the sum up to each; seconds.
+    /// Works of recent requests in ascending order, each with the cumulative sum, in seconds.
     works: Vec<(f64, f64)>,
-    /// The longest aim of any class, in seconds.
+    /// Longest latency target of any class, in seconds.
     aim: f64,
 }
 
-impl<'a> Budget<'a> {
-    /// From the fleet's mean load and the works of recent requests, which may be none.
+impl<'a> ColdBudget<'a> {
+    /// Computes the limit from the fleet's mean load and the works of recent requests; there may be none.
     pub(crate) fn new(rules: &'a Rules, mean_load: f64, works: &VecDeque<f64>, aim: f64) -> Self {
         let mut works: Vec<(f64, f64)> = works.iter().map(|w| (*w, 0.0)).collect();
         works.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -41,32 +49,34 @@
             sum += w.0;
             w.1 = sum;
         }
-        // Where nothing is told warm servers may be full.
-        let load = if mean_load > 0.0 { mean_load.clamp(LEAST_LOAD, 1.0) } else { 1.0 };
-        Budget { rules, load, works, aim }
+        // Without reports, warm servers may be fully loaded.
+        let load = if mean_load > 0.0 { mean_load.clamp(MIN_WARM_LOAD, 1.0) } else { 1.0 };
+        ColdBudget { rules, load, works, aim }
     }
 
-    /// The most of the requests that such a server may get, relative to the mean share; no bound once warm.
-    pub(crate) fn most(&self, warmth: f64) -> f64 {
+    /// Upper bound for a server's share relative to the mean share; infinite once it is warm.
+    pub(crate) fn max_share(&self, warmth: f64) -> f64 {
         if warmth >= 1.0 {
             return f64::INFINITY;
         }
         let budget = warmth * self.rules.fall_multiple;
-        let Some(&(_, all)) = self.works.last() else { return budget * COLD_PART / self.load };
-        // So many mean requests fit into it; they come by chance, so that with m of them about m + z √m do.
+        let Some(&(_, all)) = self.works.last() else { return budget * BUDGET_FRACTION / self.load };
+        // The number of mean requests that fit into the budget. Arrivals are random: m expected ones can
+        // become m + z √m.
         let mean_work = all / self.works.len() as f64;
         let fit = budget * self.rules.fall_time.as_secs_f64() / mean_work.max(1e-6);
-        let mean = ((CHANCE * CHANCE / 4.0 + fit).sqrt() - CHANCE / 2.0).powi(2);
-        // Only light ones go there, which bring less.
-        let light = self.works.partition_point(|w| light(w.0, self.aim, warmth));
-        let brought = light.checked_sub(1).map_or(0.0, |k| self.works[k].1) / all.max(1e-9);
-        budget * (mean / fit.max(1e-9)).min(COLD_PART) / self.load / brought.max(LEAST_BROUGHT)
+        let mean =
+            ((ARRIVAL_DEVIATIONS * ARRIVAL_DEVIATIONS / 4.0 + fit).sqrt() - ARRIVAL_DEVIATIONS / 2.0).powi(2);
+        // Only light requests are sent there, which bring less work.
+        let light_count = self.works.partition_point(|w| light(w.0, self.aim, warmth));
+        let work_fraction = light_count.checked_sub(1).map_or(0.0, |k| self.works[k].1) / all.max(1e-9);
+        budget * (mean / fit.max(1e-9)).min(BUDGET_FRACTION) / self.load / work_fraction.max(MIN_LIGHT_WORK)
     }
 }
 
-/// Whether one request with this much work, in seconds, could spend a server's whole budget by itself.
+/// Whether one request with this work, in seconds, would use up too much of a cold server's budget.
 pub(crate) fn too_heavy(rules: &Rules, warmth: f64, work: f64) -> bool {
-    warmth < 1.0 && work >= HEAVY_PART * rules.fall_multiple * rules.fall_time.as_secs_f64() * warmth
+    warmth < 1.0 && work >= HEAVY_FRACTION * rules.fall_multiple * rules.fall_time.as_secs_f64() * warmth
 }
 
 #[cfg(test)]
--- a/src/policy/estimate/distribution.rs
+++ b/src/policy/estimate/distribution.rs
@@ -1,35 +1,35 @@
-//! Distributions of a worth from 0 to 1, on a grid, and the expected best of several.
+//! Discretized distributions of a value from 0 to 1, and the expected maximum of several.
 
-/// Steps of worth that are told apart.
+/// Number of grid steps.
 const GRID: usize = 32;
 
-/// The chance of at most each step.
+/// Cumulative probabilities at the grid steps.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Prospect([f64; GRID]);
+pub(crate) struct WorthDistribution([f64; GRID]);
 
-impl Prospect {
-    /// Of worths with their chances, which sum up to 1.
+impl WorthDistribution {
+    /// From pairs of value and probability. The probabilities must add up to 1.
     pub(crate) fn new(chances: impl Iterator<Item = (f64, f64)>) -> Self {
         let mut below = [0.0; GRID];
         chances.for_each(|(worth, chance)| below[step(worth).min(GRID - 1)] += chance);
         (1..GRID).for_each(|k| below[k] += below[k - 1]);
-        Prospect(below)
+        WorthDistribution(below)
     }
 
-    /// Of the best of none.
+    /// The maximum of an empty set.
     pub(crate) fn none() -> Self {
-        Prospect([1.0; GRID])
+        WorthDistribution([1.0; GRID])
     }
 
-    /// Of the best of two that know nothing of each other.
-    pub(crate) fn or(&self, other: &Prospect) -> Self {
-        Prospect(std::array::from_fn(|k| self.0[k] * other.0[k]))
+    /// The maximum of two independent values.
+    pub(crate) fn max(&self, other: &WorthDistribution) -> Self {
+        WorthDistribution(std::array::from_fn(|k| self.0[k] * other.0[k]))
     }
 
-    /// The expected better of this and of what is sure.
-    pub(crate) fn expected(&self, sure: f64) -> f64 {
-        let sure = step(sure);
-        let above = |(k, below): (usize, &f64)| if k < sure { 1.0 } else { 1.0 - below };
+    /// The expected maximum of this value and a known one.
+    pub(crate) fn expected(&self, certain: f64) -> f64 {
+        let certain = step(certain);
+        let above = |(k, below): (usize, &f64)| if k < certain { 1.0 } else { 1.0 - below };
         self.0.iter().enumerate().map(above).sum::<f64>() / GRID as f64
     }
 }
--- a/src/policy/tests/cold.rs
+++ b/src/policy/tests/cold.rs
@@ -1,21 +1,21 @@
-//! Servers that have just started, among many nodes.
+//! Recently started servers in a fleet of many nodes.
 
 use super::super::attempts;
 use super::super::helpers::*;
-use super::{light, too_heavy, Budget};
+use super::{light, too_heavy, ColdBudget};
 use crate::interface::*;
 use crate::state::Balancer;
 use std::collections::VecDeque;
 
-/// Many nodes together: a cold server's intake stays far inside its budget from its first second on.
+/// The requests that many nodes send to a cold server stay well within its budget from the first second.
 #[test]
-fn cold_servers_are_not_rushed() {
+fn cold_servers_stay_within_their_budget() {
     let (nodes, servers, rate) = (40u64, 20u32, 2.0);
     let rules = settings().rules;
     let started = at(1000);
     let mut all: Vec<Balancer> = (0..nodes)
         .map(|n| {
-            Balancer::new(Settings { nodes: nodes as u32, ..settings() }, n, at(0)).expect("sound settings")
+            Balancer::new(Settings { nodes: nodes as u32, ..settings() }, n, at(0)).expect("valid settings")
         })
         .collect();
     for b in &mut all {
@@ -23,7 +23,8 @@
         let entries = vec![entry(0, ServerState::Ready, Some(started))];
         b.handle(started, Event::List { kind: ListKind::Changes, entries }, &mut vec![]);
     }
-    // Each node sends once every 1/rate of 50 ms; warm peers take total / servers a second.
+    // Each node sends one request per 10 ms; a warm server receives the total divided by the number of
+    // servers.
     let (mut id, mut cold) = (0, vec![]);
     for tick in 0..400u64 {
         let now = at(1000 + tick * 10);
@@ -40,12 +41,12 @@
         let warmth = rules.cold_from + (1.0 - rules.cold_from) * from as f64 / 20_000.0;
         assert!(window < 0.75 * rules.fall_multiple * warmth * peer, "{window} at {from}");
     }
-    assert!(!cold.is_empty(), "it must get work to warm up");
+    assert!(!cold.is_empty(), "a cold server must get some requests");
 }
 
-/// What tried or closed servers leave goes to warm ones: a cold server's chance does not grow.
+/// The shares of tried or excluded servers pass to warm servers and do not raise a cold server's chance.
 #[test]
-fn cold_servers_do_not_take_what_others_leave() {
+fn cold_servers_do_not_take_shares_of_excluded_servers() {
     let mut b = balancer(4);
     let entries = vec![entry(0, ServerState::Ready, Some(at(900)))];
     b.handle(at(1000), Event::List { kind: ListKind::Changes, entries }, &mut vec![]);
@@ -69,7 +70,7 @@
     assert!((f64::from(counts[0]) / 20_000.0 - share).abs() < 0.005, "{counts:?} for {share}");
 }
 
-/// A request that alone would spend a good part of a cold server's budget waits for a warmer one; warm ones take any.
+/// A request that would use up much of a cold server's budget goes to a warmer one; warm servers take any.
 #[test]
 fn heavy_requests_do_not_go_to_cold_servers() {
     let rules = settings().rules;
@@ -79,27 +80,34 @@
     assert!(!too_heavy(&rules, 1.0, 100.0 * budget));
 }
 
-/// What all nodes bring together stays far inside the budget, also by chance: so much the less of it where few requests fill
-/// it. Light requests bring less, and more of them may come; what can't be in time there does not go.
+/// The work of all nodes together stays within the budget despite random variation: the fewer requests fill
+/// it, the larger the margin. Light requests bring less work, so more of them are allowed; requests that
+/// cannot be in time are not sent.
 #[test]
-fn the_budget_of_a_cold_server_is_kept_with_room_for_chance() {
+fn cold_budget_includes_random_variation() {
     let rules = settings().rules;
     let (aim, works) = (0.4, |w: f64| VecDeque::from(vec![w; 16]));
-    let brought = |warmth: f64, work: f64, load: f64| {
-        let most = Budget::new(&rules, load, &works(work), aim).most(warmth);
-        // Of all of its mean share, at this load, in capacities over the time that counts; the budget is 1.
-        let light = if light(work, aim, warmth) { 1.0 } else { 0.1 };
-        most * load * light / (rules.fall_multiple * warmth)
+    let work_fraction = |warmth: f64, work: f64, load: f64| {
+        let most = ColdBudget::new(&rules, load, &works(work), aim).max_share(warmth);
+        // Fraction of the budget used at this share and load.
+        let light_count = if light(work, aim, warmth) { 1.0 } else { 0.1 };
+        most * load * light_count / (rules.fall_multiple * warmth)
     };
     for warmth in [0.13, 0.3, 0.6, 0.99] {
         for work in [0.001, 0.01, 0.1, 0.3] {
-            let part = brought(warmth, work, 0.9);
+            let part = work_fraction(warmth, work, 0.9);
             assert!(part > 0.0 && part < 0.51, "{part} of the budget at {warmth}, {work}");
         }
-        assert!(brought(warmth, 0.1, 0.9) < brought(warmth, 0.01, 0.9) + 1e-9, "few fill it");
-        assert!(brought(warmth, 0.01, 0.1) <= 0.51, "what reports miss is not counted on");
+        assert!(
+            work_fraction(warmth, 0.1, 0.9) < work_fraction(warmth, 0.01, 0.9) + 1e-9,
+            "few requests need a larger margin"
+        );
+        assert!(work_fraction(warmth, 0.01, 0.1) <= 0.51, "unreported load must be allowed for");
     }
-    assert!(Budget::new(&rules, 0.9, &VecDeque::new(), aim).most(0.2) > 0.0, "without hints too");
-    assert!(Budget::new(&rules, 0.9, &works(0.1), aim).most(1.0).is_infinite());
+    assert!(
+        ColdBudget::new(&rules, 0.9, &VecDeque::new(), aim).max_share(0.2) > 0.0,
+        "must also work without hints"
+    );
+    assert!(ColdBudget::new(&rules, 0.9, &works(0.1), aim).max_share(1.0).is_infinite());
     assert!(light(0.3, aim, 1.0) && !light(0.3, aim, 0.5) && light(0.01, aim, 0.1));
 }
--- a/src/policy/tests/helpers.rs
+++ b/src/policy/tests/helpers.rs
@@ -1,4 +1,4 @@
-//! What the rooms' tests share: settings, events, and balancers to try.
+//! Helpers shared by the tests of this module: settings, events, and balancers.
 
 #[path = "../../../tests/common/mod.rs"]
 mod common;
@@ -7,14 +7,14 @@
 use crate::state::Balancer;
 pub(crate) use common::{arrival, at, bound, ended, entry, list, ms, report, settings};
 
-/// The share of a server in a class.
+/// The share of a server for a class.
 pub(crate) fn share(b: &Balancer, class: usize, server: u32) -> f64 {
     let k = b.ready.iter().position(|&i| b.servers[i].id == ServerId(server)).expect("ready");
     b.markets[class].shares[k]
 }
 
 pub(crate) fn balancer(servers: u32) -> Balancer {
-    let mut b = Balancer::new(settings(), 7, at(0)).expect("sound settings");
+    let mut b = Balancer::new(settings(), 7, at(0)).expect("valid settings");
     b.handle(at(0), list(servers), &mut vec![]);
     b
 }
@@ -29,10 +29,10 @@
     })
 }
 
-/// Reports of load and requests held, but of no rate: the node cannot measure capacity.
-pub(crate) fn blind() -> Balancer {
+/// A balancer whose reports carry utilization but no rate, so that it cannot measure capacity.
+pub(crate) fn capacity_unknown() -> Balancer {
     let settings = Settings { reports_rate: false, ..settings() };
-    let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
+    let mut b = Balancer::new(settings, 7, at(0)).expect("valid settings");
     b.handle(at(0), list(40), &mut vec![]);
     b
 }
--- a/src/policy/tests/probes.rs
+++ b/src/policy/tests/probes.rs
@@ -1,4 +1,4 @@
-//! What is asked, and what the answers make of it.
+//! Which servers are probed, and how the answers are used.
 
 use super::super::helpers::*;
 use super::*;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 #[test]
-fn probed_choice_takes_the_idlest_and_refuses_the_hopeless() {
+fn chooses_the_least_loaded_candidate_and_refuses_infeasible_requests() {
     let probing = Settings { reports: Reports::ByProbe, reports_rate: false, may_probe: true, ..settings() };
     let probed = |held: &dyn Fn(usize) -> f64| {
-        let mut b = Balancer::new(probing.clone(), 5, at(0)).expect("sound settings");
+        let mut b = Balancer::new(probing.clone(), 5, at(0)).expect("valid settings");
         let mut actions = vec![];
         b.handle(at(0), list(8), &mut actions);
         let work = Some(ms(100));
@@ -23,7 +23,7 @@
             .iter()
             .filter_map(|a| if let Action::Probe { server } = a { Some(*server) } else { None })
             .collect();
-        assert_eq!(asked.len(), PROBES);
+        assert_eq!(asked.len(), MAX_PROBES);
         actions.clear();
         for (k, server) in asked.iter().enumerate() {
             let report = Some(LoadReport { held: Some(held(k)), ..report(0.5, 0.0) });
@@ -38,12 +38,12 @@
     assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
 }
 
-/// Only servers are left whose probes are not answered yet: one of them is sent to. Of one whose probe has failed that is not so.
+/// If only servers with pending probes are left, one of them is used; a server whose probe failed is not.
 #[test]
-fn a_late_probe_alone_refuses_nothing() {
+fn pending_probes_do_not_cause_refusals() {
     let probing = Settings { reports: Reports::ByProbe, reports_rate: false, may_probe: true, ..settings() };
     let decided = |ended: Option<Outcome>| {
-        let mut b = Balancer::new(probing.clone(), 5, at(0)).expect("sound settings");
+        let mut b = Balancer::new(probing.clone(), 5, at(0)).expect("valid settings");
         let mut actions = vec![];
         b.handle(at(0), list(1), &mut actions);
         let (request, class, tenant) = (RequestId(1), ClassId(1), TenantId(0));
@@ -61,7 +61,7 @@
             b.handle(at(2), Event::ProbeEnded(p), &mut actions);
         }
         if actions.is_empty() {
-            let (due, timer) = timer.expect("answers are waited for");
+            let (due, timer) = timer.expect("a timer is set");
             b.handle(due, Event::Timer { timer }, &mut actions);
         }
         actions
@@ -72,10 +72,10 @@
     assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
 }
 
-/// Whether a request gets a server, of three that all hold so many and report this load.
+/// Whether a request is sent if three servers all hold `held` requests and report this utilization.
 fn decided(work: Duration, held: f64, busy: f64) -> bool {
     let probing = Settings { reports: Reports::ByProbe, reports_rate: false, may_probe: true, ..settings() };
-    let mut b = Balancer::new(probing, 5, at(0)).expect("sound settings");
+    let mut b = Balancer::new(probing, 5, at(0)).expect("valid settings");
     let mut actions = vec![];
     b.handle(at(0), list(3), &mut actions);
     (b.mean_work, b.mean_load) = (0.04, busy);
@@ -92,26 +92,24 @@
     actions.iter().any(|a| matches!(a, Action::Send { .. }))
 }
 
-/// An estimated wait is an average, and what is late by a little is worth nothing and still takes its room. Where servers
-/// are full only what surely makes it is let in; where they stand idle anything that may.
+/// An estimated wait is only a mean, and a request that is slightly late is worth nothing but still takes
+/// capacity. When servers are full, only requests that will surely be in time are admitted; when they are
+/// idle, any that may be.
 #[test]
-fn what_is_late_is_let_in_only_where_there_is_room() {
+fn late_requests_are_admitted_only_with_spare_capacity() {
     let aim = settings().classes[1].aim;
     assert!(decided(aim.mul_f64(0.5), 1.0, 0.3));
-    assert!(
-        decided(aim.mul_f64(1.1), 0.0, 0.3),
-        "its hint may be too high, and nobody else wants the server"
-    );
-    assert!(!decided(aim.mul_f64(3.0), 0.0, 0.3), "what can't be in time is not tried");
+    assert!(decided(aim.mul_f64(1.1), 0.0, 0.3), "the hint may be too high, and the server is idle");
+    assert!(!decided(aim.mul_f64(3.0), 0.0, 0.3), "infeasible requests must be refused");
     assert!(!decided(aim.mul_f64(0.5), 12.0, 0.3));
 }
 
-/// A probe costs the server and the node, and is no use where its answer is known. What the node itself has sent since is
-/// not in that answer and must be counted in, or all requests of a moment go to one server.
+/// A probe costs server and node, and is useless while the answer is known. The node's own sends since then
+/// must be added, or all requests of one moment go to the same server.
 #[test]
-fn what_was_just_heard_is_not_asked_again() {
+fn fresh_loads_are_not_probed_again() {
     let probing = Settings { reports: Reports::ByProbe, reports_rate: false, may_probe: true, ..settings() };
-    let mut b = Balancer::new(probing, 5, at(0)).expect("sound settings");
+    let mut b = Balancer::new(probing, 5, at(0)).expect("valid settings");
     let mut actions = vec![];
     b.handle(at(0), list(3), &mut actions);
     let arrive = |b: &mut Balancer, now, id| {
@@ -124,7 +122,7 @@
     };
     let probes = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
     assert_eq!(probes(&arrive(&mut b, at(1), 1)), 3);
-    assert_eq!(probes(&arrive(&mut b, at(1), 2)), 0, "asked already");
+    assert_eq!(probes(&arrive(&mut b, at(1), 2)), 0, "already probed");
     actions.clear();
     for server in 0..3 {
         let report = Some(LoadReport { held: Some(0.0), ..report(0.1, 0.0) });
@@ -136,23 +134,23 @@
     let mut sent: Vec<_> = actions.iter().filter_map(sent).collect();
     sent.sort();
     assert_eq!(sent, [ServerId(0), ServerId(1), ServerId(2)], "{actions:?}");
-    assert_eq!(probes(&arrive(&mut b, at(3000), 4)), 3, "heard too long ago");
+    assert_eq!(probes(&arrive(&mut b, at(3000), 4)), 3, "the load is outdated");
 }
 
-/// A balancer that is told loads only by probes, at this price, with so many servers.
-fn priced(probe: f64, servers: u32) -> Balancer {
+/// A balancer that learns loads only from probes at this price, with `servers` servers.
+fn balancer_with_probe_price(probe: f64, servers: u32) -> Balancer {
     let prices = Prices { probe, handshake: 0.0 };
     let settings =
         Settings { reports: Reports::ByProbe, reports_rate: false, may_probe: true, prices, ..settings() };
-    let mut b = Balancer::new(settings, 5, at(0)).expect("sound settings");
+    let mut b = Balancer::new(settings, 5, at(0)).expect("valid settings");
     b.handle(at(0), list(servers), &mut vec![]);
     b.mean_work = 0.1;
     b
 }
 
-/// Plays requests that find servers with this many held, and returns probes for each.
-fn bought(probe: f64, held: impl Fn(u32, u64) -> f64) -> f64 {
-    let mut b = priced(probe, 20);
+/// Runs 200 requests against servers with these loads and returns the number of probes per request.
+fn probes_per_request(probe: f64, held: impl Fn(u32, u64) -> f64) -> f64 {
+    let mut b = balancer_with_probe_price(probe, 20);
     let (mut probes, mut sent, mut refused) = (0, 0, 0);
     for id in 0..200 {
         let now = at(1 + 2000 * id);
@@ -177,7 +175,7 @@
                     let Event::AttemptEnded(end) = ended(id, 0, server, Outcome::Served, None) else {
                         continue;
                     };
-                    // Whoever waits behind others is answered later.
+                    // The latency grows with the requests ahead.
                     let latency = ms(100 + 100 * held(server.0, id) as u64);
                     b.handle(now + latency, Event::AttemptEnded(AttemptEnded { latency, ..end }), &mut todo);
                 }
@@ -186,76 +184,81 @@
             }
         }
     }
-    assert_eq!(sent + refused, 200, "every request is answered at a price of {probe}");
-    // Unasked, two of three servers could not be in time.
+    assert_eq!(sent + refused, 200, "every request must be answered at a price of {probe}");
+    // Without probes, two of three servers could not answer in time.
     assert!(sent > 110, "{sent} sent at a price of {probe}");
     f64::from(probes) / 200.0
 }
 
-/// Five probes a request, whatever they cost, took two fifths of all that a fleet was worth.
+/// Five probes per request regardless of their cost used up two fifths of a fleet's total worth.
 #[test]
-fn the_dearer_a_probe_the_fewer_are_sent_and_none_must_do() {
+fn fewer_probes_are_sent_at_higher_prices() {
     let busy = |server, id| if (7 * u64::from(server) + 5 * id) % 3 == 0 { 0.0 } else { 7.0 };
-    let bought: Vec<f64> = [0.0, 0.002, 0.08, 0.3, 10.0].iter().map(|p| bought(*p, busy)).collect();
-    assert!(bought[0] > 4.0, "{bought:?}");
-    assert!(bought.windows(2).all(|w| w[1] <= w[0]), "{bought:?}");
-    assert!(bought[2] < 0.8 * bought[0] && bought[2] > 0.0, "{bought:?}");
-    assert_eq!(bought[4], 0.0);
+    let probes_per_request: Vec<f64> =
+        [0.0, 0.002, 0.08, 0.3, 10.0].iter().map(|p| probes_per_request(*p, busy)).collect();
+    assert!(probes_per_request[0] > 4.0, "{probes_per_request:?}");
+    assert!(probes_per_request.windows(2).all(|w| w[1] <= w[0]), "{probes_per_request:?}");
+    assert!(
+        probes_per_request[2] < 0.8 * probes_per_request[0] && probes_per_request[2] > 0.0,
+        "{probes_per_request:?}"
+    );
+    assert_eq!(probes_per_request[4], 0.0);
 }
 
-/// What pays for a probe is the request's own worth.
+/// Whether a probe pays off depends on the request's worth.
 #[test]
-fn a_request_of_more_worth_buys_more() {
-    let b = priced(0.08, 20);
-    let asked: Vec<_> = (0..5).map(|k| (ServerId(k), Asked::Not)).collect();
-    let (class, arrived, ends) = (ClassId(1), at(0), at(900));
+fn requests_of_higher_worth_send_more_probes() {
+    let b = balancer_with_probe_price(0.08, 20);
+    let candidates: Vec<_> = (0..5).map(|k| (ServerId(k), ProbeState::NotSent)).collect();
+    let (class, arrived, deadline) = (ClassId(1), at(0), at(900));
     let buys = |worth| {
-        let (asked, attempts, work) = (asked.clone(), vec![], Some(0.1));
+        let (candidates, attempts, work) = (candidates.clone(), vec![], Some(0.1));
         let r = Request {
             class,
             arrived,
-            ends,
+            deadline,
             work,
-            open: true,
-            begun: false,
+            answer_due: true,
+            response_started: false,
             body_complete: true,
             attempts,
             worth,
             why: Refusal::NoServer,
-            asked,
+            candidates,
         };
-        worth_asking(&b, at(1), &r).len()
+        select_probes(&b, at(1), &r).len()
     };
     assert_eq!(buys(0.1), 0);
     assert!(buys(10.0) > buys(1.0), "{} and {}", buys(10.0), buys(1.0));
 }
 
-/// In a release nodes took servers that had just started, of which nothing was known, for as crowded as the rest of
-/// the fleet: nobody asked them and nobody sent there, while a fifth of the requests was refused.
+/// The unknown load of a server is estimated from similar servers. During a release nodes assumed that
+/// servers that had just started were as busy as the rest of the fleet: nobody used them, while a fifth of
+/// the requests was refused.
 #[test]
-fn what_is_unknown_is_judged_by_its_like() {
-    let mut b = priced(0.08, 6);
+fn unknown_loads_are_estimated_from_similar_servers() {
+    let mut b = balancer_with_probe_price(0.08, 6);
     let started = at(0);
     let cold = entry(6, ServerState::Ready, Some(started));
     b.handle(at(1), Event::List { kind: ListKind::Changes, entries: vec![cold] }, &mut vec![]);
-    (0..400).for_each(|_| b.loads[0].heard(4.0, None));
-    let asked = vec![(ServerId(0), Asked::Not), (ServerId(6), Asked::Not)];
-    let (class, arrived, ends) = (ClassId(1), at(0), at(900));
+    (0..400).for_each(|_| b.loads[0].observe(4.0, None));
+    let candidates = vec![(ServerId(0), ProbeState::NotSent), (ServerId(6), ProbeState::NotSent)];
+    let (class, arrived, deadline) = (ClassId(1), at(0), at(900));
     let (attempts, work) = (vec![], Some(0.02));
-    let (open, begun, body_complete) = (true, false, true);
+    let (answer_due, response_started, body_complete) = (true, false, true);
     let r = Request {
         class,
         arrived,
-        ends,
+        deadline,
         work,
-        open,
-        begun,
+        answer_due,
+        response_started,
         body_complete,
         attempts,
         worth: 1.0,
         why: Refusal::NoServer,
-        asked,
+        candidates,
     };
-    let found = candidates(&b, at(2), &r);
+    let found = evaluate_candidates(&b, at(2), &r);
     assert!(found[1].mean > found[0].mean, "{} and {}", found[1].mean, found[0].mean);
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,41 +1,42 @@
-//! What the decision module remembers: plain data, no decisions.
+//! State of the balancer and its bookkeeping. It makes no decisions.
 
 use crate::interface::*;
-use crate::policy::Loads;
+use crate::policy::LoadHistory;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-const COUNTED: f64 = 0.96; // what a report of requests in work still counts for once the next has come
+/// Factor by which the next report lowers the weight of earlier counts of running requests.
+const COUNT_DECAY: f64 = 0.96;
 
-/// Uniform in [0, 1).
+/// A uniformly distributed number in [0, 1).
 pub(crate) fn uniform(rng: &mut Xoshiro256PlusPlus) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A rate that forgets with time.
+/// An exponentially decaying rate.
 pub(crate) struct Rate {
     count: f64,
-    began: Time,
+    started_at: Time,
     at: Time,
     window: f64,
 }
 
 impl Rate {
     pub(crate) fn new(now: Time, window: f64) -> Self {
-        Rate { count: 0.0, began: now, at: now, window }
+        Rate { count: 0.0, started_at: now, at: now, window }
     }
 
-    /// The same for a rate that is still young.
-    pub(crate) fn young(&mut self, now: Time) -> f64 {
+    /// The rate per second, corrected for a window that has not filled up yet.
+    pub(crate) fn corrected(&mut self, now: Time) -> f64 {
         let rate = self.add(now, 0.0);
-        let seen = (now - self.began).as_secs_f64().max(1.0) / self.window;
+        let seen = (now - self.started_at).as_secs_f64().max(1.0) / self.window;
         rate / (1.0 - (-seen).exp())
     }
 
-    /// Counts `amount` and returns the rate a second.
+    /// Counts `amount` and returns the rate per second.
     pub(crate) fn add(&mut self, now: Time, amount: f64) -> f64 {
         self.count = self.count * (-(now - self.at).as_secs_f64() / self.window).exp() + amount;
         self.at = now;
@@ -43,95 +44,101 @@
     }
 }
 
-/// How often attempts came to nothing of late, and when that was learnt.
+/// Exponentially decaying counts of attempts that were rejected or failed.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Trust {
-    /// Attempts, each for less the longer ago it ended.
+pub(crate) struct OutcomeHistory {
+    /// Attempts, weighted by age.
     pub count: f64,
-    /// Of these, turned away unseen.
-    pub turned: f64,
-    /// Of these, failed otherwise.
+    /// Attempts rejected without having run, weighted by age.
+    pub rejected: f64,
+    /// Attempts that failed otherwise, weighted by age.
     pub failed: f64,
     pub at: Time,
 }
 
-impl Trust {
-    /// What is left of it now, where it fades in so many seconds.
-    pub(crate) fn faded(self, now: Time, time: f64) -> Self {
-        let left = fade(now, self.at, time);
-        Trust { count: self.count * left, turned: self.turned * left, failed: self.failed * left, at: now }
+impl OutcomeHistory {
+    /// The counts as of `now`, decayed with time constant `time` in seconds.
+    pub(crate) fn decayed(self, now: Time, time: f64) -> Self {
+        let left = decay_factor(now, self.at, time);
+        OutcomeHistory {
+            count: self.count * left,
+            rejected: self.rejected * left,
+            failed: self.failed * left,
+            at: now,
+        }
     }
 
-    /// With one attempt more.
-    pub(crate) fn with(self, turned: f64, failed: f64) -> Self {
-        let (turned, failed) = (self.turned + turned, self.failed + failed);
-        Trust { count: self.count + 1.0, turned, failed, ..self }
+    /// Adds one attempt.
+    pub(crate) fn with(self, rejected: f64, failed: f64) -> Self {
+        let (rejected, failed) = (self.rejected + rejected, self.failed + failed);
+        OutcomeHistory { count: self.count + 1.0, rejected, failed, ..self }
     }
 }
 
-/// What is left after a while of what was learnt then, as a part.
-pub(crate) fn fade(now: Time, then: Time, time: f64) -> f64 {
+/// The factor by which a value decays from `then` to `now`, with time constant `time` in seconds.
+pub(crate) fn decay_factor(now: Time, then: Time, time: f64) -> f64 {
     (-(now - then).as_secs_f64() / time).exp()
 }
 
 pub(crate) struct Server {
     pub id: ServerId,
-    /// Place on the ring of servers, the same at every node.
-    pub rank: u64,
+    /// Position on the ring of servers, the same at every node.
+    pub ring_hash: u64,
     pub zone: ZoneId,
     pub kind: KindId,
     pub cell: CellId,
     pub state: ServerState,
-    /// Its weight in the list, smoothed.
+    /// Smoothed listed weight.
     pub weight: f64,
-    /// The same as it was last listed.
-    pub listed: f64,
+    /// Weight in the latest list.
+    pub listed_weight: f64,
     /// When it was first listed.
-    pub since: Time,
+    pub first_listed: Time,
     pub started: Option<Time>,
-    /// Price over the number of ready servers.
+    /// Its price divided by the number of ready servers.
     pub price: f64,
-    /// Prices are stepped up to here.
-    pub stepped: Time,
-    /// Load by the latest report.
+    /// Time up to which price steps have been applied.
+    pub price_updated: Time,
+    /// Load according to the latest report.
     pub load: Option<f64>,
-    /// When that report came.
-    pub reported: Time,
-    /// Requests a second by that report.
+    /// When that report arrived.
+    pub reported_at: Time,
+    /// Requests per second according to that report.
     pub rate: f64,
-    /// Requests that it works on at once, as far as its reports tell; 0: they have not.
+    /// Concurrency inferred from its reports; 0 while unknown.
     pub slots: f64,
-    /// Sums of its reports' requests in work and rates, each counting for less the more have come since.
-    pub worked: (f64, f64),
-    /// Smoothed capacity in requests a second, or inverse latency where no rates are reported.
+    /// Decaying sums of the running requests and of the rates in its reports.
+    pub load_sums: (f64, f64),
+    /// Smoothed capacity in requests per second, or inverse latency if rates are not reported.
     pub speed: f64,
-    /// Samples that `speed` rests on.
-    pub evidence: f64,
-    /// When the last of them came.
-    pub answered: Time,
-    /// Part of this node's sends that went there of late, up to a factor.
-    pub share: f64,
+    /// Effective number of samples in `speed`.
+    pub samples: f64,
+    /// When `speed` was last updated.
+    pub speed_updated: Time,
+    /// Recent part of this node's sends that went to this server, up to a constant factor.
+    pub recent_share: f64,
     /// When this node last had a connection to it.
-    pub connected: Option<Time>,
-    /// When anything last came back from it.
-    pub word: Time,
-    /// Send times of the attempts that are out.
-    pub out: Vec<Time>,
-    /// Requests held by the latest answer to a probe, with what this node has sent and got back since.
+    pub last_connected: Option<Time>,
+    /// When the server last responded.
+    pub last_response: Time,
+    /// Send times of the attempts in flight.
+    pub in_flight: Vec<Time>,
+    /// Requests in the server: the latest known number, plus this node's sends and minus its answers since
+    /// then.
     pub held: Option<f64>,
-    /// When that answer came.
-    pub heard: Time,
-    /// When the probe that is out was sent.
-    pub probing: Option<Time>,
-    /// The most of a mean share that the fleet lets it have; 1: as much as it gets.
-    pub open: f64,
-    /// What its weight is multiplied by, as the fleet's tails have it, and how far that counts.
-    pub tuned: f64,
-    pub sure: f64,
-    /// How attempts there ended.
-    pub met: Trust,
-    /// Seconds by which answers took longer than its reports let expect.
-    pub surprise: f64,
+    /// Time to which that number applies.
+    pub held_at: Time,
+    /// When the probe in flight was sent.
+    pub probe_sent_at: Option<Time>,
+    /// Upper bound on its share relative to the mean share, from [`ServerAdjustment`]; 1: no bound.
+    pub share_limit: f64,
+    /// Weight correction from [`ServerAdjustment`], and the exponent that limits its effect.
+    pub weight_factor: f64,
+    pub weight_confidence: f64,
+    /// How attempts at this server ended.
+    pub outcomes: OutcomeHistory,
+    /// Seconds by which answers exceeded the latency expected from its reports.
+    pub excess_latency: f64,
 }
 
 impl Server {
@@ -139,102 +146,107 @@
         let weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
         Server {
             id: entry.server,
-            rank: Xoshiro256PlusPlus::seed_from_u64(entry.name).next_u64(),
+            ring_hash: Xoshiro256PlusPlus::seed_from_u64(entry.name).next_u64(),
             zone: entry.zone,
             kind: entry.kind,
             cell: entry.cell,
             state: entry.state,
             weight,
-            listed: weight,
-            since: now,
+            listed_weight: weight,
+            first_listed: now,
             started: entry.started,
             price,
-            stepped: now,
+            price_updated: now,
             load: None,
-            reported: now,
+            reported_at: now,
             rate: 0.0,
             slots: 0.0,
-            worked: (0.0, 0.0),
+            load_sums: (0.0, 0.0),
             speed: 0.0,
-            evidence: 0.0,
-            answered: now,
-            share: 0.0,
-            connected: None,
-            word: now,
-            out: Vec::new(),
+            samples: 0.0,
+            speed_updated: now,
+            recent_share: 0.0,
+            last_connected: None,
+            last_response: now,
+            in_flight: Vec::new(),
             held: None,
-            heard: now,
-            probing: None,
-            open: 1.0,
-            tuned: 1.0,
-            sure: 0.0,
-            met: Trust::default(),
-            surprise: 0.0,
+            held_at: now,
+            probe_sent_at: None,
+            share_limit: 1.0,
+            weight_factor: 1.0,
+            weight_confidence: 0.0,
+            outcomes: OutcomeHistory::default(),
+            excess_latency: 0.0,
         }
     }
 
-    /// Part of its capacity that it surely has by now.
+    /// Lower bound on the fraction of its capacity that it has by now.
     pub(crate) fn warmth(&self, rules: &Rules, now: Time) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = (now - started).as_secs_f64() / rules.warm_up.as_secs_f64().max(1e-9);
         (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
     }
 
-    /// Whether a class may ever go there: its placement, by zone and kind.
+    /// Whether the class's placement, by zone and kind, allows this server.
     pub(crate) fn may_serve(&self, class: &Class) -> bool {
         class.zones.as_ref().is_none_or(|open| open.contains(&self.zone))
             && class.kinds.as_ref().is_none_or(|open| open.contains(&self.kind))
     }
 
-    /// Whether a connection is surely open still.
+    /// Whether a connection is certainly still open.
     pub(crate) fn connected(&self, now: Time, idle: Duration) -> bool {
-        self.connected.is_some_and(|at| now < at + idle)
+        self.last_connected.is_some_and(|at| now < at + idle)
     }
 
-    /// Whether something has been out there for longer than this, and nothing at all came back since it was sent.
-    pub(crate) fn silent(&self, now: Time, patience: Duration) -> bool {
-        self.out.iter().find(|sent| **sent >= self.word).is_some_and(|sent| now > *sent + patience)
+    /// Whether an attempt has been in flight longer than `limit` without any response from the server
+    /// since.
+    pub(crate) fn unresponsive(&self, now: Time, limit: Duration) -> bool {
+        self.in_flight
+            .iter()
+            .find(|sent| **sent >= self.last_response)
+            .is_some_and(|sent| now > *sent + limit)
     }
 
-    /// The busy part by a report of so many in work and so many waiting. Where any wait all slots are in use, and
-    /// before any have there is room for one more. A rate is smoother than a count: what it makes busy is that
-    /// rate by the mean time in work (Little's law).
-    pub(crate) fn count(&mut self, at_work: f64, waiting: f64, rate: Option<f64>) -> f64 {
+    /// Utilization according to counts of running and waiting requests. While requests wait, all slots are in
+    /// use; before any have waited, one more slot than the running requests is assumed. Rates are smoother
+    /// than counts: utilization is the rate times the mean time in service (Little's law), divided by the
+    /// slots.
+    pub(crate) fn busy_from_counts(&mut self, running: f64, waiting: f64, rate: Option<f64>) -> f64 {
         self.slots = match waiting >= 1.0 {
-            true if self.slots > 0.0 => self.slots + (at_work - self.slots) / 4.0,
-            true => at_work,
-            false if self.slots == 0.0 => at_work + 1.0,
-            false => self.slots.max(at_work),
+            true if self.slots > 0.0 => self.slots + (running - self.slots) / 4.0,
+            true => running,
+            false if self.slots == 0.0 => running + 1.0,
+            false => self.slots.max(running),
         };
         self.slots = self.slots.max(1.0);
-        let Some(rate) = rate else { return at_work / self.slots };
-        self.worked = (self.worked.0 * COUNTED + at_work, self.worked.1 * COUNTED + rate);
-        (rate * self.worked.0 / self.worked.1.max(1e-9) / self.slots).min(1.0)
+        let Some(rate) = rate else { return running / self.slots };
+        self.load_sums = (self.load_sums.0 * COUNT_DECAY + running, self.load_sums.1 * COUNT_DECAY + rate);
+        (rate * self.load_sums.0 / self.load_sums.1.max(1e-9) / self.slots).min(1.0)
     }
 
-    pub(crate) fn learn(&mut self, now: Time, sample: f64, memory: f64) {
-        self.evidence = (self.evidence + 1.0).min(memory);
-        self.speed += (sample - self.speed) / self.evidence;
-        self.answered = now;
+    pub(crate) fn learn_speed(&mut self, now: Time, sample: f64, memory: f64) {
+        self.samples = (self.samples + 1.0).min(memory);
+        self.speed += (sample - self.speed) / self.samples;
+        self.speed_updated = now;
     }
 }
 
-/// Mean requests held and busy part of servers that are not saturated.
+/// Mean number of requests and mean utilization of servers that are not saturated.
 #[derive(Default)]
-pub(crate) struct UsualHeld {
+pub(crate) struct UnsaturatedLoad {
     held: f64,
     busy: f64,
 }
 
-impl UsualHeld {
-    pub(crate) fn learn(&mut self, usual: bool, held: f64, busy: f64) {
-        if usual {
+impl UnsaturatedLoad {
+    pub(crate) fn learn(&mut self, unsaturated: bool, held: f64, busy: f64) {
+        if unsaturated {
             self.held += (held - self.held) / 64.0;
             self.busy += (busy - self.busy) / 64.0;
         }
     }
 
-    /// The busy part that usually goes with so many held.
+    /// The utilization typical for `held` requests.
     pub(crate) fn load(&self, held: f64) -> f64 {
         held * self.busy / self.held.max(1.0)
     }
@@ -248,17 +260,17 @@
     pub sent: Time,
     pub ended: bool,
     pub may_have_run: bool,
-    /// It needed a new connection.
-    pub fresh: bool,
-    /// What the server held when it was chosen, as far as was told.
-    pub told: Option<f64>,
-    /// The server was cold then.
+    /// Whether it needed a new connection.
+    pub new_connection: bool,
+    /// Requests in the server when it was chosen, if that was known and recent.
+    pub held_when_sent: Option<f64>,
+    /// Whether the server was cold at the time.
     pub cold: bool,
 }
 
 impl Attempt {
-    /// Whether it may have run, or may yet.
-    pub(crate) fn risky(&self) -> bool {
+    /// Whether it may have run or may still run.
+    pub(crate) fn uncertain(&self) -> bool {
         !self.ended || self.may_have_run
     }
 }
@@ -266,128 +278,144 @@
 pub(crate) struct Request {
     pub class: ClassId,
     pub arrived: Time,
-    pub ends: Time,
+    pub deadline: Time,
     pub work: Option<f64>,
-    /// A final answer is owed.
-    pub open: bool,
-    /// A streamed answer has begun.
-    pub begun: bool,
-    /// Its attempts' servers have all of it as soon as they are sent it.
+    /// Whether a final answer is still due.
+    pub answer_due: bool,
+    /// Whether a streamed answer has started.
+    pub response_started: bool,
+    /// Whether the request has been received completely, so that a server can start as soon as it is sent.
     pub body_complete: bool,
     pub attempts: Vec<Attempt>,
-    /// Its worth, relative to that of a mean request.
+    /// Its worth relative to that of a mean request.
     pub worth: f64,
-    /// Why it is refused, if it is now.
+    /// Reason to give if the request is refused now.
     pub why: Refusal,
-    /// Servers compared for its next attempt.
-    pub asked: Vec<(ServerId, Asked)>,
+    /// Servers considered for its next attempt.
+    pub candidates: Vec<(ServerId, ProbeState)>,
 }
 
-/// Whether a server that is compared for a request was asked for its load.
+/// State of the probe to a candidate server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Asked {
-    /// It was not.
-    Not,
-    /// It was, and has not answered yet.
-    Waiting,
-    /// It has answered.
-    Heard,
-    /// It was, to no avail.
-    Silent,
+pub(crate) enum ProbeState {
+    /// Not probed.
+    NotSent,
+    /// Waiting for the answer.
+    Pending,
+    /// Answered.
+    Answered,
+    /// Failed.
+    Failed,
 }
 
 impl Request {
-    /// One that has just come.
+    /// A request that has just arrived.
     pub(crate) fn new(now: Time, class: ClassId, a: &Arrival) -> Self {
-        let (attempts, asked, work) = (Vec::new(), Vec::new(), a.work.map(|w| w.as_secs_f64()));
-        let (arrived, ends, body_complete) = (now, now + a.remaining, a.body_complete);
-        let (open, begun, worth, why) = (true, false, 1.0, Refusal::NoServer);
-        Request { class, arrived, ends, work, open, begun, body_complete, attempts, worth, why, asked }
+        let (attempts, candidates, work) = (Vec::new(), Vec::new(), a.work.map(|w| w.as_secs_f64()));
+        let (arrived, deadline, body_complete) = (now, now + a.remaining, a.body_complete);
+        let (answer_due, response_started, worth, why) = (true, false, 1.0, Refusal::NoServer);
+        Request {
+            class,
+            arrived,
+            deadline,
+            work,
+            answer_due,
+            response_started,
+            body_complete,
+            attempts,
+            worth,
+            why,
+            candidates,
+        }
     }
 
-    pub(crate) fn idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.attempts.iter().all(|a| a.ended)
     }
 }
 
-/// An attempt that has ended, and what its request is.
-pub(crate) struct Settled {
+/// An attempt that ended, with the relevant properties of its request.
+pub(crate) struct EndedAttempt {
     pub attempt: Attempt,
     pub class: ClassId,
     pub work: Option<f64>,
     pub body_complete: bool,
-    /// The request's answer has begun.
+    /// Whether a streamed answer has started.
     pub streamed: bool,
-    /// Nothing more is to be done for the request.
-    pub over: bool,
+    /// Whether nothing is left to be done for the request.
+    pub finished: bool,
 }
 
-/// What the share solution needs of a server: `most` bounds its share.
-pub(crate) struct Line {
+/// Input of the share solver for one server.
+pub(crate) struct ShareInput {
     pub price: f64,
     pub speed: f64,
-    pub most: f64,
+    pub max_share: f64,
 }
 
-/// What a node keeps for each class: it draws from shares over the servers open to the class.
+/// Per-class state: the shares from which servers are drawn, and the load shedding.
 pub(crate) struct Market {
-    /// Shares of the ready servers, of sum at most `open`; 0 where the class may not go.
+    /// Shares of the ready servers, with a sum of at most `open_count`; 0 where the class may not go.
     pub shares: Vec<f64>,
-    /// Ready servers open to the class, of those that this node deals with.
-    pub open: f64,
-    /// This node deals with some of the ready servers only ...
-    pub narrow: bool,
-    /// ... so many of them, on the ring from where it begins.
-    pub reach: f64,
+    /// Number of ready servers within the class's placement and this node's aperture.
+    pub open_count: f64,
+    /// Whether the aperture excludes some of the ready servers.
+    pub aperture_active: bool,
+    /// Number of servers in the aperture, counted on the ring from where it starts.
+    pub aperture_size: f64,
+    /// Multiplier of the last solution, from which the next one starts.
     pub lambda: f64,
-    /// When that was last moved.
-    pub weighed: Time,
-    /// Arrivals a second of all classes of one placement when shares were last solved; kept like `worths`.
-    pub rate: f64,
+    /// When `shed_fraction` was last updated from an attempt.
+    pub shed_updated: Time,
+    /// Arrivals per second of all classes with this placement when shares were last solved; kept like
+    /// `worths`.
+    pub arrival_rate: f64,
     /// Mean work of a request.
     pub work: f64,
-    /// Part of the arrivals that is shed for the load of these servers.
-    pub refused: f64,
-    /// Worth below which arrivals are turned away, in part; kept like `worths`.
-    pub toll: f64,
-    /// Worths of recent arrivals, kept for all classes of one placement by the first of them.
+    /// Fraction of the arrivals shed because of the load of these servers.
+    pub shed_fraction: f64,
+    /// Worth per unit of work below which a part of the arrivals is rejected; kept like `worths`.
+    pub threshold: f64,
+    /// Worths of recent arrivals per unit of work, with that work. The first class with the same placement
+    /// keeps them for all of these classes.
     pub worths: VecDeque<(f64, f64)>,
-    /// The first class of the same placement.
-    pub leader: usize,
+    /// Index of the first class with the same placement.
+    pub representative: usize,
     pub arrivals: Rate,
-    /// The same over a longer time.
-    pub steady: Rate,
+    /// Sends per second over a longer window.
+    pub slow_arrivals: Rate,
 }
 
 impl Market {
-    /// A market whose rates forget within `window` seconds and, where they should be steady, within `long`.
-    pub(crate) fn new(now: Time, leader: usize, [window, long]: [f64; 2]) -> Self {
+    /// A market whose arrival rates use a window of `window` seconds and whose sends use one of `long`
+    /// seconds.
+    pub(crate) fn new(now: Time, representative: usize, [window, long]: [f64; 2]) -> Self {
         let (shares, worths, arrivals) = (Vec::new(), VecDeque::new(), Rate::new(now, window));
         Market {
             shares,
-            open: 0.0,
-            narrow: false,
-            reach: 0.0,
+            open_count: 0.0,
+            aperture_active: false,
+            aperture_size: 0.0,
             lambda: 0.5,
-            weighed: now,
-            rate: 0.0,
+            shed_updated: now,
+            arrival_rate: 0.0,
             work: 0.0,
-            refused: 0.0,
-            toll: 0.0,
+            shed_fraction: 0.0,
+            threshold: 0.0,
             worths,
-            leader,
+            representative,
             arrivals,
-            steady: Rate::new(now, long),
+            slow_arrivals: Rate::new(now, long),
         }
     }
 
-    /// Keeps the mean work of a request: the hinted one or, without hints, the time of an answer.
+    /// Updates the mean work of a request from a hint or, without hints, from the time to answer.
     pub(crate) fn learn_work(&mut self, sample: f64) {
         self.work += (sample - self.work) * if self.work > 0.0 { 1.0 / 64.0 } else { 1.0 };
     }
 
-    /// Keeps the worths of the last `most` arrivals.
-    pub(crate) fn note_worth(&mut self, worth: (f64, f64), most: usize) {
+    /// Records an arrival's worth among the latest `most`.
+    pub(crate) fn record_worth(&mut self, worth: (f64, f64), most: usize) {
         if self.worths.len() == most {
             self.worths.pop_front();
         }
@@ -395,85 +423,101 @@
     }
 }
 
-/// What the rooms want a balancer to start with.
-pub(crate) struct First {
-    /// Seconds over which rates of arrivals and sends are measured, ...
-    pub rates: f64,
-    /// ... this node's part of all traffic is learnt, ...
-    pub parts: f64,
-    /// ... and tenants' rates are.
-    pub tenants: f64,
-    /// Seconds for which a report counts as news.
+/// Initial values and time constants, defined by the deciding modules.
+pub(crate) struct InitialParameters {
+    /// Window in seconds for the rates of arrivals and sends.
+    pub rate_window: f64,
+    /// Window in seconds for this node's share of the fleet's traffic.
+    pub fleet_share_window: f64,
+    /// Window in seconds for the rates of tenants.
+    pub tenant_window: f64,
+    /// Seconds for which a load report affects the price.
     pub report_life: f64,
-    /// Further attempts that are to be had.
-    pub further: f64,
+    /// Initial number of retry tokens.
+    pub retry_tokens: f64,
 }
 
-/// The balancer of one node.
+/// The balancer of one node: takes [`Event`]s and returns [`Action`]s.
 pub struct Balancer {
     pub(crate) settings: Settings,
-    /// Where on the ring of servers this node begins, as a part of it.
-    pub(crate) begins: f64,
+    /// Where this node's aperture starts on the ring of servers, as a fraction of the ring.
+    pub(crate) ring_start: f64,
     pub(crate) rng: Xoshiro256PlusPlus,
     pub(crate) servers: Vec<Server>,
+    /// Index in `servers` of each server.
     pub(crate) index: FxHashMap<ServerId, usize>,
+    /// Indices of the ready servers, in ring order.
     pub(crate) ready: Vec<usize>,
+    /// One market per class.
     pub(crate) markets: Vec<Market>,
+    /// Mean price of the ready servers.
     pub(crate) mean_price: f64,
-    pub(crate) going_price: f64,
+    /// Mean price weighted by the requests that servers get.
+    pub(crate) market_price: f64,
+    /// Mean reported load; old reports count less.
     pub(crate) mean_load: f64,
+    /// Mean speed, weighted by the number of samples.
     pub(crate) mean_speed: f64,
-    pub(crate) solved: Option<Time>,
+    /// When shares were last solved; `None` requests a new solution.
+    pub(crate) solved_at: Option<Time>,
     pub(crate) requests: FxHashMap<RequestId, Request>,
-    pub(crate) choosing: Vec<(RequestId, TimerId)>,
+    /// Requests waiting for probe answers, each with its timer.
+    pub(crate) pending_choices: Vec<(RequestId, TimerId)>,
     pub(crate) next_timer: u32,
+    /// Timer of the next list call.
     pub(crate) list_timer: Option<TimerId>,
+    /// Typical time to answer in seconds, a quantile.
     pub(crate) latency: f64,
+    /// Mean time to answer a probe, in seconds.
     pub(crate) probe_latency: f64,
-    /// Part of the new connections to each zone that fail, of late.
-    pub(crate) refused: Vec<f64>,
-    /// Seconds for which a report counts as news.
+    /// Recent fraction of new connections that failed, by zone.
+    pub(crate) connect_failures: Vec<f64>,
+    /// Seconds for which a load report affects the price.
     pub(crate) report_life: f64,
-    /// Mean requests held and busy part, of servers that are not saturated.
-    pub(crate) usual_held: UsualHeld,
-    /// Neither probes nor measured capacity tell how much the servers can still take.
-    pub(crate) blind: bool,
+    /// Mean number of requests and mean utilization of servers that are not saturated.
+    pub(crate) unsaturated_load: UnsaturatedLoad,
+    /// Whether neither probes nor measured capacity tell how much load the servers can take.
+    pub(crate) capacity_unknown: bool,
+    /// Mean hinted work, in seconds.
     pub(crate) mean_work: f64,
-    /// Hinted works of recent requests, in seconds.
+    /// Hinted work of recent requests, in seconds.
     pub(crate) works: VecDeque<f64>,
     pub(crate) sends: Rate,
-    pub(crate) part: f64,
-    pub(crate) began: Time,
-    pub(crate) further: f64,
-    /// How attempts ended at servers that looked idle, at busy ones, and at cold ones.
-    pub(crate) trust: [Trust; 3],
-    /// What servers hold, and for how long news of that stands.
-    /// Of warm servers, and of cold ones.
-    pub(crate) loads: [Loads; 2],
-    /// Worth of a request, smoothed.
+    /// This node's estimated share of the fleet's traffic.
+    pub(crate) fleet_share: f64,
+    pub(crate) started_at: Time,
+    /// Balance of the retry budget.
+    pub(crate) retry_tokens: f64,
+    /// How attempts ended at servers that seemed idle, at busy servers, and at cold servers.
+    pub(crate) outcome_history: [OutcomeHistory; 3],
+    /// Distribution of the requests in a server, and how long a report stays valid; for warm and cold
+    /// servers.
+    pub(crate) loads: [LoadHistory; 2],
+    /// Smoothed worth of a request.
     pub(crate) mean_worth: f64,
-    /// Seconds by which answers took longer than reports let expect, at all servers.
-    pub(crate) surprise: f64,
+    /// Seconds by which answers exceeded the latency expected from reports, over all servers.
+    pub(crate) excess_latency: f64,
     pub(crate) tenants: Vec<Rate>,
 }
 
 impl Balancer {
-    /// Starts with no servers and no requests, as the rooms want it.
+    /// Starts without servers and requests, with the given initial values.
     pub(crate) fn start(
         settings: Settings,
         seed: u64,
         now: Time,
-        first: First,
+        initial: InitialParameters,
     ) -> Result<Self, SettingsError> {
         settings.check()?;
         let aims = settings.classes.iter().map(|c| c.aim.as_secs_f64());
         let shortest = aims.fold(f64::MAX, f64::min);
-        let same = |a: &Class, b: &Class| a.zones == b.zones && a.kinds == b.kinds;
-        let leader = |c: &Class| settings.classes.iter().position(|other| same(other, c)).unwrap_or(0);
+        let same_placement = |a: &Class, b: &Class| a.zones == b.zones && a.kinds == b.kinds;
+        let placement =
+            |c: &Class| settings.classes.iter().position(|other| same_placement(other, c)).unwrap_or(0);
         Ok(Balancer {
-            // Without a number of its own a node begins anywhere: even enough where there are many.
-            begins: match settings.node_index {
-                Some(me) => f64::from(me % settings.nodes) / f64::from(settings.nodes),
+            // Without an index a node starts at a random position, which is even enough for many nodes.
+            ring_start: match settings.node_index {
+                Some(index) => f64::from(index % settings.nodes) / f64::from(settings.nodes),
                 None => uniform(&mut Xoshiro256PlusPlus::seed_from_u64(!seed)),
             },
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -483,277 +527,304 @@
             markets: settings
                 .classes
                 .iter()
-                .map(|c| Market::new(now, leader(c), [first.rates, first.parts]))
+                .map(|c| Market::new(now, placement(c), [initial.rate_window, initial.fleet_share_window]))
                 .collect(),
             mean_price: 0.0,
-            going_price: 0.0,
+            market_price: 0.0,
             mean_load: 0.0,
             mean_speed: 1.0,
-            solved: None,
+            solved_at: None,
             requests: FxHashMap::default(),
-            choosing: Vec::new(),
+            pending_choices: Vec::new(),
             next_timer: 0,
             list_timer: None,
             latency: (shortest / 2.0).max(1e-3),
             probe_latency: 0.003,
-            refused: vec![0.0; usize::from(settings.zones)],
-            report_life: first.report_life,
-            usual_held: UsualHeld::default(),
-            blind: !settings.reports_rate && settings.reports != Reports::ByProbe,
+            connect_failures: vec![0.0; usize::from(settings.zones)],
+            report_life: initial.report_life,
+            unsaturated_load: UnsaturatedLoad::default(),
+            capacity_unknown: !settings.reports_rate && settings.reports != Reports::ByProbe,
             mean_work: 0.0,
             works: VecDeque::new(),
-            sends: Rate::new(now, first.rates),
-            part: 1.0 / f64::from(settings.nodes),
-            began: now,
-            further: first.further,
-            trust: Default::default(),
-            surprise: 0.0,
-            loads: [Loads::new(shortest), Loads::new(shortest)],
+            sends: Rate::new(now, initial.rate_window),
+            fleet_share: 1.0 / f64::from(settings.nodes),
+            started_at: now,
+            retry_tokens: initial.retry_tokens,
+            outcome_history: Default::default(),
+            excess_latency: 0.0,
+            loads: [LoadHistory::new(shortest), LoadHistory::new(shortest)],
             mean_worth: 0.0,
-            tenants: settings.tenants.iter().map(|_| Rate::new(now, first.tenants)).collect(),
+            tenants: settings.tenants.iter().map(|_| Rate::new(now, initial.tenant_window)).collect(),
             settings,
         })
     }
 
-    /// Brings the servers in line with a list or with changes to it.
+    /// Applies a server list or changes to it.
     pub(crate) fn take_list(&mut self, now: Time, kind: ListKind, entries: &[ServerEntry]) {
         if kind != ListKind::Changes {
             self.servers.iter_mut().for_each(|s| s.state = ServerState::Gone);
         }
         for e in entries {
-            let fresh = Server::new(e, self.mean_price, now);
+            let new = Server::new(e, self.mean_price, now);
             match self.index.get(&e.server) {
                 None => {
                     self.index.insert(e.server, self.servers.len());
-                    self.servers.push(fresh);
+                    self.servers.push(new);
                 }
                 Some(&i) => {
-                    // Of a restarted process nothing is known but what is still out; of others all stays.
+                    // A restarted process keeps only its attempts in flight; any other server keeps its
+                    // state.
                     let s = &mut self.servers[i];
                     if e.started > s.started {
-                        *s = Server { out: std::mem::take(&mut s.out), ..fresh };
+                        *s = Server { in_flight: std::mem::take(&mut s.in_flight), ..new };
                     } else {
-                        (s.state, s.listed) = (e.state, fresh.listed);
+                        (s.state, s.listed_weight) = (e.state, new.listed_weight);
                         (s.zone, s.kind, s.cell) = (e.zone, e.kind, e.cell);
                     }
                 }
             }
         }
-        self.servers.retain(|s| s.state != ServerState::Gone || !s.out.is_empty());
+        self.servers.retain(|s| s.state != ServerState::Gone || !s.in_flight.is_empty());
         self.index = self.servers.iter().enumerate().map(|(i, s)| (s.id, i)).collect();
         self.ready =
             (0..self.servers.len()).filter(|&i| self.servers[i].state == ServerState::Ready).collect();
-        self.turn();
+        self.order_ring();
     }
 
-    /// Takes up what the whole fleet knows of servers, in the place of all that was said so before.
-    pub(crate) fn advise(&mut self, advice: &[ServerAdjustment]) {
-        self.servers.iter_mut().for_each(|s| (s.open, s.tuned, s.sure) = (1.0, 1.0, 0.0));
-        for a in advice {
-            let sound =
+    /// Replaces all earlier adjustments by these; invalid values are ignored.
+    pub(crate) fn apply_adjustments(&mut self, adjustments: &[ServerAdjustment]) {
+        self.servers
+            .iter_mut()
+            .for_each(|s| (s.share_limit, s.weight_factor, s.weight_confidence) = (1.0, 1.0, 0.0));
+        for a in adjustments {
+            let valid =
                 [a.share_limit, a.weight_factor, a.confidence].iter().all(|v| v.is_finite() && *v >= 0.0);
-            let Some(&i) = self.index.get(&a.server).filter(|_| sound) else { continue };
+            let Some(&i) = self.index.get(&a.server).filter(|_| valid) else { continue };
             let s = &mut self.servers[i];
-            (s.open, s.tuned, s.sure) = (a.share_limit, a.weight_factor.max(0.01), a.confidence.min(1.0));
+            (s.share_limit, s.weight_factor, s.weight_confidence) =
+                (a.share_limit, a.weight_factor.max(0.01), a.confidence.min(1.0));
         }
-        self.solved = None;
+        self.solved_at = None;
     }
 
-    /// Takes up another place on the ring, in a fleet of so many nodes: of these none counts for more than it was told.
-    pub(crate) fn place(&mut self, begins: f64, nodes: u32) {
-        self.part = self.part.min(1.0 / f64::from(nodes.max(1)));
+    /// Changes the position on the ring in a fleet of `nodes` nodes. This can only lower the node's assumed
+    /// share of the fleet's traffic.
+    pub(crate) fn set_ring_position(&mut self, ring_start: f64, nodes: u32) {
+        self.fleet_share = self.fleet_share.min(1.0 / f64::from(nodes.max(1)));
         let before = self.ready.first().copied();
-        self.begins = begins.clamp(0.0, 1.0);
-        self.turn();
+        self.ring_start = ring_start.clamp(0.0, 1.0);
+        self.order_ring();
         if self.ready.first().copied() != before {
-            self.solved = None;
+            self.solved_at = None;
         }
     }
 
-    /// Puts the ready servers in the ring's order, from where this node begins.
-    fn turn(&mut self) {
-        self.ready.sort_by_key(|&i| (self.servers[i].rank, self.servers[i].id));
-        let first = (self.begins * self.ready.len() as f64) as usize;
+    /// Sorts the ready servers in ring order, starting at this node's position.
+    fn order_ring(&mut self) {
+        self.ready.sort_by_key(|&i| (self.servers[i].ring_hash, self.servers[i].id));
+        let first = (self.ring_start * self.ready.len() as f64) as usize;
         let first = first.min(self.ready.len());
         self.ready.rotate_left(first);
     }
 
-    /// Ready servers open to each class, as positions in `ready`, in this node's order.
-    pub(crate) fn placed(&self) -> Vec<Vec<usize>> {
+    /// For each class, the ready servers within its placement, as indices into `ready`.
+    pub(crate) fn open_by_class(&self) -> Vec<Vec<usize>> {
         let open = |c| (0..self.ready.len()).filter(|&k| self.servers[self.ready[k]].may_serve(c)).collect();
         self.settings.classes.iter().map(open).collect()
     }
 
-    /// Takes in that a streamed answer has begun, and says from where.
-    pub(crate) fn begun(&mut self, id: RequestId, attempt: u32) -> Option<ServerId> {
+    /// Records that a streamed answer has started and returns its server.
+    pub(crate) fn response_started(&mut self, id: RequestId, attempt: u32) -> Option<ServerId> {
         let r = self.requests.get_mut(&id)?;
         let (server, sent) = r.attempts.get(attempt as usize).map(|a| (a.server, a.sent))?;
-        r.begun = true;
-        self.returned(server, sent);
+        r.response_started = true;
+        self.remove_in_flight(server, sent);
         Some(server)
     }
 
-    /// Learns from an attempt which servers it has connections to, and how often new ones fail.
-    pub(crate) fn learn_connection(&mut self, now: Time, server: ServerId, fresh: bool, outcome: Outcome) {
+    /// Updates from an attempt when the server was last connected and how often new connections fail in its
+    /// zone.
+    pub(crate) fn learn_connection(
+        &mut self,
+        now: Time,
+        server: ServerId,
+        new_connection: bool,
+        outcome: Outcome,
+    ) {
         if outcome == Outcome::NotSent {
             return;
         }
         let Some(&i) = self.index.get(&server) else { return };
-        if let (true, Some(refused)) = (fresh, self.refused.get_mut(usize::from(self.servers[i].zone.0))) {
+        if let (true, Some(failure_rate)) =
+            (new_connection, self.connect_failures.get_mut(usize::from(self.servers[i].zone.0)))
+        {
             let failed = f64::from(u8::from(outcome == Outcome::Unreachable));
-            *refused += (failed - *refused) / 8.0;
+            *failure_rate += (failed - *failure_rate) / 8.0;
         }
-        let held = outcome.server_responded();
-        self.servers[i].connected = held.then_some(now).or(self.servers[i].connected);
+        let responded = outcome.server_responded();
+        self.servers[i].last_connected = responded.then_some(now).or(self.servers[i].last_connected);
     }
 
-    /// What servers like this one hold, and the chance that what was last heard of it still stands.
-    pub(crate) fn news(&self, s: &Server, now: Time) -> (&Loads, f64) {
+    /// The load distribution of similar servers, and the chance that the known load of this one is still
+    /// valid.
+    pub(crate) fn load_knowledge(&self, s: &Server, now: Time) -> (&LoadHistory, f64) {
         let loads = &self.loads[usize::from(s.warmth(&self.settings.rules, now) < 1.0)];
-        (loads, s.held.map_or(0.0, |_| loads.stands((now - s.heard).as_secs_f64())))
+        (loads, s.held.map_or(0.0, |_| loads.validity((now - s.held_at).as_secs_f64())))
     }
 
-    /// The chance that a server is not to be had, for want of a connection.
-    pub(crate) fn shut(&self, s: &Server, now: Time) -> f64 {
+    /// The chance that no connection to a server can be established.
+    pub(crate) fn connect_failure(&self, s: &Server, now: Time) -> f64 {
         match s.connected(now, self.settings.conn_idle) {
             true => 0.0,
-            false => self.refused.get(usize::from(s.zone.0)).copied().unwrap_or(0.0),
+            false => self.connect_failures.get(usize::from(s.zone.0)).copied().unwrap_or(0.0),
         }
     }
 
-    /// Closes an attempt that has ended; `None` where it is not out.
-    pub(crate) fn settle(&mut self, now: Time, end: &AttemptEnded) -> Option<Settled> {
+    /// Marks an attempt as ended; `None` if it is not in flight.
+    pub(crate) fn end_attempt(&mut self, now: Time, end: &AttemptEnded) -> Option<EndedAttempt> {
         let r = self.requests.get_mut(&end.request)?;
         let a = r.attempts.get_mut(end.attempt as usize).filter(|a| !a.ended)?;
         a.ended = true;
         a.may_have_run = !end.outcome.never_ran();
         let attempt = *a;
-        r.open &= !end.closed;
-        let (streamed, over) = (r.begun, !r.open || !r.idle());
+        r.answer_due &= !end.closed;
+        let (streamed, finished) = (r.response_started, !r.answer_due || !r.is_idle());
         let (class, work, body_complete) = (r.class, r.work, r.body_complete);
         if body_complete {
-            self.returned(attempt.server, attempt.sent);
+            self.remove_in_flight(attempt.server, attempt.sent);
         }
-        self.learn_connection(now, attempt.server, attempt.fresh, end.outcome);
+        self.learn_connection(now, attempt.server, attempt.new_connection, end.outcome);
         if let (Outcome::Served, None, true) = (end.outcome, work, body_complete) {
             self.markets[usize::from(class.0)].learn_work(end.latency.as_secs_f64());
         }
         if let (true, Some(&i)) = (end.outcome.server_responded(), self.index.get(&attempt.server)) {
-            self.servers[i].word = now;
+            self.servers[i].last_response = now;
         }
-        Some(Settled { attempt, class, work, body_complete, streamed, over })
+        Some(EndedAttempt { attempt, class, work, body_complete, streamed, finished })
     }
 
-    /// Keeps an arrival's work, as it was hinted, among the last `most`; what is hopeless counts for no mean.
-    pub(crate) fn note(&mut self, class: ClassId, work: Option<f64>, hopeless: bool, most: usize) {
+    /// Records the hinted work of an arrival among the latest `most`; infeasible requests don't affect the
+    /// means.
+    pub(crate) fn record_work(&mut self, class: ClassId, work: Option<f64>, infeasible: bool, most: usize) {
         let Some(work) = work else { return };
         self.works.truncate(most - 1);
         self.works.push_front(work);
-        if !hopeless {
+        if !infeasible {
             self.markets[usize::from(class.0)].learn_work(work);
             self.mean_work += (work - self.mean_work) * if self.mean_work > 0.0 { 1.0 / 32.0 } else { 1.0 };
         }
     }
 
-    /// Learns over `window` seconds this node's part of all traffic, from its own sends and the rates that servers report.
-    pub(crate) fn learn_part(&mut self, now: Time, dt: f64, window: f64) {
-        let usual = self.mean_speed * self.mean_load.min(1.0);
+    /// Estimates this node's share of the fleet's traffic over `window` seconds, from its own sends and the
+    /// rates that servers report.
+    pub(crate) fn learn_fleet_share(&mut self, now: Time, dt: f64, window: f64) {
+        let typical_rate = self.mean_speed * self.mean_load.min(1.0);
         let rates = self.ready.iter().map(|&i| self.servers[i].rate);
-        let taken: f64 = rates.map(|r| if r > 0.0 { r } else { usual }).sum();
+        let served: f64 = rates.map(|r| if r > 0.0 { r } else { typical_rate }).sum();
         let sent = self.sends.add(now, 0.0);
-        // Only while nothing is refused do sends and reported rates describe the same traffic.
-        let settled = (now - self.began).as_secs_f64() > 4.0 * self.sends.window;
-        if settled && taken > 0.0 && self.markets.iter().all(|m| m.toll == 0.0) {
-            self.part += (sent / taken - self.part) * (dt / window).min(1.0);
+        // Sends and reported rates describe the same traffic only while nothing is rejected.
+        let window_filled = (now - self.started_at).as_secs_f64() > 4.0 * self.sends.window;
+        if window_filled && served > 0.0 && self.markets.iter().all(|m| m.threshold == 0.0) {
+            self.fleet_share += (sent / served - self.fleet_share) * (dt / window).min(1.0);
         }
     }
 
-    /// A probe has come to its end; the time-out of one that needed a new connection stands for no connection.
+    /// Records the end of a probe. If it needed a new connection, a timeout counts as a failed connection.
     pub(crate) fn probe_ended(&mut self, now: Time, p: &ProbeEnded) {
         let Some(&i) = self.index.get(&p.server) else { return };
-        let fresh = !self.servers[i].connected(now, self.settings.conn_idle);
-        // A new connection takes longer to fail than a probe is waited for.
+        let new_connection = !self.servers[i].connected(now, self.settings.conn_idle);
+        // Connecting takes longer to fail than the wait for a probe's answer.
         let outcome = if p.outcome == Outcome::TimedOut { Outcome::Unreachable } else { p.outcome };
-        self.learn_connection(now, p.server, fresh, outcome);
+        self.learn_connection(now, p.server, new_connection, outcome);
         let s = &mut self.servers[i];
-        s.probing = None;
-        s.word = if outcome.server_responded() { now } else { s.word };
+        s.probe_sent_at = None;
+        s.last_response = if outcome.server_responded() { now } else { s.last_response };
     }
 
-    /// An attempt goes to the server at this place; `news`: what that told stands. Returns the server, and the time left.
-    pub(crate) fn sent(
+    /// Records an attempt at the server with index `at`. Returns the server and the remaining time.
+    pub(crate) fn record_send(
         &mut self,
         now: Time,
         id: RequestId,
         at: usize,
-        news: bool,
+        report_is_fresh: bool,
     ) -> Option<(ServerId, Duration)> {
         let r = self.requests.get_mut(&id)?;
         let s = &mut self.servers[at];
-        let fresh = !s.connected(now, self.settings.conn_idle);
-        let told = s.held.filter(|_| r.body_complete && news);
+        let new_connection = !s.connected(now, self.settings.conn_idle);
+        let held_when_sent = s.held.filter(|_| r.body_complete && report_is_fresh);
         let cold = s.warmth(&self.settings.rules, now) < 1.0;
         if r.body_complete {
-            s.out.push(now);
+            s.in_flight.push(now);
             s.held = s.held.map(|held| held + 1.0);
         }
         self.sends.add(now, 1.0);
-        self.markets[usize::from(r.class.0)].steady.add(now, 1.0);
+        self.markets[usize::from(r.class.0)].slow_arrivals.add(now, 1.0);
         let (server, zone, cell) = (s.id, s.zone, s.cell);
         let (sent, ended, may_have_run) = (now, false, false);
-        r.attempts.push(Attempt { server, zone, cell, sent, ended, may_have_run, fresh, told, cold });
-        Some((server, r.ends - now))
-    }
-
-    /// One send less is out.
-    pub(crate) fn returned(&mut self, server: ServerId, sent: Time) {
+        r.attempts.push(Attempt {
+            server,
+            zone,
+            cell,
+            sent,
+            ended,
+            may_have_run,
+            new_connection,
+            held_when_sent,
+            cold,
+        });
+        Some((server, r.deadline - now))
+    }
+
+    /// Removes an attempt from those in flight.
+    pub(crate) fn remove_in_flight(&mut self, server: ServerId, sent: Time) {
         let Some(&i) = self.index.get(&server) else { return };
         let s = &mut self.servers[i];
-        if let Some(at) = s.out.iter().position(|t| *t == sent) {
-            s.out.remove(at);
+        if let Some(at) = s.in_flight.iter().position(|t| *t == sent) {
+            s.in_flight.remove(at);
             s.held = s.held.map(|held| (held - 1.0).max(0.0));
         }
     }
 
-    /// A server held so many then; older news than is there already changes nothing.
-    pub(crate) fn heard(&mut self, server: usize, then: Time, held: f64) {
+    /// Records that a server had `held` requests at time `then`, unless later information is known.
+    pub(crate) fn record_held(&mut self, server: usize, then: Time, held: f64) {
         let cold = self.servers[server].warmth(&self.settings.rules, then) < 1.0;
         let s = &mut self.servers[server];
-        if s.held.is_some() && then < s.heard {
+        if s.held.is_some() && then < s.held_at {
             return;
         }
         self.loads[usize::from(cold)]
-            .heard(held, s.held.map(|before| (before, (then - s.heard).as_secs_f64())));
-        let since = s.out.iter().filter(|sent| **sent > then).count() as f64;
-        (s.held, s.heard) = (Some(held + since), then);
+            .observe(held, s.held.map(|before| (before, (then - s.held_at).as_secs_f64())));
+        let sent_since = s.in_flight.iter().filter(|sent| **sent > then).count() as f64;
+        (s.held, s.held_at) = (Some(held + sent_since), then);
     }
 
-    /// A server has all of an attempt from now on: it counts as one that was sent now.
-    pub(crate) fn written(&mut self, now: Time, id: RequestId, attempt: u32) {
+    /// Records that the server has received the whole request: the attempt counts as sent now.
+    pub(crate) fn request_written(&mut self, now: Time, id: RequestId, attempt: u32) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.body_complete) else { return };
         let Some(a) = r.attempts.get_mut(attempt as usize).filter(|a| !a.ended) else { return };
         r.body_complete = true;
         a.sent = now;
         let Some(&i) = self.index.get(&a.server) else { return };
         let s = &mut self.servers[i];
-        a.told = s.held;
-        s.out.push(now);
+        a.held_when_sent = s.held;
+        s.in_flight.push(now);
         s.held = s.held.map(|held| held + 1.0);
     }
 
-    /// Drops a request that is answered and has nothing out.
-    pub(crate) fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|r| !r.open && r.idle()) {
+    /// Removes a request that has its final answer and no attempt in flight.
+    pub(crate) fn remove_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|r| !r.answer_due && r.is_idle()) {
             self.requests.remove(&id);
-            self.choosing.retain(|c| c.0 != id);
+            self.pending_choices.retain(|c| c.0 != id);
         }
     }
 
-    /// Nothing is owed to a client that has left.
+    /// Records that the client disconnected: no answer is due any more.
     pub(crate) fn client_gone(&mut self, id: RequestId) {
         if let Some(r) = self.requests.get_mut(&id) {
-            r.open = false;
-            self.forget(id);
+            r.answer_due = false;
+            self.remove_finished(id);
         }
     }
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,10 +1,11 @@
-//! The module's size and shape: it is printed and read in one sitting, and its rooms build on one another one way.
+//! Structure of the policy: line width, dependencies between modules, and its files named in the deploy file.
 
 use std::path::Path;
 
-/// The rooms, each built on those after it only.
-const ROOMS: [&str; 8] = ["mod", "probes", "attempts", "admission", "market", "aperture", "estimate", "cold"];
-/// Their files: a room that has grown is a folder.
+/// The modules of the policy; each may depend only on those after it.
+const MODULES: [&str; 8] =
+    ["mod", "probes", "attempts", "admission", "market", "aperture", "estimate", "cold"];
+/// Their files. Large modules are folders.
 const FILES: [&str; 14] = [
     "mod",
     "probes",
@@ -27,14 +28,14 @@
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// The files of a room.
-fn files(room: &str) -> impl Iterator<Item = String> + '_ {
-    let folder = format!("{room}/");
-    FILES.iter().filter(move |f| **f == room || f.starts_with(&folder)).map(|f| format!("policy/{f}.rs"))
+/// The files of a module.
+fn files(module: &str) -> impl Iterator<Item = String> + '_ {
+    let folder = format!("{module}/");
+    FILES.iter().filter(move |f| **f == module || f.starts_with(&folder)).map(|f| format!("policy/{f}.rs"))
 }
 
 #[test]
-fn module_stays_narrow() {
+fn policy_lines_are_narrow() {
     for file in FILES {
         let text = text(&format!("policy/{file}.rs"));
         let wide: Vec<&str> = text.lines().filter(|l| l.chars().count() > 110).collect();
@@ -44,29 +45,32 @@
 }
 
 #[test]
-fn rooms_build_on_one_another_one_way() {
-    for (k, room) in ROOMS.iter().enumerate() {
-        for text in files(room).map(|f| text(&f)) {
-            for above in &ROOMS[1..=k.max(1)] {
+fn modules_depend_in_one_direction() {
+    for (k, module) in MODULES.iter().enumerate() {
+        for text in files(module).map(|f| text(&f)) {
+            for above in &MODULES[1..=k.max(1)] {
                 let call = format!("{above}::");
-                let met = text.lines().find(|l| {
+                let found = text.lines().find(|l| {
                     l.contains(&call)
                         && !l.trim_start().starts_with("//")
-                        && !l.contains(&format!("{room}::"))
+                        && !l.contains(&format!("{module}::"))
                 });
-                assert!(k == 0 || *above == *room || met.is_none(), "{room} reaches up to {above}: {met:?}");
+                assert!(
+                    k == 0 || *above == *module || found.is_none(),
+                    "{module} depends on {above}: {found:?}"
+                );
             }
-            assert!(!text.contains("super::*"), "{room} names what it takes");
+            assert!(!text.contains("super::*"), "{module} must import names explicitly");
         }
     }
-    assert!(!text("interface.rs").contains("policy"), "the interface knows nothing of decisions");
-    let known = text("state.rs").replace("crate::policy::Loads", "");
-    assert!(!known.contains("policy"), "what is remembered knows of decisions only what news is kept in");
+    assert!(!text("interface.rs").contains("policy"), "the interface must not depend on the policy");
+    let known = text("state.rs").replace("crate::policy::LoadHistory", "");
+    assert!(!known.contains("policy"), "state.rs may use only LoadHistory of the policy");
 }
 
-/// Each file of the folder is counted, and named to operators as one that decides.
+/// Every file of the folder is listed here and in the deploy file.
 #[test]
-fn every_file_that_decides_is_named() {
+fn every_policy_file_is_in_the_deploy_file() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut found = Vec::new();
     let mut folders = vec![root.join("src/policy")];
