--- a/examples/by_hand.rs
+++ b/examples/by_hand.rs
@@ -1,4 +1,5 @@
-//! Drives a balancer by hand-written events: a slow server, one that fails fast, an overload. Prints the choices.
+//! Feeds hand-written events to a balancer and prints its choices: a slow server, a failing server, an
+//! overload.
 
 use finchvale::*;
 use std::time::Duration;
@@ -48,7 +49,8 @@
     }
 }
 
-/// Plays `rate` requests a second for two seconds; server 2 has half the capacity, server 3 fails if `failing`.
+/// Sends `rate` requests per second for two seconds; server 2 has half the capacity, server 3 fails if
+/// `failing`.
 fn play(balancer: &mut Balancer, from_ms: u64, rate: u64, failing: bool) -> Result<(), SettingsError> {
     let mut chosen = [0u32; 4];
     let (mut refused, mut failed) = (0, 0);
@@ -110,15 +112,15 @@
         })
         .collect();
     balancer.handle(Time(0), Event::List { kind: ListKind::Full, entries }, &mut vec![]);
-    println!("Four servers, number 2 of half the capacity: it is avoided in proportion.");
+    println!("Four servers; server 2 has half the capacity and gets proportionally less.");
     play(&mut balancer, 1_000, 80, false)?;
     play(&mut balancer, 3_000, 80, false)?;
-    println!("Number 3 refuses connections: each failure makes it dearer, the rest take over.");
+    println!("Server 3 refuses connections: each failure raises its price and the others take over.");
     play(&mut balancer, 5_000, 80, true)?;
-    println!("It is well again: its price drifts back.");
+    println!("Server 3 has recovered: its price drifts back.");
     play(&mut balancer, 7_000, 80, false)?;
     play(&mut balancer, 20_000, 80, false)?;
-    println!("Three times the traffic: what finds no place is refused, the class of little worth first.");
+    println!("Three times the traffic: the excess is refused, starting with the class of lower worth.");
     play(&mut balancer, 30_000, 240, false)?;
     Ok(())
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Settings for tests, and an observer of rules one to three and of legal actions. It checks; it simulates
-//! nothing.
+//! Settings for tests, and an observer that checks the rules and the validity of actions. It does not
+//! simulate servers.
 #![allow(dead_code)]
 
 use finchvale::*;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Safe, unsafe, and keyed with each group.
+/// One class that is safe, one unsafe, and one keyed for each scope.
 pub fn settings() -> Settings {
     let keyed = |scope| Effect::Keyed { scope, window: ms(500) };
     Settings {
@@ -120,21 +120,21 @@
     })
 }
 
-pub struct Try {
+pub struct ObservedAttempt {
     pub server: ServerId,
     pub sent: Time,
     pub limit: Time,
     pub outcome: Option<Outcome>,
 }
 
-pub struct Seen {
+pub struct ObservedRequest {
     pub class: ClassId,
     pub ends: Time,
     pub open: bool,
-    pub tries: Vec<Try>,
+    pub attempts: Vec<ObservedAttempt>,
 }
 
-/// The same with classes bound to a zone, to kinds, to both, and to nothing that exists.
+/// The same settings with classes restricted to a zone, to kinds, to both, and to a kind that does not exist.
 pub fn bound() -> Settings {
     let mut bound = settings();
     bound.classes[0].zones = Some(vec![ZoneId(1)]);
@@ -145,11 +145,11 @@
     bound
 }
 
-/// Watches events and actions and says which rule an action breaks.
+/// Observes events and actions, and reports the rule that an action violates.
 pub struct Observer {
     settings: Settings,
-    pub requests: BTreeMap<RequestId, Seen>,
-    /// Each server's place, since when it takes nothing new, and its kind.
+    pub requests: BTreeMap<RequestId, ObservedRequest>,
+    /// For each server its zone, its cell, since when it accepts nothing new, and its kind.
     servers: BTreeMap<ServerId, (ZoneId, CellId, Option<Time>, KindId)>,
     pub timers: Vec<(Time, TimerId)>,
     pub probes: Vec<ServerId>,
@@ -176,17 +176,18 @@
                 }
                 for e in entries {
                     let held = self.servers.get(&e.server).and_then(|s| s.2);
-                    let stop = (e.state != ServerState::Ready).then(|| held.unwrap_or(now));
-                    self.servers.insert(e.server, (e.zone, e.cell, stop, e.kind));
+                    let closed_since = (e.state != ServerState::Ready).then(|| held.unwrap_or(now));
+                    self.servers.insert(e.server, (e.zone, e.cell, closed_since, e.kind));
                 }
             }
             Event::Arrival(a) => {
                 let (class, ends) = (a.class, now + a.remaining);
-                self.requests.insert(a.request, Seen { class, ends, open: true, tries: vec![] });
+                self.requests
+                    .insert(a.request, ObservedRequest { class, ends, open: true, attempts: vec![] });
             }
             Event::AttemptEnded(e) => {
                 let Some(r) = self.requests.get_mut(&e.request) else { return };
-                if let Some(t) = r.tries.get_mut(e.attempt as usize) {
+                if let Some(t) = r.attempts.get_mut(e.attempt as usize) {
                     t.outcome = Some(e.outcome);
                 }
                 r.open &= !e.closed;
@@ -206,33 +207,33 @@
     }
 
     pub fn action(&mut self, now: Time, action: &Action) -> Result<(), String> {
-        let broken = |what: &str| Err(format!("{what}: {action:?} at {now:?}"));
+        let violation = |message: &str| Err(format!("{message}: {action:?} at {now:?}"));
         match action {
             Action::Send { request, server, limit } => {
-                let Some(r) = self.requests.get_mut(request) else { return broken("unknown request") };
+                let Some(r) = self.requests.get_mut(request) else { return violation("unknown request") };
                 if !r.open || now > r.ends {
-                    return broken("rule 1, sent after the end");
+                    return violation("rule 1, sent after the final answer or deadline");
                 }
-                let Some(place) = self.servers.get(server) else { return broken("unknown server") };
-                if place.2.is_some_and(|stop| now - stop > self.settings.rules.drain_grace) {
-                    return broken("rule 3, sent to a server that drains");
+                let Some(place) = self.servers.get(server) else { return violation("unknown server") };
+                if place.2.is_some_and(|closed_since| now - closed_since > self.settings.rules.drain_grace) {
+                    return violation("rule 3, sent to a draining server");
                 }
                 let class = &self.settings.classes[usize::from(r.class.0)];
                 if class.zones.as_ref().is_some_and(|open| !open.contains(&place.0))
                     || class.kinds.as_ref().is_some_and(|open| !open.contains(&place.3))
                 {
-                    return broken("rule 5, sent where its class may not go");
+                    return violation("rule 5, sent outside its class's placement");
                 }
-                if r.tries.len() as u32 >= self.settings.max_attempts {
-                    return broken("too many attempts");
+                if r.attempts.len() as u32 >= self.settings.max_attempts {
+                    return violation("too many attempts");
                 }
-                if !self.settings.second_copies && r.tries.iter().any(|t| t.outcome.is_none()) {
-                    return broken("two copies out");
+                if !self.settings.second_copies && r.attempts.iter().any(|t| t.outcome.is_none()) {
+                    return violation("two attempts at once");
                 }
-                let risky = r.tries.iter().find(|t| t.outcome.is_none_or(|o| !o.never_ran()));
-                if let Some(t) = risky {
+                let uncertain = r.attempts.iter().find(|t| t.outcome.is_none_or(|o| !o.never_ran()));
+                if let Some(t) = uncertain {
                     let first = self.servers[&t.server];
-                    let fine = match self.settings.classes[usize::from(r.class.0)].effect {
+                    let allowed = match self.settings.classes[usize::from(r.class.0)].effect {
                         Effect::Safe => true,
                         Effect::Unsafe => false,
                         Effect::Keyed { scope, window } => {
@@ -244,49 +245,49 @@
                                 }
                         }
                     };
-                    if !fine {
-                        return broken("rule 2, sent again");
+                    if !allowed {
+                        return violation("rule 2, repeated although it may have run");
                     }
                 }
                 let limit = limit.map_or(r.ends, |l| (now + l).min(r.ends));
-                r.tries.push(Try { server: *server, sent: now, limit, outcome: None });
+                r.attempts.push(ObservedAttempt { server: *server, sent: now, limit, outcome: None });
             }
             Action::Refuse { request, .. } => {
-                let Some(r) = self.requests.get_mut(request) else { return broken("unknown request") };
-                let risky = r.tries.iter().any(|t| t.outcome.is_none_or(|o| !o.never_ran()));
-                let fine = match self.settings.classes[usize::from(r.class.0)].effect {
+                let Some(r) = self.requests.get_mut(request) else { return violation("unknown request") };
+                let uncertain = r.attempts.iter().any(|t| t.outcome.is_none_or(|o| !o.never_ran()));
+                let allowed = match self.settings.classes[usize::from(r.class.0)].effect {
                     Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
-                    _ => !risky,
+                    _ => !uncertain,
                 };
-                if !fine {
-                    return broken("rule 2, refused though it may have run");
+                if !allowed {
+                    return violation("rule 2, refused although it may have run");
                 }
                 if !std::mem::take(&mut r.open) {
-                    return broken("rule 1, a second answer");
+                    return violation("rule 1, a second answer");
                 }
             }
             Action::Fail { request } => {
-                let Some(r) = self.requests.get_mut(request) else { return broken("unknown request") };
+                let Some(r) = self.requests.get_mut(request) else { return violation("unknown request") };
                 if !std::mem::take(&mut r.open) {
-                    return broken("rule 1, a second answer");
+                    return violation("rule 1, a second answer");
                 }
             }
             Action::Cancel { request, attempt } => {
-                let tries = self.requests.get(request).map_or(0, |r| r.tries.len());
-                if !self.settings.may_cancel || *attempt as usize >= tries {
-                    return broken("cancels what was never sent");
+                let attempts = self.requests.get(request).map_or(0, |r| r.attempts.len());
+                if !self.settings.may_cancel || *attempt as usize >= attempts {
+                    return violation("cancels an unknown attempt");
                 }
             }
             Action::SetTimer { at, timer } => self.timers.push((*at, *timer)),
             Action::Probe { server } => {
                 if !self.settings.may_probe || !self.servers.contains_key(server) {
-                    return broken("probe not allowed");
+                    return violation("probes a server that may not be probed");
                 }
                 self.probes.push(*server);
             }
             Action::Watch => {
                 if !self.settings.subscribe_to_lists {
-                    return broken("asks for a list that comes by itself");
+                    return violation("subscribes although lists arrive by themselves");
                 }
             }
             Action::Log(_) => {}
@@ -294,24 +295,24 @@
         Ok(())
     }
 
-    /// Rule 1 from the other side: what is owed when the client's time is over.
+    /// Rule 1: a request whose answer is overdue.
     pub fn overdue(&self, now: Time) -> Option<RequestId> {
         self.requests.iter().find(|(_, r)| r.open && now >= r.ends + ms(20)).map(|(id, _)| *id)
     }
 }
 
-/// A balancer under observation.
-pub struct Watched {
+/// A balancer whose events and actions are observed.
+pub struct Observed {
     pub balancer: Balancer,
     pub observer: Observer,
     pub now: Time,
     pub log: Vec<Action>,
 }
 
-impl Watched {
+impl Observed {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let balancer = Balancer::new(settings.clone(), seed, at(0)).expect("sound settings");
-        Watched { balancer, observer: Observer::new(settings), now: at(0), log: vec![] }
+        let balancer = Balancer::new(settings.clone(), seed, at(0)).expect("valid settings");
+        Observed { balancer, observer: Observer::new(settings), now: at(0), log: vec![] }
     }
 
     pub fn feed(&mut self, event: Event) -> Result<Vec<Action>, String> {
@@ -325,14 +326,14 @@
         Ok(actions)
     }
 
-    /// Lets time pass; timers and time-outs that fall due are delivered.
+    /// Advances the time and delivers due timers and timeouts.
     pub fn wait(&mut self, d: Duration) -> Result<(), String> {
         let until = self.now + d;
         loop {
             let timer = self.observer.timers.iter().map(|t| t.0).min();
             let open = self.observer.requests.iter();
             let out = open.flat_map(|(id, r)| {
-                r.tries
+                r.attempts
                     .iter()
                     .enumerate()
                     .filter(|t| t.1.outcome.is_none())
@@ -342,7 +343,7 @@
             match (timer, out) {
                 (Some(t), o) if t <= until && o.is_none_or(|o| t <= o.0) => {
                     self.now = self.now.max(t);
-                    let k = self.observer.timers.iter().position(|x| x.0 == t).expect("just found");
+                    let k = self.observer.timers.iter().position(|x| x.0 == t).expect("timer exists");
                     let timer = self.observer.timers.remove(k).1;
                     self.feed(Event::Timer { timer })?;
                 }
@@ -353,12 +354,12 @@
                 _ => break,
             }
             if let Some(id) = self.observer.overdue(self.now) {
-                return Err(format!("rule 1, request {id} is owed an answer"));
+                return Err(format!("rule 1, request {id} has no answer at its deadline"));
             }
         }
         self.now = until;
         self.observer
             .overdue(self.now)
-            .map_or(Ok(()), |id| Err(format!("rule 1, request {id} is owed an answer")))
+            .map_or(Ok(()), |id| Err(format!("rule 1, request {id} has no answer at its deadline")))
     }
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,4 +1,4 @@
-//! When the list is asked for again, where it comes on request.
+//! Retries of list calls, for sites that subscribe to lists.
 
 mod common;
 
@@ -6,10 +6,10 @@
 use finchvale::*;
 use std::time::Duration;
 
-/// After how long the list is asked for again, by the timers that are set.
-fn waits(kind: ListKind, seed: u64) -> Vec<Duration> {
+/// Delays until the list is requested again, according to the timers set.
+fn delays(kind: ListKind, seed: u64) -> Vec<Duration> {
     let settings = Settings { subscribe_to_lists: true, ..settings() };
-    let mut balancer = Balancer::new(settings, seed, at(0)).expect("sound settings");
+    let mut balancer = Balancer::new(settings, seed, at(0)).expect("valid settings");
     let mut actions = Vec::new();
     balancer.handle(at(1000), Event::List { kind, entries: Vec::new() }, &mut actions);
     let timer = |action: &Action| match action {
@@ -19,24 +19,25 @@
     actions.iter().filter_map(timer).collect()
 }
 
-/// A call that falls silent is given up after 3 s; with two refused after it a change is to be known within 6 s.
+/// A call without an answer times out after 3 s; with two refused calls after it, a change must be known
+/// within 6 s.
 #[test]
-fn a_failed_call_is_repeated_soon_and_not_by_all_at_once() {
+fn failed_calls_are_repeated_soon_and_spread() {
     let mut all = Vec::new();
     for seed in 0..200 {
-        let waits = waits(ListKind::Failed, seed);
-        assert_eq!(waits.len(), 1, "seed {seed}: {waits:?}");
-        all.extend(waits);
+        let delays = delays(ListKind::Failed, seed);
+        assert_eq!(delays.len(), 1, "seed {seed}: {delays:?}");
+        all.extend(delays);
     }
     all.sort();
     assert!(Duration::from_secs(3) + 3 * all[199] <= Duration::from_millis(5500), "{:?}", all[199]);
-    assert!(all[150] - all[50] > Duration::from_millis(200), "spread: {:?} to {:?}", all[50], all[150]);
+    assert!(all[150] - all[50] > Duration::from_millis(200), "not spread: {:?} to {:?}", all[50], all[150]);
 }
 
-/// Many may start at once from the list that they know: their calls are spread further.
+/// Many nodes may start at once from cached lists, so their calls are spread more widely.
 #[test]
-fn calls_after_a_start_are_spread() {
-    let waits: Vec<_> = (0..200).flat_map(|seed| waits(ListKind::Cached, seed)).collect();
-    assert!(waits.iter().any(|w| *w > Duration::from_secs(1)), "{waits:?}");
-    assert!(waits.iter().all(|w| *w <= Duration::from_secs(2)), "{waits:?}");
+fn calls_after_start_are_spread() {
+    let delays: Vec<_> = (0..200).flat_map(|seed| delays(ListKind::Cached, seed)).collect();
+    assert!(delays.iter().any(|w| *w > Duration::from_secs(1)), "{delays:?}");
+    assert!(delays.iter().all(|w| *w <= Duration::from_secs(2)), "{delays:?}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Generated sequences of events, watched by an independent observer of the rules.
+//! Property tests: random sequences of events, checked by an independent observer of the rules.
 
 mod common;
 
@@ -14,9 +14,9 @@
     Probe { which: usize, outcome: u8, busy: f64 },
     Wait(u64),
     Change { server: u32, state: u8, started: bool },
-    Whole { count: u32, kind: u8 },
-    Leave { which: usize },
-    Stray(u64),
+    Replace { count: u32, kind: u8 },
+    Disconnect { which: usize },
+    Unknown(u64),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -30,9 +30,9 @@
         4 => (0u64..400).prop_map(Op::Wait),
         2 => (0u32..10, 0u8..3, any::<bool>())
             .prop_map(|(server, state, started)| Op::Change { server, state, started }),
-        1 => (0u32..9, 0u8..4).prop_map(|(count, kind)| Op::Whole { count, kind }),
-        1 => (0usize..8).prop_map(|which| Op::Leave { which }),
-        1 => any::<u64>().prop_map(Op::Stray),
+        1 => (0u32..9, 0u8..4).prop_map(|(count, kind)| Op::Replace { count, kind }),
+        1 => (0usize..8).prop_map(|which| Op::Disconnect { which }),
+        1 => any::<u64>().prop_map(Op::Unknown),
     ]
 }
 
@@ -46,7 +46,7 @@
 }
 
 fn play(settings: Settings, ops: &[Op], seed: u64) -> Result<Vec<Action>, String> {
-    let mut w = Watched::new(settings, seed);
+    let mut w = Observed::new(settings, seed);
     w.feed(list(8))?;
     let mut id = 0;
     for op in ops {
@@ -68,7 +68,7 @@
                 let open = w.observer.requests.iter();
                 let out: Vec<_> = open
                     .flat_map(|(id, r)| {
-                        r.tries
+                        r.attempts
                             .iter()
                             .enumerate()
                             .filter(|t| t.1.outcome.is_none())
@@ -109,21 +109,21 @@
                 let entries = vec![entry(server, state(s), started.then_some(w.now))];
                 w.feed(Event::List { kind: ListKind::Changes, entries })?;
             }
-            Op::Whole { count, kind } => {
+            Op::Replace { count, kind } => {
                 let kind = [ListKind::Full, ListKind::Cached, ListKind::Failed, ListKind::Full]
                     [usize::from(kind % 4)];
                 let count = if kind == ListKind::Failed { 0 } else { count };
                 let entries = (0..count).map(|s| entry(s % 7, ServerState::Ready, None)).collect();
                 w.feed(Event::List { kind, entries })?;
             }
-            Op::Leave { which } => {
+            Op::Disconnect { which } => {
                 let ids: Vec<_> = w.observer.requests.keys().copied().collect();
                 if let Some(&request) = ids.get(which % ids.len().max(1)) {
                     w.feed(Event::ClientGone { request })?;
                 }
             }
-            // Events about what the balancer does not hold are passed over.
-            Op::Stray(n) => {
+            // Events about unknown requests, servers and timers are ignored.
+            Op::Unknown(n) => {
                 let none = w.feed(ended(
                     n | 1 << 60,
                     0,
@@ -137,12 +137,12 @@
                 let (request, attempt) = (RequestId(n | 1 << 60), 3);
                 assert!(w.feed(Event::ResponseStarted { request, attempt, latency: ms(1) })?.is_empty());
                 let (server, outcome) = (ServerId(u32::MAX), Outcome::Served);
-                let stray = ProbeEnded { server, outcome, latency: ms(1), report: None };
-                assert!(w.feed(Event::ProbeEnded(stray))?.is_empty());
+                let ended = ProbeEnded { server, outcome, latency: ms(1), report: None };
+                assert!(w.feed(Event::ProbeEnded(ended))?.is_empty());
             }
         }
     }
-    // Whatever is still held ends by its own time.
+    // Remaining requests end by their deadlines.
     w.wait(ms(3000))?;
     Ok(w.log)
 }
@@ -156,38 +156,39 @@
         second_copies: true,
         ..settings()
     };
-    let silent =
+    let unreported =
         Settings { reports: Reports::Absent, reports_rate: false, subscribe_to_lists: true, ..settings() };
-    let weighed = Settings { use_listed_weights: true, max_attempts: 1, max_retry_after: None, ..settings() };
-    let placed_probing =
+    let weighted =
+        Settings { use_listed_weights: true, max_attempts: 1, max_retry_after: None, ..settings() };
+    let restricted_probing =
         Settings { classes: bound().classes, max_attempts: 5, second_copies: true, ..probing.clone() };
-    vec![plain, probing, silent, weighed, bound(), placed_probing]
+    vec![plain, probing, unreported, weighted, bound(), restricted_probing]
 }
 
 proptest! {
     #![proptest_config(Config { cases: 200, rng_seed: RngSeed::Fixed(20261128), failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn rules_hold_over_generated_events(ops in proptest::collection::vec(op(), 1..120), seed in any::<u64>()) {
+    fn rules_hold_for_random_events(ops in proptest::collection::vec(op(), 1..120), seed in any::<u64>()) {
         for settings in variants() {
-            if let Err(broken) = play(settings, &ops, seed) {
-                prop_assert!(false, "{}", broken);
+            if let Err(violation) = play(settings, &ops, seed) {
+                prop_assert!(false, "{}", violation);
             }
         }
     }
 
-    /// The same events and seed give the same actions.
+    /// Equal events and seeds give equal actions.
     #[test]
-    fn actions_are_determined_by_events_and_seed(ops in proptest::collection::vec(op(), 1..80), seed in any::<u64>()) {
+    fn actions_are_deterministic(ops in proptest::collection::vec(op(), 1..80), seed in any::<u64>()) {
         let first = play(settings(), &ops, seed);
         let _other = play(variants().remove(1), &ops, seed ^ 1);
         prop_assert_eq!(first, play(settings(), &ops, seed));
     }
 }
 
-/// The observer itself catches a planted violation of each rule.
+/// The observer detects a violation of each rule.
 #[test]
-fn observer_catches_planted_violations() {
+fn observer_detects_violations() {
     let send =
         |request, server| Action::Send { request: RequestId(request), server: ServerId(server), limit: None };
     let start = || {
@@ -195,13 +196,13 @@
         o.event(at(0), &list(8));
         for class in 0..5 {
             o.event(at(0), &arrival(u64::from(class), class));
-            o.action(at(0), &send(u64::from(class), 0)).expect("a first send is fine");
+            o.action(at(0), &send(u64::from(class), 0)).expect("a first send is allowed");
         }
         o
     };
     let refuse =
         |request| Action::Refuse { request: RequestId(request), wait: None, why: Refusal::BelowThreshold };
-    // Rule 1: no answer, two answers, a send after the end.
+    // Rule 1: no answer, two answers, a send after the final answer.
     assert_eq!(start().overdue(at(1020)), Some(RequestId(0)));
     assert_eq!(start().overdue(at(900)), None);
     let mut o = start();
@@ -209,8 +210,9 @@
     assert!(o.action(at(1), &refuse(0)).is_err());
     assert!(o.action(at(1), &Action::Fail { request: RequestId(0) }).is_err());
     assert!(o.action(at(1), &send(0, 1)).is_err());
-    // Rule 2: unsafe again, keyed outside its group or window, refused though it may have run, two out.
-    for (request, server, when, fine) in [
+    // Rule 2: an unsafe repeat, a keyed repeat outside its scope or window, a refusal although an attempt may
+    // have run, two attempts at once.
+    for (request, server, when, allowed) in [
         (0, 1, 1, true),
         (1, 0, 1, false),
         (2, 1, 1, true),
@@ -221,40 +223,40 @@
         (4, 2, 1, false),
     ] {
         let mut o = start();
-        assert!(o.action(at(1), &send(request, server)).is_err(), "two copies out");
+        assert!(o.action(at(1), &send(request, server)).is_err(), "two attempts at once");
         o.event(at(1), &ended(request, 0, ServerId(0), Outcome::Error, None));
         assert_eq!(
             o.action(at(when), &send(request, server)).is_ok(),
-            fine,
+            allowed,
             "{request} to {server} at {when}"
         );
         let mut o = start();
         o.event(at(1), &ended(request, 0, ServerId(0), Outcome::Error, None));
         assert_eq!(o.action(at(1), &refuse(request)).is_ok(), request == 0 || request == 2);
     }
-    // Rule 5: a first try and a further one outside the class's zone, kind, or both.
-    for (class, server, fine) in
+    // Rule 5: a first or a further attempt outside the class's zones, kinds, or both.
+    for (class, server, allowed) in
         [(0, 1, true), (0, 2, false), (1, 0, true), (1, 1, false), (2, 4, true), (2, 1, false), (3, 0, false)]
     {
-        for tried in [false, true] {
+        for repeat in [false, true] {
             let mut o = Observer::new(bound());
             o.event(at(0), &list(8));
             o.event(at(0), &arrival(1, class));
-            if tried {
+            if repeat {
                 if let Some(first) = [5, 3, 4].get(usize::from(class)) {
-                    o.action(at(0), &send(1, *first)).expect("open to the class");
+                    o.action(at(0), &send(1, *first)).expect("allowed for the class");
                     o.event(at(1), &ended(1, 0, ServerId(*first), Outcome::Rejected, None));
                 }
             }
-            assert_eq!(o.action(at(1), &send(1, server)).is_ok(), fine, "{class} to {server}");
+            assert_eq!(o.action(at(1), &send(1, server)).is_ok(), allowed, "{class} to {server}");
         }
     }
-    // Rule 3: a send after the grace.
-    for (when, fine) in [(260, true), (261, false)] {
+    // Rule 3: a send after the drain grace period.
+    for (when, allowed) in [(260, true), (261, false)] {
         let mut o = start();
         let entries = vec![entry(5, ServerState::Draining, None)];
         o.event(at(10), &Event::List { kind: ListKind::Changes, entries });
         o.event(at(11), &arrival(9, 0));
-        assert_eq!(o.action(at(when), &send(9, 5)).is_ok(), fine);
+        assert_eq!(o.action(at(when), &send(9, 5)).is_ok(), allowed);
     }
 }
