--- a/drill/src/host.rs
+++ b/drill/src/host.rs
@@ -1,50 +1,51 @@
-//! The table of instances: each event goes to its instance's balancer, its actions into the reply.
+//! The instances of a simulation: each event goes to its instance's balancer, whose actions go into the
+//! reply.
 
-use crate::wire::{frame_length, Batch, Record, Reply, WireError, HEADER};
+use crate::wire::{frame_length, Batch, Record, Reply, WireError, HEADER_LEN};
 use birchswitch_site::{self as site, ConfigError, ReportField};
 use finchvale::{Action, Balancer, SettingsError};
 use rustc_hash::FxHashMap;
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Why the host stops.
+/// Why the host stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
     /// A malformed frame.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// Settings that cannot be read.
+    /// Unreadable settings.
     #[error("record {at}: {source}")]
     Config {
-        /// Position of the record.
+        /// Index of the record.
         at: usize,
-        /// What is wrong.
+        /// The cause.
         source: ConfigError,
     },
-    /// Settings that make no sense.
+    /// Invalid settings.
     #[error("record {at}: settings: {source}")]
     Settings {
-        /// Position of the record.
+        /// Index of the record.
         at: usize,
-        /// What is wrong.
+        /// The cause.
         source: SettingsError,
     },
     /// An event before any `switch_to`.
-    #[error("record {at}: no instance named yet")]
-    Nobody {
-        /// Position of the record.
+    #[error("record {at}: no instance selected")]
+    NoInstance {
+        /// Index of the record.
         at: usize,
     },
-    /// An event for an instance that does not run.
-    #[error("record {at}: instance {instance} was never started")]
-    Unstarted {
-        /// Position of the record.
+    /// An event for an instance that is not running.
+    #[error("record {at}: instance {instance} is not running")]
+    UnknownInstance {
+        /// Index of the record.
         at: usize,
         /// The instance.
         instance: u32,
     },
     /// Reading or writing failed.
-    #[error("input or output: {0}")]
+    #[error("i/o error: {0}")]
     Io(#[from] io::Error),
 }
 
@@ -53,7 +54,7 @@
     fields: Vec<ReportField>,
 }
 
-/// All instances of this process.
+/// All instances in this process.
 #[derive(Default)]
 pub struct Host {
     instances: FxHashMap<u32, Instance>,
@@ -62,7 +63,7 @@
 }
 
 impl Host {
-    /// Answers one frame.
+    /// Handles one frame and returns the reply.
     pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, HostError> {
         let batch = Batch::parse(frame)?;
         self.reply.clear();
@@ -76,7 +77,7 @@
                     continue;
                 }
                 Ok(Record::Init { seed, config }) => {
-                    let id = current.ok_or(HostError::Nobody { at })?;
+                    let id = current.ok_or(HostError::NoInstance { at })?;
                     let config = site::parse(config).map_err(|source| HostError::Config { at, source })?;
                     let balancer = Balancer::new(config.settings, seed, batch.now)
                         .map_err(|source| HostError::Settings { at, source })?;
@@ -85,10 +86,10 @@
                 }
                 record => record,
             };
-            let id = current.ok_or(HostError::Nobody { at })?;
-            let instance = instance.ok_or(HostError::Unstarted { at, instance: id })?;
+            let id = current.ok_or(HostError::NoInstance { at })?;
+            let instance = instance.ok_or(HostError::UnknownInstance { at, instance: id })?;
             match event? {
-                Record::PowerOff => {
+                Record::Kill => {
                     self.instances.remove(&id);
                 }
                 Record::Event(event) => {
@@ -97,7 +98,7 @@
                         instance.balancer.handle(batch.now, event, actions);
                     }));
                     if !self.actions.is_empty() || outcome.is_err() {
-                        self.reply.on_behalf(id);
+                        self.reply.select_instance(id);
                     }
                     for action in self.actions.drain(..) {
                         self.reply.action(&action);
@@ -108,33 +109,33 @@
                             .cloned()
                             .or_else(|| payload.downcast_ref::<&str>().map(ToString::to_string))
                             .unwrap_or_else(|| "panic without a message".into());
-                        self.reply.give_in(&text);
+                        self.reply.report_panic(&text);
                         return Ok(self.reply.frame());
                     }
                 }
-                Record::Note | Record::SwitchTo(_) | Record::Init { .. } => {}
+                Record::PeerMessage | Record::SwitchTo(_) | Record::Init { .. } => {}
             }
         }
         Ok(self.reply.frame())
     }
 
-    /// Answers frames until the input ends between two of them.
+    /// Handles frames until the input ends at a frame boundary.
     pub fn run(&mut self, mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
         let mut frame = Vec::new();
         loop {
-            let mut header = [0; HEADER];
+            let mut header = [0; HEADER_LEN];
             let got = fill(&mut input, &mut header)?;
             if got == 0 {
                 return Ok(());
             }
-            if got < HEADER {
-                return Err(WireError::Truncated { got, want: HEADER }.into());
+            if got < HEADER_LEN {
+                return Err(WireError::Truncated { got, want: HEADER_LEN }.into());
             }
             let want = frame_length(&header)?;
             frame.clear();
             frame.extend_from_slice(&header);
-            let rest = (want - HEADER) as u64;
-            let got = HEADER + input.by_ref().take(rest).read_to_end(&mut frame)?;
+            let rest = (want - HEADER_LEN) as u64;
+            let got = HEADER_LEN + input.by_ref().take(rest).read_to_end(&mut frame)?;
             if got < want {
                 return Err(WireError::Truncated { got, want }.into());
             }
--- a/drill/src/lib.rs
+++ b/drill/src/lib.rs
@@ -1,6 +1,6 @@
-//! The simulator's side of finchvale: frames and a table of instances.
+//! Adapter between finchvale and the simulator: binary frames and the instances they address.
 //!
-//! Nothing here decides anything; each instance owns a [`finchvale::Balancer`] and shares nothing.
+//! It makes no decisions; each instance owns a [`finchvale::Balancer`] and shares no state.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,4 +1,4 @@
-//! `finchvale-drill`: answers the simulator's frames on standard input until it ends.
+//! `finchvale-drill`: handles the simulator's frames from standard input until it ends.
 
 #![forbid(unsafe_code)]
 
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's binary frames: big-endian records of fixed size and one shared tail.
+//! The simulator's binary frames: big-endian records of fixed size, followed by a variable part, the tail.
 
 use birchswitch_site::ReportField;
 use finchvale::{
@@ -7,94 +7,94 @@
 };
 use std::time::Duration;
 
-/// Bytes of a batch header.
-pub const HEADER: usize = 16;
-/// Bytes of an event record.
-pub const EVENT: usize = 48;
-/// Bytes of an action record.
-pub const ACTION: usize = 24;
-/// Bytes of a list entry.
-pub const ENTRY: usize = 21;
-/// Longest frame that is read, in bytes: far above any real batch, so that a broken length fails fast.
-pub const LONGEST: usize = 1 << 30;
+/// Length of a frame header in bytes.
+pub const HEADER_LEN: usize = 16;
+/// Length of an event record in bytes.
+pub const EVENT_LEN: usize = 48;
+/// Length of an action record in bytes.
+pub const ACTION_LEN: usize = 24;
+/// Length of a list entry in bytes.
+pub const ENTRY_LEN: usize = 21;
+/// Maximum length of a frame in bytes. Real frames are far shorter; the limit detects corrupt lengths early.
+pub const MAX_FRAME_LEN: usize = 1 << 30;
 
-/// What is wrong with a frame, and where.
+/// Error in a frame, with its position.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum WireError {
-    /// The header's length cannot be right.
-    #[error("frame header: length {0} is impossible")]
+    /// The length in the header is invalid.
+    #[error("frame header: invalid length {0}")]
     Length(usize),
-    /// The records do not fit into the frame.
+    /// The records exceed the frame.
     #[error("frame header: {count} records do not fit into {len} bytes")]
     Count {
-        /// Records announced.
+        /// Number of records in the header.
         count: usize,
-        /// Bytes of the frame.
+        /// Length of the frame in bytes.
         len: usize,
     },
-    /// The input ended inside a frame.
+    /// The input ended within a frame.
     #[error("frame: input ends after {got} of {want} bytes")]
     Truncated {
         /// Bytes read.
         got: usize,
-        /// Bytes announced.
+        /// Bytes expected.
         want: usize,
     },
-    /// No such event.
+    /// An unknown event code.
     #[error("record {at}: unknown event code {code}")]
     Code {
-        /// Position of the record.
+        /// Index of the record.
         at: usize,
-        /// Its code.
+        /// The code.
         code: u8,
     },
-    /// A field holds a value that has no meaning.
+    /// An invalid value in a field.
     #[error("record {at}: {field} {value} is unknown")]
     Value {
-        /// Position of the record.
+        /// Index of the record.
         at: usize,
-        /// Its field.
+        /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// The value.
         value: u64,
     },
-    /// A field points outside the tail.
+    /// A field refers to bytes outside the tail.
     #[error("record {at}: {field} reaches outside the tail")]
     Tail {
-        /// Position of the record.
+        /// Index of the record.
         at: usize,
-        /// Its field.
+        /// Name of the field.
         field: &'static str,
     },
 }
 
-/// One frame of events, checked for size.
+/// One frame of events, with valid lengths.
 #[derive(Debug)]
 pub struct Batch<'a> {
-    /// Its clock.
+    /// The time at which the events occur.
     pub now: Time,
     count: usize,
     records: &'a [u8],
     tail: &'a [u8],
 }
 
-/// A record of a batch.
+/// A record of a frame.
 #[derive(Debug)]
 pub enum Record<'a> {
-    /// The records after it concern this instance.
+    /// The following records concern this instance.
     SwitchTo(u32),
-    /// The instance starts, empty.
+    /// The instance starts without state.
     Init {
-        /// Seed of its random numbers.
+        /// Seed of its random number generator.
         seed: u64,
-        /// JSON settings.
+        /// Settings as JSON.
         config: &'a [u8],
     },
     /// The instance is killed.
-    PowerOff,
-    /// A message from a peer; no balancer of this project sends any.
-    Note,
-    /// Something for the balancer.
+    Kill,
+    /// A message from another instance; balancers send none.
+    PeerMessage,
+    /// An event for the balancer.
     Event(Event),
 }
 
@@ -102,10 +102,10 @@
     bytes[at..at + N].iter().fold(0, |v, b| v << 8 | u64::from(*b))
 }
 
-/// The length announced by a header, if it can be right.
-pub fn frame_length(header: &[u8; HEADER]) -> Result<usize, WireError> {
+/// The length in a header, if it is valid.
+pub fn frame_length(header: &[u8; HEADER_LEN]) -> Result<usize, WireError> {
     let len = int::<4>(header, 0) as usize;
-    if (HEADER..=LONGEST).contains(&len) {
+    if (HEADER_LEN..=MAX_FRAME_LEN).contains(&len) {
         Ok(len)
     } else {
         Err(WireError::Length(len))
@@ -113,17 +113,17 @@
 }
 
 impl<'a> Batch<'a> {
-    /// Takes a whole frame apart.
+    /// Parses the header of a complete frame.
     pub fn parse(frame: &'a [u8]) -> Result<Self, WireError> {
-        if frame.len() < HEADER || int::<4>(frame, 0) as usize != frame.len() {
+        if frame.len() < HEADER_LEN || int::<4>(frame, 0) as usize != frame.len() {
             return Err(WireError::Length(frame.len()));
         }
         let count = int::<4>(frame, 12) as usize;
-        let body = &frame[HEADER..];
-        if count > body.len() / EVENT {
+        let body = &frame[HEADER_LEN..];
+        if count > body.len() / EVENT_LEN {
             return Err(WireError::Count { count, len: frame.len() });
         }
-        let (records, tail) = body.split_at(count * EVENT);
+        let (records, tail) = body.split_at(count * EVENT_LEN);
         Ok(Batch { now: Time(int::<8>(frame, 4)), count, records, tail })
     }
 
@@ -132,14 +132,14 @@
         self.count
     }
 
-    /// Whether there are none.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Reads record `at`; `fields` is the order of figures in the current instance's load reports.
+    /// Parses record `at`; `fields` gives the order of values in the load reports of the current instance.
     pub fn record(&self, at: usize, fields: &[ReportField]) -> Result<Record<'a>, WireError> {
-        let r = &self.records[at * EVENT..(at + 1) * EVENT];
+        let r = &self.records[at * EVENT_LEN..(at + 1) * EVENT_LEN];
         let request = || RequestId(int::<8>(r, 1));
         let ns = |offset| Duration::from_nanos(int::<8>(r, offset));
         Ok(match r[0] {
@@ -148,10 +148,10 @@
                 seed: int::<8>(r, 1),
                 config: self.tail_slice(at, "config", int::<4>(r, 9), int::<4>(r, 13), 1)?,
             },
-            18 => Record::PowerOff,
+            18 => Record::Kill,
             23 => {
                 self.tail_slice(at, "content", int::<4>(r, 5), int::<4>(r, 9), 1)?;
-                Record::Note
+                Record::PeerMessage
             }
             16 => Record::Event(self.list(at, r)?),
             19 => Record::Event(Event::Arrival(Arrival {
@@ -209,9 +209,9 @@
             3 => ListKind::Full,
             other => return Err(WireError::Value { at, field: "kind", value: u64::from(other) }),
         };
-        let lines = self.tail_slice(at, "entries", int::<4>(r, 10), int::<4>(r, 14), ENTRY)?;
-        let mut entries = Vec::with_capacity(lines.len() / ENTRY);
-        for e in lines.chunks_exact(ENTRY) {
+        let lines = self.tail_slice(at, "entries", int::<4>(r, 10), int::<4>(r, 14), ENTRY_LEN)?;
+        let mut entries = Vec::with_capacity(lines.len() / ENTRY_LEN);
+        for e in lines.chunks_exact(ENTRY_LEN) {
             entries.push(ServerEntry {
                 server: ServerId(int::<4>(e, 0) as u32),
                 name: int::<4>(e, 0),
@@ -269,16 +269,16 @@
     records: Vec<u8>,
     count: u32,
     tail: Vec<u8>,
-    whose: Option<u32>,
+    instance: Option<u32>,
 }
 
 impl Reply {
-    /// Starts the next reply.
+    /// Clears it for the next reply.
     pub fn clear(&mut self) {
         self.records.clear();
         self.tail.clear();
         self.count = 0;
-        self.whose = None;
+        self.instance = None;
     }
 
     fn record(&mut self, code: u8, parts: &[&[u8]]) {
@@ -287,7 +287,7 @@
         for part in parts {
             self.records.extend_from_slice(part);
         }
-        self.records.resize(start + ACTION, 0);
+        self.records.resize(start + ACTION_LEN, 0);
         self.count += 1;
     }
 
@@ -297,15 +297,15 @@
         self.tail.extend_from_slice(text.as_bytes());
     }
 
-    /// The records that follow belong to `instance`.
-    pub fn on_behalf(&mut self, instance: u32) {
-        if self.whose != Some(instance) {
-            self.whose = Some(instance);
+    /// Selects the instance to which the following records belong.
+    pub fn select_instance(&mut self, instance: u32) {
+        if self.instance != Some(instance) {
+            self.instance = Some(instance);
             self.record(24, &[&instance.to_be_bytes()]);
         }
     }
 
-    /// Adds one action of the current instance.
+    /// Adds an action of the current instance.
     pub fn action(&mut self, action: &Action) {
         let ns = |d: &Option<Duration>| d.map_or(0, |d| d.as_nanos() as u64).to_be_bytes();
         match action {
@@ -328,12 +328,12 @@
         }
     }
 
-    /// Says that the current instance's decision code has failed.
-    pub fn give_in(&mut self, text: &str) {
+    /// Reports a panic in the decisions of the current instance.
+    pub fn report_panic(&mut self, text: &str) {
         self.text(18, text);
     }
 
-    /// The finished frame.
+    /// The encoded frame.
     pub fn frame(&self) -> Vec<u8> {
         let len = 8 + self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(len);
