--- a/drill/tests/wire.rs
+++ b/drill/tests/wire.rs
@@ -229,7 +229,7 @@
     let (success, out, err) = run(&empty);
     assert!(success && err.is_empty());
     assert_eq!(out, hex("00000000 00000008"));
-    for (input, word) in [
+    for (input, expected) in [
         (&empty[..7], "7 of 16"),
         (&hex("00000004 0000000000000001 00000000")[..], "length 4"),
         (&hex("00000020 0000000000000001 00000000")[..], "16 of 32"),
@@ -237,6 +237,6 @@
     ] {
         let (success, out, err) = run(input);
         assert!(!success && out.is_empty());
-        assert!(err.contains(word) && err.lines().count() == 1, "{err}");
+        assert!(err.contains(expected) && err.lines().count() == 1, "{err}");
     }
 }
--- a/src/policy/aperture.rs
+++ b/src/policy/aperture.rs
@@ -43,11 +43,11 @@
     // The share left by its price, relative to a server with the usual price: [1/(price + 1/2) - 1].
     let usual = b.market_price.min(b.mean_price);
     let share = |k: usize| 1.0 / (0.5 + (inputs[k].price - usual).max(0.0)) - 1.0;
-    let (mut fit, mut able) = (0.0, 0.0);
+    let (mut full_count, mut bounded_count) = (0.0, 0.0);
     let enough = |k: &usize| {
-        fit += (share(*k) / COUNTED_SHARE).clamp(0.0, 1.0);
-        able += share(*k).min(inputs[*k].max_share).clamp(0.0, 1.0);
-        fit > wanted - 1e-9 && able > MIN_APERTURE.min(wanted) - 1e-9
+        full_count += (share(*k) / COUNTED_SHARE).clamp(0.0, 1.0);
+        bounded_count += share(*k).min(inputs[*k].max_share).clamp(0.0, 1.0);
+        full_count > wanted - 1e-9 && bounded_count > MIN_APERTURE.min(wanted) - 1e-9
     };
     let needed = open.iter().position(enough).map_or(all, |last| last + 1) as f64;
     m.aperture_size = needed
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -53,12 +53,12 @@
 
 /// Sends the probes that pay off, or chooses a server if none do.
 fn proceed(b: &mut Balancer, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-    let asking = b.requests.get(&id).map(|r| select_probes(b, now, r)).unwrap_or_default();
-    if asking.is_empty() {
+    let selected = b.requests.get(&id).map(|r| select_probes(b, now, r)).unwrap_or_default();
+    if selected.is_empty() {
         return choose(b, now, id, actions);
     }
     let wait = PROBE_TIMEOUT * b.probe_latency;
-    for at in asking {
+    for at in selected {
         let Some(r) = b.requests.get_mut(&id) else { return };
         r.candidates[at].1 = ProbeState::Pending;
         let Some(&i) = b.index.get(&r.candidates[at].0) else { continue };
@@ -84,16 +84,16 @@
     if price <= 0.0 {
         return can_probe().take(left).map(|p| p.at).collect();
     }
-    let mut asking: Vec<usize> = Vec::new();
+    let mut selected: Vec<usize> = Vec::new();
     let mut combined_worth = WorthDistribution::none();
     let best = |excluded: &[usize]| {
         candidates.iter().filter(|p| !excluded.contains(&p.at)).map(|p| p.mean).fold(0.0, f64::max)
     };
     let mut best_so_far = best(&[]);
-    while asking.len() < left {
-        let more = can_probe().filter(|p| !asking.contains(&p.at)).map(|p| {
+    while selected.len() < left {
+        let more = can_probe().filter(|p| !selected.contains(&p.at)).map(|p| {
             let combined = combined_worth.max(&p.worth);
-            let excluded = [&asking[..], &[p.at]].concat();
+            let excluded = [&selected[..], &[p.at]].concat();
             (combined.expected(best(&excluded)), p.at, combined)
         });
         let Some((value, at, combined)) = more.max_by(|x, y| x.0.total_cmp(&y.0)) else { break };
@@ -101,9 +101,9 @@
             break;
         }
         (best_so_far, combined_worth) = (value, combined);
-        asking.push(at);
+        selected.push(at);
     }
-    asking
+    selected
 }
 
 /// Evaluates each candidate.
--- a/src/policy/tests/aperture.rs
+++ b/src/policy/tests/aperture.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 /// A node as started in a fleet with a price for probes.
-fn node(me: Option<u32>, nodes: u32, seed: u64) -> Balancer {
+fn node(index: Option<u32>, nodes: u32, seed: u64) -> Balancer {
     let prices = Prices { probe: 0.08, handshake: 0.08 };
     let reports = Reports::ByProbe;
     let base = Settings { reports, reports_rate: false, may_probe: true, prices, ..settings() };
-    Balancer::new(Settings { node_index: me, nodes, ..base }, seed, at(0)).expect("valid settings")
+    Balancer::new(Settings { node_index: index, nodes, ..base }, seed, at(0)).expect("valid settings")
 }
 
-fn with_list(me: Option<u32>, nodes: u32, seed: u64, servers: impl Iterator<Item = u32>) -> Balancer {
-    let mut b = node(me, nodes, seed);
+fn with_list(index: Option<u32>, nodes: u32, seed: u64, servers: impl Iterator<Item = u32>) -> Balancer {
+    let mut b = node(index, nodes, seed);
     let entries = servers.map(|s| entry(s, ServerState::Ready, None)).collect();
     b.handle(at(0), Event::List { kind: ListKind::Full, entries }, &mut vec![]);
     admission::refresh(&mut b, at(1));
@@ -43,12 +43,12 @@
 
 #[test]
 fn all_apertures_together_lie_evenly_on_the_servers() {
-    let all = |me: fn(u32) -> Option<u32>, nodes: u32| {
-        coverage((0..300).map(|n| with_list(me(n), nodes, u64::from(n), 0..200)), 200)
+    let all = |index: fn(u32) -> Option<u32>, nodes: u32| {
+        coverage((0..300).map(|n| with_list(index(n), nodes, u64::from(n), 0..200)), 200)
     };
-    let told = all(Some, 300);
-    assert!(max_over_mean(&told) < 1.15, "{told:?}");
-    assert!(told.iter().all(|c| *c >= 6.0), "{told:?}");
+    let configured = all(Some, 300);
+    assert!(max_over_mean(&configured) < 1.15, "{configured:?}");
+    assert!(configured.iter().all(|c| *c >= 6.0), "{configured:?}");
     // Without indices the positions are random; in a fleet that has grown beyond its configured size, two
     // nodes share a position.
     assert!(max_over_mean(&all(|_| None, 300)) < 2.2);
@@ -114,8 +114,8 @@
         b.solved_at = None;
         admission::refresh(&mut b, at(700));
         let now = open(&b);
-        let sound = now.iter().filter(|s| !failed.contains(s)).count();
-        assert!(sound >= MIN_APERTURE as usize, "{outcome:?}: {sound} working servers in {now:?}");
+        let working = now.iter().filter(|s| !failed.contains(s)).count();
+        assert!(working >= MIN_APERTURE as usize, "{outcome:?}: {working} working servers in {now:?}");
         assert!(now.len() < 40, "wider than needed: {}", now.len());
     }
 }
@@ -165,8 +165,8 @@
         let i = b.index[server];
         b.servers[i].in_flight.push(at(1000));
     }
-    let spoke = b.index[&first[0]];
-    b.servers[spoke].last_response = at(1001);
+    let responsive = b.index[&first[0]];
+    b.servers[responsive].last_response = at(1001);
     admission::refresh(&mut b, late);
     let now = open(&b);
     let usual = share(&b, 1, first[0].0);
--- a/src/policy/tests/market.rs
+++ b/src/policy/tests/market.rs
@@ -112,8 +112,8 @@
                 held += 1;
             }
             let (held, waiting) = (Some(f64::from(held)), Some(f64::from((held - 2).max(0))));
-            let told = LoadReport { held, waiting, rate: Some(2.0 * busy / 0.07), ..LoadReport::default() };
-            market::record_report(&mut b, at(k * 100), ServerId(0), &told);
+            let counts = LoadReport { held, waiting, rate: Some(2.0 * busy / 0.07), ..LoadReport::default() };
+            market::record_report(&mut b, at(k * 100), ServerId(0), &counts);
             let i = b.index[&ServerId(0)];
             loads += if k < 100 { 0.0 } else { b.servers[i].load.expect("load is reported") / 300.0 };
         }
@@ -201,8 +201,8 @@
     let hung = sent(&mut b, at(0), 1).expect("sent");
     let i = b.index[&hung];
     step(&mut b, i, at(3000));
-    let dear = b.servers[i].price;
-    assert!(dear > 0.5, "{dear}");
+    let raised = b.servers[i].price;
+    assert!(raised > 0.5, "{raised}");
     // Once it has answered, the price drifts back.
     b.handle(at(3000), ended(1, 0, hung, Outcome::Served, None), &mut vec![]);
     for k in 0..400 {
@@ -324,7 +324,7 @@
         let settings = Settings { nodes: 1, use_listed_weights: true, ..settings() };
         let mut b = Balancer::new(settings, 7, at(0)).expect("valid settings");
         b.handle(at(0), list(servers), &mut vec![]);
-        let (mut drawn, mut meant) = (vec![0.0; servers as usize], vec![0.0; servers as usize]);
+        let (mut drawn, mut expected) = (vec![0.0; servers as usize], vec![0.0; servers as usize]);
         let (mut solved, mut last) = (0, None);
         for k in 0..40_000u64 {
             let now = at(k / 4);
@@ -342,15 +342,15 @@
             solved += u32::from(std::mem::replace(&mut last, b.solved_at) != b.solved_at);
             drawn[server.0 as usize] += 1.0;
             for (&i, share) in b.ready.iter().zip(&b.markets[0].shares) {
-                meant[b.servers[i].id.0 as usize] += share / f64::from(servers);
+                expected[b.servers[i].id.0 as usize] += share / f64::from(servers);
             }
             b.handle(now, ended(k, 0, server, Outcome::Served, None), &mut vec![]);
         }
         // Ten seconds of ticks, regardless of the number of requests and servers.
         assert!(solved <= 201, "{solved} solver runs for {servers} servers");
         for s in 0..servers as usize {
-            let noise = 5.0 * meant[s].sqrt() + 5.0;
-            assert!((drawn[s] - meant[s]).abs() < noise, "server {s}: {} for {}", drawn[s], meant[s]);
+            let noise = 5.0 * expected[s].sqrt() + 5.0;
+            assert!((drawn[s] - expected[s]).abs() < noise, "server {s}: {} for {}", drawn[s], expected[s]);
         }
         let price = |s: u32| b.servers[b.index[&ServerId(s)]].price;
         assert!(price(1) > 0.05 && price(0) == 0.0, "{} {}", price(1), price(0));
@@ -469,9 +469,9 @@
         confidence,
     };
     let even = shares(&mut b, 0);
-    let said =
+    let adjustments =
         vec![adjustment(0, 0.05, 1.0, 0.0), adjustment(1, 1.0, 1.6, 1.0), adjustment(9, 0.0, 1.0, 0.0)];
-    b.handle(at(3000), Event::Adjustments(said), &mut vec![]);
+    b.handle(at(3000), Event::Adjustments(adjustments), &mut vec![]);
     let moved = shares(&mut b, 3);
     assert!(moved[0] <= 0.0501 && moved[0] > 0.0, "{moved:?}");
     assert!(moved[1] > even[1] * 1.2 && moved[1] > moved[2] * 1.2, "{even:?} {moved:?}");
--- a/src/policy/tests/probes.rs
+++ b/src/policy/tests/probes.rs
@@ -19,21 +19,24 @@
             Event::Arrival(Arrival { request, class, tenant, remaining: ms(900), work, body_complete: true }),
             &mut actions,
         );
-        let asked: Vec<ServerId> = actions
+        let probed_servers: Vec<ServerId> = actions
             .iter()
             .filter_map(|a| if let Action::Probe { server } = a { Some(*server) } else { None })
             .collect();
-        assert_eq!(asked.len(), MAX_PROBES);
+        assert_eq!(probed_servers.len(), MAX_PROBES);
         actions.clear();
-        for (k, server) in asked.iter().enumerate() {
+        for (k, server) in probed_servers.iter().enumerate() {
             let report = Some(LoadReport { held: Some(held(k)), ..report(0.5, 0.0) });
             let p = ProbeEnded { server: *server, outcome: Outcome::Served, latency: ms(1), report };
             b.handle(at(2), Event::ProbeEnded(p), &mut actions);
         }
-        (asked, actions)
+        (probed_servers, actions)
     };
-    let (asked, actions) = probed(&|k| if k == 3 { 0.0 } else { 2.0 });
-    assert!(matches!(actions[..], [Action::Send { server, .. }] if server == asked[3]), "{actions:?}");
+    let (probed_servers, actions) = probed(&|k| if k == 3 { 0.0 } else { 2.0 });
+    assert!(
+        matches!(actions[..], [Action::Send { server, .. }] if server == probed_servers[3]),
+        "{actions:?}"
+    );
     let (_, actions) = probed(&|_| 9.0);
     assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
 }
