--- a/src/policy/aperture.rs
+++ b/src/policy/aperture.rs
@@ -18,7 +18,7 @@
 /// Part of its normal share from which a server counts in full.
 const COUNTED_SHARE: f64 = 0.5;
 /// Number of earlier probes to assume when evaluating whether one more pays off.
-const FREE_PROBES: usize = 4;
+const ASSUMED_PROBES: usize = 4;
 /// Time constant in seconds with which a widened aperture narrows.
 const SHRINK_TIME: f64 = 5.0;
 
@@ -65,7 +65,7 @@
     let usual =
         usual.map(|(held, p)| (Estimate::queued(b, held as f64, work).worth(work, aim, aim, false), *p));
     let one = WorthDistribution::new(usual);
-    let many = (1..FREE_PROBES).fold(one, |many, _| many.max(&one));
+    let many = (1..ASSUMED_PROBES).fold(one, |many, _| many.max(&one));
     many.max(&one).expected(0.0) - many.expected(0.0) >= b.settings.prices.probe
 }
 
