--- a/src/policy/tests/attempts.rs
+++ b/src/policy/tests/attempts.rs
@@ -40,7 +40,7 @@
 /// of those are down or were tried.
 #[test]
 fn classes_use_only_their_placement() {
-    let mut b = Balancer::new(bound(), 7, at(0)).expect("valid settings");
+    let mut b = Balancer::new(restricted_settings(), 7, at(0)).expect("valid settings");
     b.handle(at(0), list(9), &mut vec![]);
     admission::refresh(&mut b, at(0));
     let m = &b.markets[1];
--- a/src/policy/tests/helpers.rs
+++ b/src/policy/tests/helpers.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::*;
 use crate::state::Balancer;
-pub(crate) use common::{arrival, at, bound, ended, entry, list, ms, report, settings};
+pub(crate) use common::{arrival, at, ended, entry, list, ms, report, restricted_settings, settings};
 
 /// The share of a server for a class.
 pub(crate) fn share(b: &Balancer, class: usize, server: u32) -> f64 {
--- a/src/policy/tests/probes.rs
+++ b/src/policy/tests/probes.rs
@@ -214,7 +214,7 @@
     let b = balancer_with_probe_price(0.08, 20);
     let candidates: Vec<_> = (0..5).map(|k| (ServerId(k), ProbeState::NotSent)).collect();
     let (class, arrived, deadline) = (ClassId(1), at(0), at(900));
-    let buys = |worth| {
+    let probe_count = |worth| {
         let (candidates, attempts, work) = (candidates.clone(), vec![], Some(0.1));
         let r = Request {
             class,
@@ -231,8 +231,8 @@
         };
         select_probes(&b, at(1), &r).len()
     };
-    assert_eq!(buys(0.1), 0);
-    assert!(buys(10.0) > buys(1.0), "{} and {}", buys(10.0), buys(1.0));
+    assert_eq!(probe_count(0.1), 0);
+    assert!(probe_count(10.0) > probe_count(1.0), "{} and {}", probe_count(10.0), probe_count(1.0));
 }
 
 /// The unknown load of a server is estimated from similar servers. During a release nodes assumed that
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -129,20 +129,20 @@
 
 pub struct ObservedRequest {
     pub class: ClassId,
-    pub ends: Time,
-    pub open: bool,
+    pub deadline: Time,
+    pub answer_due: bool,
     pub attempts: Vec<ObservedAttempt>,
 }
 
 /// The same settings with classes restricted to a zone, to kinds, to both, and to a kind that does not exist.
-pub fn bound() -> Settings {
-    let mut bound = settings();
-    bound.classes[0].zones = Some(vec![ZoneId(1)]);
-    bound.classes[1].kinds = Some(vec![KindId(0), KindId(2)]);
-    bound.classes[2].zones = Some(vec![ZoneId(0)]);
-    bound.classes[2].kinds = Some(vec![KindId(1)]);
-    bound.classes[3].kinds = Some(vec![KindId(9)]);
-    bound
+pub fn restricted_settings() -> Settings {
+    let mut restricted = settings();
+    restricted.classes[0].zones = Some(vec![ZoneId(1)]);
+    restricted.classes[1].kinds = Some(vec![KindId(0), KindId(2)]);
+    restricted.classes[2].zones = Some(vec![ZoneId(0)]);
+    restricted.classes[2].kinds = Some(vec![KindId(1)]);
+    restricted.classes[3].kinds = Some(vec![KindId(9)]);
+    restricted
 }
 
 /// Observes events and actions, and reports the rule that an action violates.
@@ -181,20 +181,22 @@
                 }
             }
             Event::Arrival(a) => {
-                let (class, ends) = (a.class, now + a.remaining);
-                self.requests
-                    .insert(a.request, ObservedRequest { class, ends, open: true, attempts: vec![] });
+                let (class, deadline) = (a.class, now + a.remaining);
+                self.requests.insert(
+                    a.request,
+                    ObservedRequest { class, deadline, answer_due: true, attempts: vec![] },
+                );
             }
             Event::AttemptEnded(e) => {
                 let Some(r) = self.requests.get_mut(&e.request) else { return };
                 if let Some(t) = r.attempts.get_mut(e.attempt as usize) {
                     t.outcome = Some(e.outcome);
                 }
-                r.open &= !e.closed;
+                r.answer_due &= !e.closed;
             }
             Event::ClientGone { request } => {
                 if let Some(r) = self.requests.get_mut(request) {
-                    r.open = false;
+                    r.answer_due = false;
                 }
             }
             Event::ResponseStarted { .. }
@@ -211,7 +213,7 @@
         match action {
             Action::Send { request, server, limit } => {
                 let Some(r) = self.requests.get_mut(request) else { return violation("unknown request") };
-                if !r.open || now > r.ends {
+                if !r.answer_due || now > r.deadline {
                     return violation("rule 1, sent after the final answer or deadline");
                 }
                 let Some(place) = self.servers.get(server) else { return violation("unknown server") };
@@ -249,7 +251,7 @@
                         return violation("rule 2, repeated although it may have run");
                     }
                 }
-                let limit = limit.map_or(r.ends, |l| (now + l).min(r.ends));
+                let limit = limit.map_or(r.deadline, |l| (now + l).min(r.deadline));
                 r.attempts.push(ObservedAttempt { server: *server, sent: now, limit, outcome: None });
             }
             Action::Refuse { request, .. } => {
@@ -262,13 +264,13 @@
                 if !allowed {
                     return violation("rule 2, refused although it may have run");
                 }
-                if !std::mem::take(&mut r.open) {
+                if !std::mem::take(&mut r.answer_due) {
                     return violation("rule 1, a second answer");
                 }
             }
             Action::Fail { request } => {
                 let Some(r) = self.requests.get_mut(request) else { return violation("unknown request") };
-                if !std::mem::take(&mut r.open) {
+                if !std::mem::take(&mut r.answer_due) {
                     return violation("rule 1, a second answer");
                 }
             }
@@ -297,7 +299,7 @@
 
     /// Rule 1: a request whose answer is overdue.
     pub fn overdue(&self, now: Time) -> Option<RequestId> {
-        self.requests.iter().find(|(_, r)| r.open && now >= r.ends + ms(20)).map(|(id, _)| *id)
+        self.requests.iter().find(|(_, r)| r.answer_due && now >= r.deadline + ms(20)).map(|(id, _)| *id)
     }
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -77,8 +77,8 @@
                     .collect();
                 if let Some(&(id, n, server)) = out.get(which % out.len().max(1)) {
                     let outcome = outcome(o);
-                    let closed =
-                        outcome == Outcome::Served || (closed && !w.observer.requests[&RequestId(id)].open);
+                    let closed = outcome == Outcome::Served
+                        || (closed && !w.observer.requests[&RequestId(id)].answer_due);
                     let report = Some(report(busy, busy * 100.0));
                     let (request, latency) = (RequestId(id), ms(30));
                     w.feed(Event::AttemptEnded(AttemptEnded {
@@ -160,9 +160,13 @@
         Settings { reports: Reports::Absent, reports_rate: false, subscribe_to_lists: true, ..settings() };
     let weighted =
         Settings { use_listed_weights: true, max_attempts: 1, max_retry_after: None, ..settings() };
-    let restricted_probing =
-        Settings { classes: bound().classes, max_attempts: 5, second_copies: true, ..probing.clone() };
-    vec![plain, probing, unreported, weighted, bound(), restricted_probing]
+    let restricted_probing = Settings {
+        classes: restricted_settings().classes,
+        max_attempts: 5,
+        second_copies: true,
+        ..probing.clone()
+    };
+    vec![plain, probing, unreported, weighted, restricted_settings(), restricted_probing]
 }
 
 proptest! {
@@ -239,7 +243,7 @@
         [(0, 1, true), (0, 2, false), (1, 0, true), (1, 1, false), (2, 4, true), (2, 1, false), (3, 0, false)]
     {
         for repeat in [false, true] {
-            let mut o = Observer::new(bound());
+            let mut o = Observer::new(restricted_settings());
             o.event(at(0), &list(8));
             o.event(at(0), &arrival(1, class));
             if repeat {
