--- a/crates/figures/src/lib.rs
+++ b/crates/figures/src/lib.rs
@@ -38,7 +38,7 @@
 use std::rc::Rc;
 
 /// Why the figures can't be set up: a name is registered twice, or is none.
-pub type FiguresError = prometheus::Error;
+pub type MetricsError = prometheus::Error;
 
 /// How a request ended, in the terms of the figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 const DISPOSITIONS: [&str; 3] = ["succeeded", "declined", "aborted"];
 
 /// See the crate's own words. Counts from 0 with each process.
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     /// For each class, in the order of [`Disposition`].
     results: Vec<[IntCounter; 3]>,
@@ -87,7 +87,7 @@
 
 /// What a node knows and counts of the others.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ClusterFigures {
+pub struct ClusterMetrics {
     /// Others by state: alive, suspect, dead, left.
     pub members: [usize; 4],
     /// Datagrams and bytes sent.
@@ -97,27 +97,27 @@
     /// Datagrams dropped.
     pub dropped: u64,
     /// Suspicions, refutations, verdicts.
-    pub told: [u64; 3],
+    pub detection_counts: [u64; 3],
     /// 0 to 8.
     pub health: u32,
 }
 
 /// What a node knows and counts of leases.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LeaseFigures {
+pub struct LeaseMetrics {
     /// Held at this node.
     pub held: usize,
     /// Waited for at this node.
     pub waiting: usize,
     /// Granted, lost, refused, voted for.
-    pub told: [u64; 4],
+    pub outcome_counts: [u64; 4],
 }
 
 /// A collector, told to the registry.
 fn kept<C: Collector + Clone + 'static>(
     registry: &Registry,
-    collector: Result<C, FiguresError>,
-) -> Result<C, FiguresError> {
+    collector: Result<C, MetricsError>,
+) -> Result<C, MetricsError> {
     let collector = collector?;
     registry.register(Box::new(collector.clone())).map(|()| collector)
 }
@@ -128,7 +128,7 @@
 }
 
 /// What is made and registered at its first use. Names are fixed, so that it can't fail.
-fn once<T>(cell: &OnceCell<T>, new: impl FnOnce() -> Result<T, FiguresError>) -> Option<&T> {
+fn once<T>(cell: &OnceCell<T>, new: impl FnOnce() -> Result<T, MetricsError>) -> Option<&T> {
     if cell.get().is_none() {
         new().ok().map(|value| cell.set(value));
     }
@@ -141,7 +141,7 @@
 }
 
 impl LeaseGauges {
-    fn new(registry: &Registry) -> Result<Self, FiguresError> {
+    fn new(registry: &Registry) -> Result<Self, MetricsError> {
         let counter = |name: &str, help: &str| kept(registry, IntCounter::new(name, help));
         let leases = Opts::new("leases", "Leases at this node.");
         Ok(LeaseGauges {
@@ -155,10 +155,10 @@
         })
     }
 
-    fn set(&self, now: &LeaseFigures) {
+    fn set(&self, now: &LeaseMetrics) {
         self.leases.with_label_values(&["held"]).set(now.held as i64);
         self.leases.with_label_values(&["waiting"]).set(now.waiting as i64);
-        self.told.iter().zip(now.told).for_each(|(counter, value)| raise(counter, value));
+        self.told.iter().zip(now.outcome_counts).for_each(|(counter, value)| raise(counter, value));
     }
 }
 
@@ -171,11 +171,11 @@
     health: IntGauge,
 }
 
-/// The labels of [`ClusterFigures::members`], in their order.
+/// The labels of [`ClusterMetrics::members`], in their order.
 const STATES: [&str; 4] = ["alive", "suspect", "dead", "left"];
 
 impl Cluster {
-    fn new(registry: &Registry) -> Result<Self, FiguresError> {
+    fn new(registry: &Registry) -> Result<Self, MetricsError> {
         let counter = |name: &str, help: &str| kept(registry, IntCounter::new(name, help));
         let ways =
             |name: &str, help: &str| kept(registry, IntCounterVec::new(Opts::new(name, help), &["way"]));
@@ -200,7 +200,7 @@
         })
     }
 
-    fn set(&self, now: &ClusterFigures) {
+    fn set(&self, now: &ClusterMetrics) {
         for (label, count) in STATES.iter().zip(now.members) {
             self.members.with_label_values(&[label]).set(count as i64);
         }
@@ -209,14 +209,14 @@
             raise(&self.bytes.with_label_values(&[way]), bytes);
         }
         raise(&self.dropped, now.dropped);
-        self.told.iter().zip(now.told).for_each(|(counter, value)| raise(counter, value));
+        self.told.iter().zip(now.detection_counts).for_each(|(counter, value)| raise(counter, value));
         self.health.set(now.health.into());
     }
 }
 
-impl Figures {
+impl Metrics {
     /// Starts at 0, for classes of these names.
-    pub fn new(classes: &[String]) -> Result<Rc<Self>, FiguresError> {
+    pub fn new(classes: &[String]) -> Result<Rc<Self>, MetricsError> {
         let registry = Registry::new_custom(Some("app".to_owned()), None)?;
         let results = IntCounterVec::new(
             Opts::new("results", "Requests that ended, by class and by how."),
@@ -236,7 +236,7 @@
             let gauge = IntGauge::new(name, help)?;
             registry.register(Box::new(gauge.clone())).map(|()| gauge)
         };
-        Ok(Rc::new(Figures {
+        Ok(Rc::new(Metrics {
             results,
             refusals: Refusal::ALL.map(|why| refusals.with_label_values(&[why.as_str()])),
             forwards: counter("forwards", "Attempts written whole to servers.")?,
@@ -257,29 +257,29 @@
     }
 
     /// Counts a request of a class, by its place in the settings. Classes that the settings don't name are not counted.
-    pub fn ended(&self, class: usize, disposition: Disposition) {
+    pub fn record_result(&self, class: usize, disposition: Disposition) {
         if let Some(counters) = self.results.get(class) {
             counters[disposition as usize].inc();
         }
     }
 
     /// Brings the refusals to what was counted of each reason, in the order of [`Refusal::ALL`].
-    pub fn refused(&self, counts: [u64; Refusal::ALL.len()]) {
+    pub fn set_refusals(&self, counts: [u64; Refusal::ALL.len()]) {
         self.refusals.iter().zip(counts).for_each(|(counter, count)| raise(counter, count));
     }
 
     /// What is known and counted of other nodes. These figures are there from the first call on.
-    pub fn cluster(&self, now: &ClusterFigures) {
+    pub fn set_cluster(&self, now: &ClusterMetrics) {
         once(&self.cluster, || Cluster::new(&self.registry)).iter().for_each(|c| c.set(now));
     }
 
     /// What is known and counted of leases. These figures are there from the first call on.
-    pub fn leases(&self, now: &LeaseFigures) {
+    pub fn set_leases(&self, now: &LeaseMetrics) {
         once(&self.leases, || LeaseGauges::new(&self.registry)).iter().for_each(|l| l.set(now));
     }
 
     /// Questions to servers that were left to another node. This figure is there from the first call on.
-    pub fn spared(&self, now: u64) {
+    pub fn set_probes_spared(&self, now: u64) {
         let new = || {
             kept(
                 &self.registry,
@@ -291,7 +291,7 @@
 
     /// What a part that is not always on tells under a name of its own, with one label whose values the operator's file bounds. The figure
     /// is there from the first call on.
-    pub fn part(
+    pub fn set_gauges(
         &self,
         (name, help, label): (&'static str, &str, &str),
         values: impl IntoIterator<Item = (String, f64)>,
@@ -307,7 +307,7 @@
     }
 
     /// All of them, a line each, with what they are about in comments between.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         // The encoder fails on families without a name or a value; there are none.
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
@@ -319,14 +319,14 @@
 
     #[test]
     fn figures_read_as_collectors_want_them() {
-        let figures = Figures::new(&["buy".to_owned(), "a\"b\\".to_owned()]).expect("fixed names");
-        figures.ended(0, Disposition::Succeeded);
-        figures.ended(0, Disposition::Succeeded);
-        figures.ended(1, Disposition::Aborted);
-        figures.ended(7, Disposition::Declined);
-        figures.outstanding.set(14);
-        figures.refused([0, 3, 0, 0, 1]);
-        let text = figures.text();
+        let metrics = Metrics::new(&["buy".to_owned(), "a\"b\\".to_owned()]).expect("fixed names");
+        metrics.record_result(0, Disposition::Succeeded);
+        metrics.record_result(0, Disposition::Succeeded);
+        metrics.record_result(1, Disposition::Aborted);
+        metrics.record_result(7, Disposition::Declined);
+        metrics.outstanding.set(14);
+        metrics.set_refusals([0, 3, 0, 0, 1]);
+        let text = metrics.encode();
         let lines: Vec<_> = text.lines().filter(|l| !l.starts_with('#')).collect();
         for line in [
             "app_results{disposition=\"succeeded\",service=\"buy\"} 2",
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -34,7 +34,7 @@
 /// asking twice, or closing one copy, closes nobody else's.
 ///
 /// Errors: [`HandoverError`], where there is no such socket, or it does not listen.
-pub fn listener(number: RawFd) -> Result<TcpListener, HandoverError> {
+pub fn inherited_listener(number: RawFd) -> Result<TcpListener, HandoverError> {
     if number <= 2 {
         return Err(HandoverError::Standard(number));
     }
@@ -65,9 +65,9 @@
         let held = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut client = TcpStream::connect(held.local_addr().expect("bound")).expect("connected");
         client.write_all(b"early").expect("written");
-        let first = listener(held.as_raw_fd()).expect("it listens");
+        let first = inherited_listener(held.as_raw_fd()).expect("it listens");
         drop(first);
-        let second = listener(held.as_raw_fd()).expect("closing a copy closes no other");
+        let second = inherited_listener(held.as_raw_fd()).expect("closing a copy closes no other");
         let mut heard = [0; 5];
         second.accept().expect("it waited").0.read_exact(&mut heard).expect("sent before");
         assert_eq!(&heard, b"early");
@@ -79,10 +79,10 @@
         let file = std::fs::File::open("/dev/null").expect("a file");
         let silent =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        assert!(matches!(listener(udp.as_raw_fd()), Err(HandoverError::NotListening(_))));
-        assert!(matches!(listener(silent.as_raw_fd()), Err(HandoverError::NotListening(_))));
-        assert!(matches!(listener(file.as_raw_fd()), Err(HandoverError::NoSocket { .. })));
-        assert!(matches!(listener(1 << 20), Err(HandoverError::NoSocket { .. })));
-        assert!(matches!(listener(2), Err(HandoverError::Standard(2))));
+        assert!(matches!(inherited_listener(udp.as_raw_fd()), Err(HandoverError::NotListening(_))));
+        assert!(matches!(inherited_listener(silent.as_raw_fd()), Err(HandoverError::NotListening(_))));
+        assert!(matches!(inherited_listener(file.as_raw_fd()), Err(HandoverError::NoSocket { .. })));
+        assert!(matches!(inherited_listener(1 << 20), Err(HandoverError::NoSocket { .. })));
+        assert!(matches!(inherited_listener(2), Err(HandoverError::Standard(2))));
     }
 }
--- a/crates/host/src/commands.rs
+++ b/crates/host/src/commands.rs
@@ -43,9 +43,9 @@
             Command::Answer { request, answer } => {
                 if let Some((class, reply)) = self.replies.borrow_mut().remove(&request) {
                     self.figures.outstanding.dec();
-                    self.figures.ended(usize::from(class.0), disposition(&answer));
+                    self.figures.record_result(usize::from(class.0), disposition(&answer));
                     if matches!(answer, Answer::Refused(_)) {
-                        self.figures.refused(self.engine.borrow().refusals());
+                        self.figures.set_refusals(self.engine.borrow().refusals());
                     }
                     let _ = reply.send(answer); // A client that left in this very moment takes none.
                 }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -24,7 +24,7 @@
 mod witness;
 
 use birchswitch_engine::{AttemptId, Engine, ProbeId};
-pub use birchswitch_figures::Figures;
+pub use birchswitch_figures::Metrics;
 use birchswitch_membership::{Directory, Target};
 use clock::Clock;
 pub use door::{key_hash, Admission, AdmissionPermit, AdmissionRequest, Rejection};
@@ -57,7 +57,7 @@
     fn update_servers(&self, targets: &[Target]);
 
     /// Where to count new connections, told once at the start.
-    fn set_figures(&self, figures: Rc<Figures>);
+    fn set_figures(&self, figures: Rc<Metrics>);
 
     /// Makes one attempt: gets a connection, asks [`AttemptHandle::permit_send`] right before the first byte, sends once, and tells
     /// [`AttemptHandle::finish`]. What it does after that is its own affair. Dropped when the attempt is given up: its connection
@@ -86,7 +86,7 @@
     engine: RefCell<Engine<Balancer, U::Request, U::Answer>>,
     directory: RefCell<Directory>,
     replies: RefCell<FxHashMap<RequestId, Owed<U::Answer>>>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     attempts: RefCell<FxHashMap<AttemptId, AbortHandle>>,
     probes: RefCell<FxHashMap<ProbeId, (ServerId, AbortHandle)>>,
     /// Where one node asks silent servers for many.
@@ -120,7 +120,7 @@
         seed: u64,
         directory: Directory,
         upstream: Rc<U>,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
     ) -> Result<Rc<Self>, SettingsError> {
         upstream.set_figures(figures.clone());
         let clock = Clock::new();
@@ -213,7 +213,7 @@
     }
 
     /// What this node counts.
-    pub fn figures(&self) -> &Figures {
+    pub fn figures(&self) -> &Metrics {
         &self.figures
     }
 
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to servers, for any protocol: as many as the process may hold, kept while idle, and of no use once their server
 //! restarted, moved, drains or is gone.
 
-use birchswitch_figures::Figures;
+use birchswitch_figures::Metrics;
 use birchswitch_membership::Target;
 use finchvale::{Outcome, ServerId, ServerState};
 use rustc_hash::FxHashMap;
@@ -82,7 +82,7 @@
     limits: Limits,
     slots: Arc<Semaphore>,
     servers: RefCell<FxHashMap<ServerId, Rc<Server<C>>>>,
-    figures: OnceCell<Rc<Figures>>,
+    figures: OnceCell<Rc<Metrics>>,
 }
 
 impl<C: PooledConnection> Pool<C> {
@@ -93,7 +93,7 @@
     }
 
     /// Counts connections there from now on; only the first word on it holds.
-    pub fn set_figures(&self, figures: Rc<Figures>) {
+    pub fn set_figures(&self, figures: Rc<Metrics>) {
         let _ = self.figures.set(figures);
     }
 
--- a/crates/host/src/requests.rs
+++ b/crates/host/src/requests.rs
@@ -69,7 +69,7 @@
     fn turn_away(&self, class: ClassId, turned: Rejection) -> PendingRequest<U> {
         let (reply, answer) = oneshot::channel();
         let _ = reply.send(Answer::Refused(self.told_wait(turned)));
-        self.figures.ended(usize::from(class.0), Disposition::Declined);
+        self.figures.record_result(usize::from(class.0), Disposition::Declined);
         PendingRequest { host: self.me.clone(), id: NONE, answer, rejection_message: Some(turned.message) }
     }
 }
--- a/crates/http/src/front/answer.rs
+++ b/crates/http/src/front/answer.rs
@@ -2,7 +2,7 @@
 
 use super::client::Client;
 use super::order::{end_to_end, Order};
-use super::{Front, Phase};
+use super::{HttpFrontend, ShutdownPhase};
 use crate::body::{self, BodyError, BodyPrefix, Payload, Reply, Upload};
 use crate::gate::{Problem, ENDING};
 use crate::upstream::HttpUpstream;
@@ -31,13 +31,13 @@
 /// How often it is looked whether an upload still moves.
 const UPLOAD_LOOK: Duration = Duration::from_millis(500);
 
-impl Front {
+impl HttpFrontend {
     /// Answers a request.
     pub(super) async fn answer(&self, client: &Client, request: Request<Body>) -> Response<Reply> {
         let head = Instant::now();
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/health/ready") => {
-                let ready = self.host.ready() && *self.phase.borrow() == Phase::Serving;
+                let ready = self.host.ready() && *self.phase.borrow() == ShutdownPhase::Serving;
                 return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
             }
             (&Method::GET, "/health/live") => {
@@ -116,7 +116,7 @@
                 BodyError::Silent => (StatusCode::REQUEST_TIMEOUT, "the body took too long"),
                 _ => (StatusCode::BAD_REQUEST, "the body is not whole"),
             }),
-            _ = phase.wait_for(|p| *p == Phase::Finishing) => Err(ENDING),
+            _ = phase.wait_for(|p| *p == ShutdownPhase::Finishing) => Err(ENDING),
         }
     }
 }
--- a/crates/http/src/front/connection.rs
+++ b/crates/http/src/front/connection.rs
@@ -3,7 +3,7 @@
 use super::answer::turned_down;
 use super::client::{Client, Stage, TURNED_DOWN};
 use super::sent::Sent;
-use super::{Front, Phase};
+use super::{HttpFrontend, ShutdownPhase};
 use crate::gate::Gate;
 use crate::upstream::MOST_BUFFERED;
 use birchswitch_host::socket;
@@ -26,7 +26,7 @@
 /// For what is still to be written on a connection that ends.
 const LAST_WRITES: Duration = Duration::from_secs(1);
 
-impl Front {
+impl HttpFrontend {
     pub(super) fn connected(self: Rc<Self>, stream: TcpStream, permit: OwnedSemaphorePermit) {
         let _ = stream.set_nodelay(true);
         let client = Client::new(stream);
@@ -50,24 +50,24 @@
             .serve_connection(TokioIo::new(Gate::new(client.socket.clone(), client.clone())), service);
         let mut connection = std::pin::pin!(connection);
         let mut phase = self.phase.clone();
-        let mut known = Phase::Serving;
+        let mut known = ShutdownPhase::Serving;
         loop {
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => break, // Its errors are the client's: it left or spoke no HTTP.
                 () = client.wake.notified() => {}
-                later = phase.wait_for(|p| *p > known.max(Phase::Leaving)), if known < Phase::Finishing => {
-                    known = later.map_or(Phase::Finishing, |phase| *phase);
-                    if known == Phase::Finishing {
+                later = phase.wait_for(|p| *p > known.max(ShutdownPhase::Leaving)), if known < ShutdownPhase::Finishing => {
+                    known = later.map_or(ShutdownPhase::Finishing, |phase| *phase);
+                    if known == ShutdownPhase::Finishing {
                         client.finish();
                     }
                 }
             }
-            if known == Phase::Finishing && client.stage() == Stage::New {
+            if known == ShutdownPhase::Finishing && client.stage() == Stage::New {
                 break;
             }
             // What is owed or comes on any other is answered first; the last answer says that it is that.
-            if known >= Phase::Closing && client.rests() {
+            if known >= ShutdownPhase::Closing && client.rests() {
                 connection.as_mut().graceful_shutdown();
             }
             if client.closes() {
@@ -100,7 +100,7 @@
         };
         // A client that is told to close goes elsewhere next. Where places run short each is: many ask once and keep their
         // connection, and until those may be closed nobody else would get in. But what was read is answered.
-        let unwanted = *self.phase.borrow() > Phase::Serving || self.scarce();
+        let unwanted = *self.phase.borrow() > ShutdownPhase::Serving || self.scarce();
         if chunked || unwanted && !client.more_is_owed() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
--- a/crates/http/src/front/mod.rs
+++ b/crates/http/src/front/mod.rs
@@ -1,6 +1,6 @@
 //! The clients' side: takes connections and requests, checks them, and writes the final answers.
 //!
-//! [`Front`] accepts connections and makes room for them; `connection` serves one of them; `client` knows where it stands;
+//! [`HttpFrontend`] accepts connections and makes room for them; `connection` serves one of them; `client` knows where it stands;
 //! `answer` answers one request, whose head `order` reads.
 
 mod answer;
@@ -39,7 +39,7 @@
 
 /// How far the node's end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// It serves.
     Serving,
     /// It serves, and asks clients to go elsewhere next.
@@ -51,11 +51,11 @@
 }
 
 /// The clients' side of a node.
-pub struct Front {
+pub struct HttpFrontend {
     host: Rc<Host<HttpUpstream>>,
     names: Rc<Names>,
     effects: Vec<Effect>,
-    phase: watch::Receiver<Phase>,
+    phase: watch::Receiver<ShutdownPhase>,
     most: u32,
     /// For bodies that still come.
     room: Rc<BufferBudget>,
@@ -64,7 +64,7 @@
     next_client: Cell<u64>,
 }
 
-impl Front {
+impl HttpFrontend {
     /// Takes at most `connections` at a time. Bodies too large to be held whole are kept for further attempts in `room`.
     pub fn new(
         host: Rc<Host<HttpUpstream>>,
@@ -72,9 +72,9 @@
         effects: Vec<Effect>,
         connections: u32,
         room: Rc<BufferBudget>,
-        phase: watch::Receiver<Phase>,
+        phase: watch::Receiver<ShutdownPhase>,
     ) -> Rc<Self> {
-        Rc::new(Front {
+        Rc::new(HttpFrontend {
             host,
             names,
             effects,
@@ -88,7 +88,7 @@
     }
 
     /// Takes connections until the node's end has come as far as `until`, then waits for the last of them to end.
-    pub async fn serve(self: Rc<Self>, listener: TcpListener, until: Phase) {
+    pub async fn serve(self: Rc<Self>, listener: TcpListener, until: ShutdownPhase) {
         let sweeping = self.clone();
         let sweeper = spawn_local(async move {
             let mut every = tokio::time::interval(SWEEP);
--- a/crates/http/src/front/order.rs
+++ b/crates/http/src/front/order.rs
@@ -1,6 +1,6 @@
 //! What a request's head says: checked before anything else is done for it.
 
-use super::Front;
+use super::HttpFrontend;
 use crate::gate::Problem;
 use birchswitch_host::key_hash;
 use finchvale::{ClassId, Effect, TenantId};
@@ -40,7 +40,7 @@
     pub(super) target: Uri,
 }
 
-impl Front {
+impl HttpFrontend {
     /// Reads what a request's head says of it, or why it is turned down.
     pub(super) fn read_head(
         &self,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on the engine: [`Front`] takes clients' requests, [`HttpUpstream`] sends them to servers, and between
+//! HTTP/1.1 on the engine: [`HttpFrontend`] takes clients' requests, [`HttpUpstream`] sends them to servers, and between
 //! each socket and hyper stands a gate that lets through one message at a time.
 
 #![forbid(unsafe_code)]
@@ -10,5 +10,5 @@
 mod upstream;
 
 pub use body::BufferBudget;
-pub use front::{Front, Phase};
-pub use upstream::{HttpUpstream, Limits};
+pub use front::{HttpFrontend, ShutdownPhase};
+pub use upstream::{HttpUpstream, UpstreamLimits};
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -5,7 +5,7 @@
 use birchswitch_engine::{AttemptResult, SendPermit};
 use birchswitch_host::pool::{self, NewConnection, Pool, PooledConnection, Server};
 use birchswitch_host::socket::is_open_and_idle;
-use birchswitch_host::{AttemptHandle, Figures, ProbeHandle, Upstream};
+use birchswitch_host::{AttemptHandle, Metrics, ProbeHandle, Upstream};
 use birchswitch_membership::Target;
 use birchswitch_site::{Names, ReportField};
 use finchvale::{LoadReport, Outcome, ServerId};
@@ -128,7 +128,7 @@
 
 /// What the node may hold of connections to servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct UpstreamLimits {
     /// Most connections to all servers together.
     pub connections: usize,
     /// For a connection to come up.
@@ -148,12 +148,12 @@
     /// Starts with no servers. The names and fields tell how to read load reports; what clients have not taken yet of large
     /// answers waits in `room`.
     pub fn new(
-        limits: Limits,
+        limits: UpstreamLimits,
         names: Rc<Names>,
         fields: Vec<ReportField>,
         room: Rc<BufferBudget>,
     ) -> Rc<Self> {
-        let Limits { connections, connect_timeout, conn_idle } = limits;
+        let UpstreamLimits { connections, connect_timeout, conn_idle } = limits;
         let limits = pool::Limits { connections, connect_timeout, conn_idle, reuse_delay: QUARANTINE };
         Rc::new(HttpUpstream { pool: Pool::new(limits), names, fields, room })
     }
@@ -224,8 +224,8 @@
         self.pool.update_servers(targets);
     }
 
-    fn set_figures(&self, figures: Rc<Figures>) {
-        self.pool.set_figures(figures);
+    fn set_figures(&self, metrics: Rc<Metrics>) {
+        self.pool.set_figures(metrics);
     }
 
     async fn attempt(
--- a/crates/operations/src/bans.rs
+++ b/crates/operations/src/bans.rs
@@ -38,11 +38,11 @@
 
 /// What another process did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct BanChange {
     /// The server.
-    pub name: String,
+    pub server: String,
     /// Whether it is out now.
-    pub out: bool,
+    pub suspended: bool,
 }
 
 /// See the module's own words.
@@ -102,11 +102,13 @@
     }
 
     /// Takes up what another process did since. Files that no process made are passed over.
-    pub fn refresh(&mut self) -> Result<Vec<Change>, BanError> {
+    pub fn refresh(&mut self) -> Result<Vec<BanChange>, BanError> {
         let Some(path) = &self.folder else { return Ok(Vec::new()) };
         let names = list(path).map_err(|source| BanError::Io { path: path.clone(), source })?;
-        let came = names.difference(&self.names).map(|name| Change { name: name.clone(), out: true });
-        let went = self.names.difference(&names).map(|name| Change { name: name.clone(), out: false });
+        let came =
+            names.difference(&self.names).map(|name| BanChange { server: name.clone(), suspended: true });
+        let went =
+            self.names.difference(&names).map(|name| BanChange { server: name.clone(), suspended: false });
         let changes = came.chain(went).collect();
         self.names = names;
         Ok(changes)
@@ -161,7 +163,7 @@
         let (_folder, mut old, mut new) = both();
         new.add("s-1").expect("kept");
         old.add("s-2").expect("kept");
-        let out = |name: &str, out| Change { name: name.to_owned(), out };
+        let out = |name: &str, out| BanChange { server: name.to_owned(), suspended: out };
         assert_eq!(old.refresh().expect("read"), [out("s-1", true)]);
         assert_eq!(old.refresh().expect("read"), []);
         old.remove("s-1").expect("ended");
@@ -183,7 +185,7 @@
         fn any_name_comes_back_as_it_was(name in "\\PC{1,20}|\\.\\.?|/etc|a/\\.\\./b") {
             let (folder, mut old, mut new) = both();
             old.add(&name).expect("kept");
-            prop_assert_eq!(new.refresh().expect("read"), [Change { name, out: true }]);
+            prop_assert_eq!(new.refresh().expect("read"), [BanChange { server: name, suspended: true }]);
             prop_assert_eq!(fs::read_dir(folder.path()).expect("read").count(), 1, "nothing beside the folder");
         }
     }
--- a/crates/operations/src/call.rs
+++ b/crates/operations/src/call.rs
@@ -9,7 +9,7 @@
     /// Whether this process takes clients.
     Status,
     /// The figures.
-    Figures,
+    Metrics,
     /// The fleet's nodes, as this one holds them.
     Members,
     /// Say farewell to the fleet's nodes.
@@ -71,7 +71,7 @@
         };
         match call {
             "STATUS" => alone("STATUS", Call::Status),
-            "METRICS" => alone("METRICS", Call::Figures),
+            "METRICS" => alone("METRICS", Call::Metrics),
             "MEMBERS" => alone("MEMBERS", Call::Members),
             "LEAVE" => alone("LEAVE", Call::Leave),
             "LEASES" => alone("LEASES", Call::Leases),
@@ -103,7 +103,7 @@
     fn calls_are_words() {
         let parse = |line: &str| Call::parse(line.as_bytes());
         assert_eq!(parse("STATUS"), Ok(Call::Status));
-        assert_eq!(parse("METRICS\r\n"), Ok(Call::Figures));
+        assert_eq!(parse("METRICS\r\n"), Ok(Call::Metrics));
         assert_eq!(parse("  SUSPEND\t s-1 \n"), Ok(Call::Suspend("s-1".to_owned())));
         assert_eq!(parse("RESTORE s-1"), Ok(Call::Restore("s-1".to_owned())));
         assert_eq!(parse("MEMBERS"), Ok(Call::Members));
--- a/crates/operations/src/desk.rs
+++ b/crates/operations/src/desk.rs
@@ -23,14 +23,14 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// What comes of a call that other nodes have a part in: lines, or why there are none.
-pub type Told = Pin<Box<dyn Future<Output = Result<String, String>>>>;
+pub type DeferredReply = Pin<Box<dyn Future<Output = Result<String, String>>>>;
 
 /// What calls come to. Every text is one line.
-pub trait Node {
+pub trait CallHandler {
     /// Yes as soon as, and as long as, this process takes clients; else why not.
     fn status(&self) -> Result<String, String>;
     /// The figures as they are now, many lines.
-    fn figures(&self) -> String;
+    fn metrics(&self) -> String;
     /// The fleet's nodes as this one holds them, a line each; or why there are none.
     fn members(&self) -> Result<String, String>;
     /// Says farewell to the fleet's nodes. The node goes on serving.
@@ -38,19 +38,19 @@
     /// The leases that this node knows of, a line each; or why there are none.
     fn leases(&self) -> Result<String, String>;
     /// What a part of the fleet's common things tells, a line each; or why it is not there.
-    fn told(&self, what: &Call) -> Result<String, String>;
+    fn subsystem_status(&self, what: &Call) -> Result<String, String>;
     /// Has a call about prepaid accounts carried out, by whichever node keeps them.
-    fn wallet(&self, words: &[String]) -> Told;
+    fn wallet(&self, words: &[String]) -> DeferredReply;
     /// Tells whoever holds leases of that name at this node to end what they do.
     fn end_lease(&self, name: &str) -> Result<String, String>;
     /// Waits for a lease and holds it until what this returns is released or dropped.
-    fn lease(&self, name: &str, slots: u16) -> Result<Box<dyn Session>, String>;
+    fn lease(&self, name: &str, slots: u16) -> Result<Box<dyn LeaseSession>, String>;
     /// Takes a server out, or uses it again. A yes is binding from then on.
-    fn set_out(&self, server: &str, out: bool) -> Result<String, String>;
+    fn set_suspended(&self, server: &str, out: bool) -> Result<String, String>;
 }
 
 /// A call that lasts. Whoever made it asks again and again by a line; one that is silent for 10 s is gone.
-pub trait Session {
+pub trait LeaseSession {
     /// What to tell now.
     fn state(&self) -> String;
     /// The caller says that it is done with it.
@@ -58,7 +58,7 @@
 }
 
 /// Takes calls for good. Runs on a `LocalSet`.
-pub async fn serve<N: Node + 'static>(listener: TcpListener, node: Rc<N>) {
+pub async fn serve<N: CallHandler + 'static>(listener: TcpListener, node: Rc<N>) {
     let mut held: VecDeque<AbortHandle> = VecDeque::new();
     loop {
         match listener.accept().await {
@@ -76,7 +76,7 @@
     }
 }
 
-async fn answer(mut stream: TcpStream, node: &impl Node) -> io::Result<()> {
+async fn answer(mut stream: TcpStream, node: &impl CallHandler) -> io::Result<()> {
     let Ok(line) = timeout(PATIENCE, read_line(&mut stream)).await else { return Ok(()) };
     let Some(line) = line? else { return Ok(()) };
     let answer = match Call::parse(&line) {
@@ -99,7 +99,7 @@
 }
 
 /// Until the caller goes: every line of its is answered with the state as it is then.
-async fn last(mut stream: TcpStream, session: Box<dyn Session>) {
+async fn last(mut stream: TcpStream, session: Box<dyn LeaseSession>) {
     let mut buffer = [0; 64];
     loop {
         let state = session.state() + "\n";
@@ -117,24 +117,24 @@
 /// What a call comes to.
 enum Answer {
     Text(String),
-    Lasting(Box<dyn Session>),
+    Lasting(Box<dyn LeaseSession>),
 }
 
-fn carry_out(node: &impl Node, call: Call) -> Answer {
+fn carry_out(node: &impl CallHandler, call: Call) -> Answer {
     Answer::Text(match call {
         Call::Status => told(node.status()),
-        Call::Figures => node.figures() + "EOT\n",
+        Call::Metrics => node.metrics() + "EOT\n",
         Call::Members => listed(node.members()),
         Call::Leave => told(node.leave()),
         Call::Leases => listed(node.leases()),
-        what @ (Call::Mesh | Call::Limits | Call::Wallet(_)) => listed(node.told(&what)),
+        what @ (Call::Mesh | Call::Limits | Call::Wallet(_)) => listed(node.subsystem_status(&what)),
         Call::Lease { name, slots } => match node.lease(&name, slots) {
             Ok(session) => return Answer::Lasting(session),
             Err(error) => told(Err(error)),
         },
         Call::EndLease(name) => told(node.end_lease(&name)),
-        Call::Suspend(server) => told(node.set_out(&server, true)),
-        Call::Restore(server) => told(node.set_out(&server, false)),
+        Call::Suspend(server) => told(node.set_suspended(&server, true)),
+        Call::Restore(server) => told(node.set_suspended(&server, false)),
     })
 }
 
--- a/crates/operations/src/lib.rs
+++ b/crates/operations/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`serve`]: the listener. Whoever is silent or slow is in nobody's way.
 //! - [`Bans`]: servers taken out by hand, kept where the next process finds them.
 //!
-//! What the calls come to is a [`Node`]'s to say. `docs/design/operations.md` has the reasons,
+//! What the calls come to is a [`CallHandler`]'s to say. `docs/design/operations.md` has the reasons,
 //! `docs/operate/operations.md` how to use it.
 
 #![forbid(unsafe_code)]
@@ -14,6 +14,6 @@
 mod call;
 mod desk;
 
-pub use bans::{BanError, Bans, Change};
+pub use bans::{BanChange, BanError, Bans};
 pub use call::{Call, CallError};
-pub use desk::{serve, Node, Session, Told};
+pub use desk::{serve, CallHandler, DeferredReply, LeaseSession};
--- a/crates/thrift-proxy/benches/allocations.rs
+++ b/crates/thrift-proxy/benches/allocations.rs
@@ -1,7 +1,7 @@
 //! Allocations of a call on its way through: front, engine, servers' side and back, on one thread. The client and the server
 //! run on threads of their own and don't count.
 
-use birchswitch_figures::Figures;
+use birchswitch_figures::Metrics;
 use birchswitch_host::Host;
 use birchswitch_membership::{list::ServerList, Directory};
 use birchswitch_standin::scripted;
@@ -87,8 +87,8 @@
     let upstream = ThriftUpstream::new(compiled.clone(), Duration::from_secs(1), Duration::from_secs(60));
     let directory = Directory::new(names.clone());
     let site = compiled.site(site.settings);
-    let figures = Figures::new(&[]).expect("fixed names");
-    let host = Host::new("bench".into(), site, 1, directory, upstream, figures).expect("settings");
+    let metrics = Metrics::new(&[]).expect("fixed names");
+    let host = Host::new("bench".into(), site, 1, directory, upstream, metrics).expect("settings");
     host.load_cached_list(None);
     let server = TcpListener::bind("127.0.0.1:0").expect("a port");
     let member = scripted::member("s", server.local_addr().expect("an address"), "active");
--- a/crates/thrift-proxy/src/upstream.rs
+++ b/crates/thrift-proxy/src/upstream.rs
@@ -5,7 +5,7 @@
 use birchswitch_engine::{AttemptResult, SendPermit};
 use birchswitch_host::pool::{Limits, NewConnection, Pool, PooledConnection, Server};
 use birchswitch_host::socket::is_open_and_idle;
-use birchswitch_host::{AttemptHandle, Figures, ProbeHandle, Upstream};
+use birchswitch_host::{AttemptHandle, Metrics, ProbeHandle, Upstream};
 use birchswitch_membership::Target;
 use birchswitch_thrift::walk::{self, Header, Paths, Value};
 use birchswitch_thrift::write::{self, Writer};
@@ -189,8 +189,8 @@
         self.pool.update_servers(targets);
     }
 
-    fn set_figures(&self, figures: Rc<Figures>) {
-        self.pool.set_figures(figures);
+    fn set_figures(&self, metrics: Rc<Metrics>) {
+        self.pool.set_figures(metrics);
     }
 
     async fn attempt(self: Rc<Self>, server: ServerId, call: Rc<Call>, ticket: AttemptHandle<Self>) {
--- a/node/src/fleet/leases.rs
+++ b/node/src/fleet/leases.rs
@@ -1,15 +1,15 @@
 //! Leases as operators' calls and figures have them.
 
 use crate::operations::Part;
-use birchswitch_figures::{Figures, LeaseFigures};
+use birchswitch_figures::{LeaseMetrics, Metrics};
 use birchswitch_lease_host::{LeaseHandle, Leases, State};
-use birchswitch_operations::{Call, Session};
+use birchswitch_operations::{Call, LeaseSession};
 use std::rc::Rc;
 
 /// A lease that a caller waits for or holds.
 pub struct Held(pub LeaseHandle);
 
-impl Session for Held {
+impl LeaseSession for Held {
     /// `WAITING why`, `HELD token slot milliseconds`, or `LOST` for good. The time is that of the guard, by which all has to be over.
     fn state(&self) -> String {
         match (self.0.guard(), self.0.state()) {
@@ -29,17 +29,21 @@
 }
 
 /// What figures tell of them.
-fn figures(leases: &Leases) -> LeaseFigures {
+fn metrics(leases: &Leases) -> LeaseMetrics {
     let (counts, [held, waiting]) = (leases.counts(), leases.held_and_waiting());
-    LeaseFigures { held, waiting, told: [counts.granted, counts.lost, counts.refused, counts.votes] }
+    LeaseMetrics {
+        held,
+        waiting,
+        outcome_counts: [counts.granted, counts.lost, counts.refused, counts.votes],
+    }
 }
 
 /// Them, for operators.
 pub struct Asked(pub Rc<Leases>);
 
 impl Part for Asked {
-    fn figures(&self, all: &Figures) {
-        all.leases(&figures(&self.0));
+    fn metrics(&self, all: &Metrics) {
+        all.set_leases(&metrics(&self.0));
     }
 
     fn answers(&self, call: &Call) -> Option<Result<String, String>> {
@@ -50,7 +54,7 @@
         }
     }
 
-    fn lease(&self, name: &str, slots: u16) -> Option<Result<Box<dyn Session>, String>> {
-        Some(self.0.acquire(name, slots).map(|hold| Box::new(Held(hold)) as Box<dyn Session>))
+    fn lease(&self, name: &str, slots: u16) -> Option<Result<Box<dyn LeaseSession>, String>> {
+        Some(self.0.acquire(name, slots).map(|hold| Box::new(Held(hold)) as Box<dyn LeaseSession>))
     }
 }
--- a/node/src/fleet/limits.rs
+++ b/node/src/fleet/limits.rs
@@ -2,7 +2,7 @@
 
 use super::reign::Reigning;
 use crate::operations::Part;
-use birchswitch_figures::Figures;
+use birchswitch_figures::Metrics;
 use birchswitch_lease::Task;
 use birchswitch_lease_host::Tasks;
 use birchswitch_mesh::Mesh;
@@ -53,16 +53,18 @@
 pub struct Asked(pub Rc<Limiter>);
 
 impl Part for Asked {
-    fn figures(&self, figures: &Figures) {
+    fn metrics(&self, metrics: &Metrics) {
         let all = || self.0.limits().map(|l| l.name.clone()).zip(self.0.counters());
         let of = |n: usize| all().map(move |(name, counts)| (name, counts.totals()[n] as f64));
-        figures.part(("limit_let_in", "Requests that a limit of the fleet let in here.", "limit"), of(0));
-        figures.part(
+        metrics
+            .set_gauges(("limit_let_in", "Requests that a limit of the fleet let in here.", "limit"), of(0));
+        metrics.set_gauges(
             ("limit_turned_away", "Requests that a limit of the fleet turned away here.", "limit"),
             of(1),
         );
         let held = self.0.limits().map(|l| l.name.clone()).zip(self.0.granted_rates());
-        figures.part(("limit_per_s", "Requests a second that this node holds of a limit.", "limit"), held);
+        metrics
+            .set_gauges(("limit_per_s", "Requests a second that this node holds of a limit.", "limit"), held);
     }
 
     fn answers(&self, call: &Call) -> Option<Result<String, String>> {
--- a/node/src/fleet/links.rs
+++ b/node/src/fleet/links.rs
@@ -3,7 +3,7 @@
 use crate::operations::Part;
 use birchswitch_cluster::{Record, Standing, Topic};
 use birchswitch_cluster_host::Cluster;
-use birchswitch_figures::Figures;
+use birchswitch_figures::Metrics;
 use birchswitch_lease_host::running_tasks;
 use birchswitch_mesh::{Clock, Identity, Member, MembershipView, Mesh, MeshError, MeshSettings};
 use birchswitch_operations::Call;
@@ -67,7 +67,7 @@
 pub struct Asked(pub Mesh);
 
 impl Part for Asked {
-    fn figures(&self, figures: &Figures) {
+    fn metrics(&self, metrics: &Metrics) {
         let ([open, ever], [asked, heard, told, replaced, unreached]) =
             (self.0.counters().connections(), self.0.counters().messages());
         let values = [
@@ -80,7 +80,7 @@
             ("unreached", unreached),
         ];
         let values = values.map(|(of, value)| (of.to_owned(), value as f64));
-        figures.part(("mesh", "Connections to other nodes, and what goes over them.", "of"), values);
+        metrics.set_gauges(("mesh", "Connections to other nodes, and what goes over them.", "of"), values);
     }
 
     fn answers(&self, call: &Call) -> Option<Result<String, String>> {
--- a/node/src/fleet/members.rs
+++ b/node/src/fleet/members.rs
@@ -3,7 +3,7 @@
 use crate::operations::Part;
 use birchswitch_cluster::{State, Topic};
 use birchswitch_cluster_host::{Cluster, ClusterSettings, Identity};
-use birchswitch_figures::{ClusterFigures, Figures};
+use birchswitch_figures::{ClusterMetrics, Metrics};
 use birchswitch_host::{Host, Upstream};
 use birchswitch_operations::Call;
 use std::error::Error;
@@ -51,15 +51,15 @@
 }
 
 /// What figures tell of it.
-fn figures(cluster: &Cluster) -> ClusterFigures {
+fn metrics(cluster: &Cluster) -> ClusterMetrics {
     let core = cluster.core();
     let counts = core.counts();
-    ClusterFigures {
+    ClusterMetrics {
         members: [State::Alive, State::Suspect, State::Dead, State::Left].map(|s| core.count(s)),
         sent: counts.sent,
         received: counts.received,
         dropped: counts.dropped,
-        told: [counts.suspicions, counts.refutations, counts.verdicts],
+        detection_counts: [counts.suspicions, counts.refutations, counts.verdicts],
         health: core.health_score(),
     }
 }
@@ -68,8 +68,8 @@
 pub struct Asked(pub Rc<Cluster>);
 
 impl Part for Asked {
-    fn figures(&self, all: &Figures) {
-        all.cluster(&figures(&self.0));
+    fn metrics(&self, all: &Metrics) {
+        all.set_cluster(&metrics(&self.0));
     }
 
     fn answers(&self, call: &Call) -> Option<Result<String, String>> {
--- a/node/src/fleet/wallet.rs
+++ b/node/src/fleet/wallet.rs
@@ -3,11 +3,11 @@
 use super::reign::Reigning;
 use crate::operations::Part;
 use birchswitch_cluster::MemberId;
-use birchswitch_figures::Figures;
+use birchswitch_figures::Metrics;
 use birchswitch_lease::Task;
 use birchswitch_lease_host::Tasks;
 use birchswitch_mesh::Mesh;
-use birchswitch_operations::Told;
+use birchswitch_operations::DeferredReply;
 use birchswitch_wallet::{
     renew_allotments, send_command, serve_replica, AdminCommand, Leader, LeaderSettings, LeadershipTerm,
     LocalAllotments, RejectionReason, RenewalStep, Reservation, WalletSettings, TASK,
@@ -210,19 +210,22 @@
 }
 
 impl Part for WalletOperations {
-    fn figures(&self, figures: &Figures) {
+    fn metrics(&self, metrics: &Metrics) {
         let totals: Vec<_> = self.allotments.borrow().totals().collect();
         let of = |value: fn(&(String, u64, u64, u64)) -> u64| {
             totals.iter().map(move |t| (t.0.clone(), value(t) as f64)).collect::<Vec<_>>()
         };
-        figures
-            .part(("wallet_holds", "Units that this node may spend of an account.", "account"), of(|t| t.1));
-        figures.part(("wallet_spent", "Units that requests at this node spent.", "account"), of(|t| t.2));
+        metrics.set_gauges(
+            ("wallet_holds", "Units that this node may spend of an account.", "account"),
+            of(|t| t.1),
+        );
+        metrics
+            .set_gauges(("wallet_spent", "Units that requests at this node spent.", "account"), of(|t| t.2));
         let turned = "Requests turned away here for want of units.";
-        figures.part(("wallet_turned_away", turned, "account"), of(|t| t.3));
+        metrics.set_gauges(("wallet_turned_away", turned, "account"), of(|t| t.3));
     }
 
-    fn wallet(&self, words: &[String]) -> Option<Told> {
+    fn wallet(&self, words: &[String]) -> Option<DeferredReply> {
         let (mesh, wanted) = (self.mesh.clone(), parse(words));
         Some(Box::pin(async move {
             send_command(&mesh, wanted?).await.map(|text| text.trim_end().to_owned() + "\n")
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -12,9 +12,9 @@
 mod operator;
 mod thrift;
 
-use birchswitch_figures::Figures;
+use birchswitch_figures::Metrics;
 use birchswitch_host::Host;
-use birchswitch_http::{BufferBudget, Front, HttpUpstream, Limits, Phase};
+use birchswitch_http::{BufferBudget, HttpFrontend, HttpUpstream, ShutdownPhase, UpstreamLimits};
 use birchswitch_lease_host::{Leases, Tasks};
 use birchswitch_membership::{Directory, Discovery};
 use clap::{Parser, Subcommand};
@@ -109,7 +109,7 @@
     // Five eighths of memory are for requests, two for large ones that pass through; clients and backends share what descriptors there are. That is more
     // than the third that clients need for requests: the rest is for those that say nothing.
     let clients = ((sockets - RESERVED_SOCKETS) / 2).min(memory / 8 * 5 / REQUEST_MEMORY).max(1);
-    let limits = Limits {
+    let limits = UpstreamLimits {
         connections: sockets - RESERVED_SOCKETS - clients,
         connect_timeout: or(settings.connect_timeout, Duration::from_millis(250)),
         conn_idle: or(settings.conn_idle, Duration::from_secs(5)),
@@ -123,14 +123,14 @@
     );
     let asked = settings.subscribe_to_lists;
     let directory = Directory::new(names.clone());
-    let figures = Figures::new(&names.classes)?;
+    let metrics = Metrics::new(&names.classes)?;
     let host = Host::new(
         config.name.clone(),
         settings.clone(),
         config.seed,
         directory,
         upstream.clone(),
-        figures.clone(),
+        metrics.clone(),
     )?;
     let inherited = config.socket.is_some();
     let listener = match config.socket {
@@ -138,7 +138,7 @@
         None => listen(config.listen).map_err(|e| format!("cannot listen on {}: {e}", config.listen))?,
     };
     host.log(format_args!("listening on {}", listener.local_addr()?));
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(ShutdownPhase::Serving);
     let cluster = config.operator.cluster.as_ref();
     let cluster = cluster.map(|c| members::open(c, &config.name, config.seed)).transpose()?;
     let leases = config.operator.lease.as_ref().zip(cluster.as_ref());
@@ -162,7 +162,7 @@
     parts.extend(cluster.iter().map(|c| Rc::new(members::Asked(c.clone())) as Rc<dyn operations::Part>));
     parts.extend(leases.iter().map(|l| Rc::new(leases::Asked(l.clone())) as Rc<dyn operations::Part>));
     parts.extend(common.iter().flat_map(Common::parts));
-    let desk = operations::Desk::open(config.ops, config.state, &host, &figures, phases.clone(), parts)?;
+    let desk = operations::Desk::open(config.ops, config.state, &host, &metrics, phases.clone(), parts)?;
     let discovery = lists::follow(&host, config.discovery, config.known.as_ref(), asked);
     let reloading = host.clone();
     spawn_local(async move {
@@ -178,7 +178,7 @@
         name: &config.name,
         site: &settings,
         names: &names,
-        figures: &figures,
+        metrics: &metrics,
         seed: config.seed,
         closing: &closing,
     };
@@ -200,7 +200,7 @@
         listeners.iter().for_each(|l| desk.add(l.host().clone()));
         desk.serve()?;
     }
-    let front = Front::new(
+    let front = HttpFrontend::new(
         host.clone(),
         names.clone(),
         effects,
@@ -215,7 +215,7 @@
             waiting.until_ready().await;
         }
         // That process, or the next, takes what comes once this one leaves.
-        let last = if inherited { Phase::Leaving } else { Phase::Closing };
+        let last = if inherited { ShutdownPhase::Leaving } else { ShutdownPhase::Closing };
         front.serve(listener, last).await;
     });
     tokio::select! {
@@ -229,12 +229,12 @@
     if let Some(leases) = &leases {
         leases.close();
     }
-    phase.send_replace(Phase::Leaving);
+    phase.send_replace(ShutdownPhase::Leaving);
     tokio::time::sleep(LEAVE).await;
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(ShutdownPhase::Closing);
     close.send_replace(true);
     tokio::time::sleep(LAST_CHANCE).await;
-    phase.send_replace(Phase::Finishing);
+    phase.send_replace(ShutdownPhase::Finishing);
     // What was taken last is due within the longest deadline.
     let ended = async {
         let _ = served.await;
@@ -288,7 +288,7 @@
 
 /// The listening socket that the process was started with.
 fn take_up(number: std::os::fd::RawFd) -> Result<TcpListener, Box<dyn Error>> {
-    let listener = birchswitch_handover::listener(number)?;
+    let listener = birchswitch_handover::inherited_listener(number)?;
     listener.set_nonblocking(true)?;
     Ok(TcpListener::from_std(listener)?)
 }
--- a/node/src/operations.rs
+++ b/node/src/operations.rs
@@ -1,9 +1,9 @@
 //! What operators' calls come to: the node's state in one line, its figures, and servers taken out by hand on all fronts.
 
-use birchswitch_figures::Figures;
+use birchswitch_figures::Metrics;
 use birchswitch_host::{Host, Upstream};
-use birchswitch_http::{HttpUpstream, Phase};
-use birchswitch_operations::{serve, Bans, Call, Node, Session, Told};
+use birchswitch_http::{HttpUpstream, ShutdownPhase};
+use birchswitch_operations::{serve, Bans, Call, CallHandler, DeferredReply, LeaseSession};
 use std::cell::RefCell;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 /// What follows a list of servers, whatever its protocol.
 trait Follows {
     fn knows(&self, server: &str) -> bool;
-    fn set_out(&self, server: &str, out: bool);
+    fn set_suspended(&self, server: &str, out: bool);
 }
 
 impl<U: Upstream> Follows for Host<U> {
@@ -27,7 +27,7 @@
         Host::knows_server(self, server)
     }
 
-    fn set_out(&self, server: &str, out: bool) {
+    fn set_suspended(&self, server: &str, out: bool) {
         Host::set_suspended(self, server, out);
     }
 }
@@ -35,7 +35,7 @@
 /// A part of the node that operators may ask about: it answers what is its own, and nothing else.
 pub trait Part {
     /// Brings the figures up to date.
-    fn figures(&self, _figures: &Figures) {}
+    fn metrics(&self, _metrics: &Metrics) {}
 
     /// Answers a call in lines, or in one; none: it is another's.
     fn answers(&self, _call: &Call) -> Option<Result<String, String>> {
@@ -43,12 +43,12 @@
     }
 
     /// Has a call about prepaid accounts carried out; none: it has none.
-    fn wallet(&self, _words: &[String]) -> Option<Told> {
+    fn wallet(&self, _words: &[String]) -> Option<DeferredReply> {
         None
     }
 
     /// Waits for a lease; none: it has none.
-    fn lease(&self, _name: &str, _slots: u16) -> Option<Result<Box<dyn Session>, String>> {
+    fn lease(&self, _name: &str, _slots: u16) -> Option<Result<Box<dyn LeaseSession>, String>> {
         None
     }
 }
@@ -71,8 +71,8 @@
     /// All that send to servers, `host` among them.
     followers: RefCell<Vec<Rc<dyn Follows>>>,
     bans: RefCell<Bans>,
-    figures: Rc<Figures>,
-    phase: watch::Receiver<Phase>,
+    metrics: Rc<Metrics>,
+    phase: watch::Receiver<ShutdownPhase>,
     parts: Vec<Rc<dyn Part>>,
 }
 
@@ -83,8 +83,8 @@
         address: Option<SocketAddr>,
         state: Option<PathBuf>,
         host: &Rc<Host<HttpUpstream>>,
-        figures: &Rc<Figures>,
-        phase: watch::Receiver<Phase>,
+        metrics: &Rc<Metrics>,
+        phase: watch::Receiver<ShutdownPhase>,
         parts: Vec<Rc<dyn Part>>,
     ) -> Result<Option<Rc<Self>>, Box<dyn Error>> {
         let Some(address) = address else { return Ok(None) };
@@ -95,7 +95,7 @@
             host: host.clone(),
             followers: RefCell::default(),
             bans: RefCell::new(bans),
-            figures: figures.clone(),
+            metrics: metrics.clone(),
             phase,
             parts,
         };
@@ -125,7 +125,10 @@
                     self.host.log(format_args!("bans: {error}"));
                 }
                 told = changes.is_err();
-                changes.iter().flatten().for_each(|c| self.apply(&c.name, c.out, "another process was told"));
+                changes
+                    .iter()
+                    .flatten()
+                    .for_each(|c| self.apply(&c.server, c.suspended, "another process was told"));
             }
         });
         Ok(())
@@ -138,28 +141,30 @@
     }
 
     fn apply(&self, server: &str, out: bool, why: &str) {
-        self.followers.borrow().iter().for_each(|f| f.set_out(server, out));
+        self.followers.borrow().iter().for_each(|f| f.set_suspended(server, out));
         let what = if out { "out" } else { "in use again" };
         self.host.log(format_args!("server {server:?} is {what}: {why}"));
     }
 }
 
-impl Node for Desk {
+impl CallHandler for Desk {
     fn status(&self) -> Result<String, String> {
         match (self.host.ready(), *self.phase.borrow()) {
-            (true, Phase::Serving) => Ok(format!("serving, list {}", self.host.revision())),
-            (false, Phase::Serving) => Err("no list of servers yet".to_owned()),
-            (_, Phase::Leaving | Phase::Closing | Phase::Finishing) => Err("leaving".to_owned()),
+            (true, ShutdownPhase::Serving) => Ok(format!("serving, list {}", self.host.revision())),
+            (false, ShutdownPhase::Serving) => Err("no list of servers yet".to_owned()),
+            (_, ShutdownPhase::Leaving | ShutdownPhase::Closing | ShutdownPhase::Finishing) => {
+                Err("leaving".to_owned())
+            }
         }
     }
 
-    fn figures(&self) -> String {
+    fn metrics(&self) -> String {
         let (listed, out) = self.host.server_counts();
-        self.figures.discovered.set(listed as i64);
-        self.figures.ejected.set(out as i64);
-        self.parts.iter().for_each(|p| p.figures(&self.figures));
-        self.host.spared_probes().iter().for_each(|n| self.figures.spared(*n));
-        self.figures.text()
+        self.metrics.discovered.set(listed as i64);
+        self.metrics.ejected.set(out as i64);
+        self.parts.iter().for_each(|p| p.metrics(&self.metrics));
+        self.host.spared_probes().iter().for_each(|n| self.metrics.set_probes_spared(*n));
+        self.metrics.encode()
     }
 
     fn members(&self) -> Result<String, String> {
@@ -174,16 +179,17 @@
         self.asks(&Call::Leases)
     }
 
-    fn told(&self, what: &Call) -> Result<String, String> {
+    fn subsystem_status(&self, what: &Call) -> Result<String, String> {
         self.asks(what)
     }
 
-    fn wallet(&self, words: &[String]) -> Told {
-        let missing = || Box::pin(async { Err("no [[wallet]] in the operator's file".to_owned()) }) as Told;
+    fn wallet(&self, words: &[String]) -> DeferredReply {
+        let missing =
+            || Box::pin(async { Err("no [[wallet]] in the operator's file".to_owned()) }) as DeferredReply;
         self.parts.iter().find_map(|p| p.wallet(words)).unwrap_or_else(missing)
     }
 
-    fn lease(&self, name: &str, slots: u16) -> Result<Box<dyn Session>, String> {
+    fn lease(&self, name: &str, slots: u16) -> Result<Box<dyn LeaseSession>, String> {
         let missing = || Err("no [lease] in the operator's file".to_owned());
         self.parts.iter().find_map(|p| p.lease(name, slots)).unwrap_or_else(missing)
     }
@@ -192,7 +198,7 @@
         self.asks(&Call::EndLease(name.to_owned()))
     }
 
-    fn set_out(&self, server: &str, out: bool) -> Result<String, String> {
+    fn set_suspended(&self, server: &str, out: bool) -> Result<String, String> {
         let listed = self.followers.borrow().iter().any(|f| f.knows(server));
         let mut bans = self.bans.borrow_mut();
         if !listed && !bans.contains(server) {
--- a/node/src/thrift.rs
+++ b/node/src/thrift.rs
@@ -1,7 +1,7 @@
 //! Starts a Thrift listener of the operator's.
 
 use crate::{listen, lists, or};
-use birchswitch_figures::Figures;
+use birchswitch_figures::Metrics;
 use birchswitch_host::Host;
 use birchswitch_membership::Directory;
 use birchswitch_site::Names;
@@ -23,7 +23,7 @@
     /// For random numbers.
     pub seed: u64,
     /// What the node counts.
-    pub figures: &'a Rc<Figures>,
+    pub metrics: &'a Rc<Metrics>,
     /// Up once the node closes.
     pub closing: &'a watch::Receiver<bool>,
 }
@@ -46,7 +46,7 @@
         let upstream = ThriftUpstream::new(compiled.clone(), connect_timeout, conn_idle);
         let directory = Directory::new(shared.names.clone());
         let seed = shared.seed ^ (number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let host = Host::new(name, site, seed, directory, upstream.clone(), shared.figures.clone())?;
+        let host = Host::new(name, site, seed, directory, upstream.clone(), shared.metrics.clone())?;
         let listener = listen(settings.listen).map_err(|e| {
             format!("thrift listener {:?}: cannot listen on {}: {e}", settings.name, settings.listen)
         })?;
