--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,34 +1,35 @@
-//! Requests in hand, their attempts, timers and deadlines, and the rules on them: for any protocol, without I/O.
+//! Tracks requests, their attempts, timers and deadlines, and enforces the rules on them, independent of protocol and I/O.
 //!
-//! A front tells [`Engine::submit`] of each request, whoever talks to servers tells [`Engine::attempt_ended`] how attempts
-//! ended, whoever knows the servers tells [`Engine::update_servers`]. The decisions are a [`Policy`]'s, in service
-//! `finchvale`'s; the engine keeps books, checks each decision against the rules, and says what is to be done as
-//! [`Command`]s. Requests and answers are opaque: only the package of a protocol opens them.
+//! The front of a protocol calls [`Engine::submit`] for each request, its upstream side reports the ends of attempts with
+//! [`Engine::attempt_ended`], and discovery passes lists of servers to [`Engine::update_servers`]. A [`Policy`], in
+//! production that of `finchvale`, makes all decisions. The engine tracks the state of requests, checks each decision
+//! against the rules and returns the work to do as [`Command`]s. Requests and answers are opaque to it.
 //!
 //! ```text
-//! front --arrive/leave--> Engine --Command::Answer--> front
-//!                            |  ^
-//!             Command::Start |  | clear, ended, probed
-//!                            v  |
-//!                        servers' side
+//! front --submit, client_disconnected--> Engine --Command::Answer--> front
+//!                                         |  ^
+//!                          Command::Start |  | permit_send, attempt_ended, probe_ended
+//!                                         v  |
+//!                                       upstream
 //! ```
 //!
-//! Time is an argument. [`Engine::next_wake`] says when [`Engine::wake`] is due; nothing else wants a timer.
+//! Time is an argument. [`Engine::next_wake`] returns when to call [`Engine::wake`]; no other timer is needed.
 //!
-//! The rules hold whatever a [`Policy`] does and in whatever order events come:
+//! The rules hold for every [`Policy`] and every order of events:
 //!
-//! 1. Each request that was taken gets one [`Command::Answer`], at its `answer_deadline` at the latest, unless its client
-//!    left before.
-//! 2. An attempt is written only after [`Engine::permit_send`] said so, once, and only if the request is open, the server takes
-//!    new requests, and no earlier attempt stands in the way: for unsafe requests any that may have run, for keyed ones
-//!    one outside the group or the window. A refusal that would promise what nobody knows goes out as a failure.
-//! 3. Nothing is cleared for a server that drains or is gone.
+//! 1. Each accepted request gets one [`Command::Answer`], at its `answer_deadline` at the latest, unless its client
+//!    disconnects first.
+//! 2. An attempt is sent only after [`Engine::permit_send`] has granted it, once, and only if the request is open, the server
+//!    accepts new requests and no earlier attempt forbids it. For unsafe requests, any attempt that may have run forbids it;
+//!    for keyed ones, one that may have run outside the server's key scope, or longer ago than the replay window. A refusal
+//!    is turned into a failure where a retry might not be harmless.
+//! 3. No attempt is permitted to a server that drains or is gone.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 mod engine;
-mod ledger;
+mod requests;
 
 pub use engine::Engine;
 
@@ -36,9 +37,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What decides. [`finchvale::Balancer`] in service; tests put others here, to show that the rules don't rest on it.
+/// Makes the decisions. Production uses [`finchvale::Balancer`]; tests use others to show that the rules hold for any policy.
 pub trait Policy {
-    /// Takes in what happened at `now` and adds what it wants done.
+    /// Handles an event that happened at `now` and appends the resulting actions.
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -54,39 +55,41 @@
     }
 }
 
-/// A client's request in no protocol's terms.
+/// A client's request, independent of protocol.
 #[derive(Clone, Debug)]
 pub struct Incoming<R> {
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant it belongs to.
     pub tenant: TenantId,
-    /// Expected work, if the client told.
+    /// Expected work, if the client sent a hint.
     pub work: Option<Duration>,
-    /// All of it is there; else [`Engine::written`] tells when a server has it, and [`Engine::set_deadlines`] sets its times.
+    /// Whether the body has been received completely. If not, [`Engine::request_written`] reports when a server has all of it
+    /// and [`Engine::set_deadlines`] sets the final deadlines.
     pub body_complete: bool,
-    /// When the decisions have to be over.
+    /// Deadline of all attempts.
     pub deadline: Time,
-    /// When the answer goes out whatever they say; not before `deadline`.
+    /// When the request fails if it has no answer yet; `deadline` if that is later.
     pub answer_deadline: Time,
-    /// The client's name for it. While it is open or out no other of that name is taken.
+    /// The client's id of the request. No other request with this id is accepted while it is open or has an attempt in
+    /// flight.
     pub external_id: Box<[u8]>,
-    /// What goes to a server, perhaps several times.
+    /// The protocol's request, which may be sent to servers several times.
     pub request: R,
 }
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer<A> {
-    /// What a server answered.
+    /// A server's answer.
     Served(A),
-    /// Trying again is harmless, best after the wait.
+    /// A retry is harmless, preferably after the given delay.
     Refused(Option<Duration>),
-    /// Nothing is promised.
+    /// The request may or may not have run.
     Failed,
 }
 
-/// One attempt: the request and its number there, from 0.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The request.
@@ -95,81 +98,82 @@
     pub number: u32,
 }
 
-/// One probe.
+/// Identifies a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProbeId(pub u64);
 
-/// What is to be done, in this order.
+/// Work for the host, to be carried out in order.
 #[derive(Debug)]
 pub enum Command<R, A> {
-    /// Get ready to send, ask [`Engine::permit_send`] before the first byte, and tell [`Engine::attempt_ended`] what came of it.
+    /// Prepare to send an attempt, call [`Engine::permit_send`] before the first byte, and report the end to
+    /// [`Engine::attempt_ended`].
     Start {
         /// The attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// What.
+        /// The request to send.
         request: Rc<R>,
     },
-    /// Give the attempt up, and its connection with it. Nothing more is wanted of it.
+    /// Abort the attempt and close its connection. Its end need not be reported.
     Cancel(AttemptId),
-    /// Give the client this answer.
+    /// Send this answer to the client.
     Answer {
         /// The request.
         request: RequestId,
-        /// Its one final answer.
+        /// The final answer.
         answer: Answer<A>,
     },
-    /// Ask a server for its load, and tell [`Engine::probe_ended`].
+    /// Ask a server for its load and report the result to [`Engine::probe_ended`].
     Probe {
         /// The probe.
         probe: ProbeId,
-        /// Whom.
+        /// The server to probe.
         server: ServerId,
     },
-    /// Give the probe up.
+    /// Abort the probe.
     CancelProbe(ProbeId),
-    /// Nothing more can come of a request: it is answered, or its client left, and no attempt is out. Said where
-    /// [`Engine::report_completion`] was called.
+    /// A request is finished: it is answered or its client disconnected, and no attempt is in flight. Only after
+    /// [`Engine::report_completion`].
     Completed {
         /// The request.
         request: RequestId,
-        /// Whether it ran, or may have run, at any server.
+        /// Whether any server ran it or may have run it.
         may_have_run: bool,
     },
-    /// Follow the list of servers from now on.
+    /// Watch the list of servers from now on.
     Watch,
-    /// Write a line to the log.
+    /// Log this line.
     Log(String),
 }
 
-/// How an attempt ended, as the servers' side saw it.
+/// The end of an attempt, as seen by the upstream side.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult<A> {
-    /// What came of it, above all whether it can have run.
+    /// The outcome, which tells among other things whether the attempt can have run.
     pub outcome: Outcome,
-    /// The server's word on its load, if one came along.
+    /// The load report that came with the response, if any.
     pub report: Option<LoadReport>,
-    /// What to give the client, of one that was served.
+    /// The answer for the client, if the attempt was served.
     pub answer: Option<A>,
 }
 
 impl<A> AttemptResult<A> {
-    /// Without answer or report.
+    /// Creates a result without answer or load report.
     pub fn from_outcome(outcome: Outcome) -> Self {
         AttemptResult { outcome, report: None, answer: None }
     }
 }
 
-/// What [`Engine::permit_send`] says.
+/// The result of [`Engine::permit_send`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendPermit {
-    /// Send now; the attempt has so long.
+    /// Send now. The duration is the time left to the attempt.
     Granted(Duration),
-    /// Don't send: the attempt ends as [`Outcome::NotSent`].
+    /// Do not send; end the attempt with [`Outcome::NotSent`].
     Denied,
 }
 
-/// A request of the same name is open, or still out at a server, where a second would pass for its repeat.
+/// A request with the same external id is open or has an attempt in flight, and the new one would count as its repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateRequest;
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, whatever decides and in whatever order things happen: a scripted servers' side, a clock that the test moves.
+//! Checks the engine's rules for several policies and random orders of events, with scripted servers and a manual clock.
 
 use birchswitch_engine::{
     Answer, AttemptId, AttemptResult, Command, DuplicateRequest, Engine, Incoming, Policy, ProbeId,
@@ -14,7 +14,7 @@
 const MS: Duration = Duration::from_millis(1);
 const SERVERS: u32 = 6;
 const WINDOW: Duration = Duration::from_millis(40);
-/// Classes by position.
+/// Positions of the classes in the settings.
 const SAFE: u8 = 0;
 const KEYED: u8 = 1;
 const UNSAFE: u8 = 2;
@@ -81,13 +81,13 @@
     rng.next_u64() % n
 }
 
-/// Decides anything at all: the rules may not rest on good sense.
-struct Wild {
+/// Makes random decisions, since the rules have to hold for any policy.
+struct RandomPolicy {
     rng: Xoshiro256PlusPlus,
     requests: u64,
 }
 
-impl Policy for Wild {
+impl Policy for RandomPolicy {
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if let Event::Arrival(arrival) = event {
             self.requests = self.requests.max(arrival.request.0 + 1);
@@ -95,61 +95,63 @@
         for _ in 0..below(&mut self.rng, 3) {
             let request = RequestId(below(&mut self.rng, self.requests + 1));
             let server = ServerId(below(&mut self.rng, SERVERS.into()) as u32);
-            let some = Duration::from_millis(below(&mut self.rng, 60));
+            let random = Duration::from_millis(below(&mut self.rng, 60));
             actions.push(match below(&mut self.rng, 10) {
-                0 => Action::Refuse { request, wait: Some(some), why: Refusal::BelowThreshold },
+                0 => Action::Refuse { request, wait: Some(random), why: Refusal::BelowThreshold },
                 1 => Action::Fail { request },
                 2 => Action::Cancel { request, attempt: below(&mut self.rng, 4) as u32 },
-                3 => Action::SetTimer { at: now + some, timer: TimerId(0) },
+                3 => Action::SetTimer { at: now + random, timer: TimerId(0) },
                 4 => Action::Probe { server },
-                _ => Action::Send { request, server, limit: (below(&mut self.rng, 2) == 0).then_some(some) },
+                _ => {
+                    Action::Send { request, server, limit: (below(&mut self.rng, 2) == 0).then_some(random) }
+                }
             });
         }
     }
 }
 
-/// An attempt as the servers' side holds it.
+/// An attempt on the upstream side.
 #[derive(Clone, Copy)]
-struct Held {
+struct PendingAttempt {
     attempt: AttemptId,
     server: ServerId,
     written: bool,
 }
 
-/// What really happened to a request.
+/// What happened to a request.
 #[derive(Default)]
-struct Truth {
+struct RequestHistory {
     class: u8,
     answer_deadline: Time,
-    left: bool,
+    disconnected: bool,
     answers: Vec<(Time, Answer<u32>)>,
-    /// Each write: server, time, and whether it is proved, and told, that it never ran.
+    /// Each write: attempt, server, time, and whether a reported outcome proved that it never ran.
     writes: Vec<(AttemptId, ServerId, Time, bool)>,
-    /// Nothing more can come of it; whether it may have run.
-    over: Option<bool>,
+    /// Set once the request is completed: whether it may have run.
+    completed: Option<bool>,
 }
 
-/// An engine between clients and servers that a test plays.
-struct World<D> {
+/// An engine with simulated clients and servers.
+struct Harness<D> {
     engine: Engine<D, u32, u32>,
     now: Time,
-    held: Vec<Held>,
+    pending: Vec<PendingAttempt>,
     probes: Vec<ProbeId>,
     states: BTreeMap<u32, ServerState>,
-    truth: BTreeMap<RequestId, Truth>,
+    history: BTreeMap<RequestId, RequestHistory>,
     second_copies: bool,
 }
 
-impl<D: Policy> World<D> {
+impl<D: Policy> Harness<D> {
     fn new(decide: D, second_copies: bool) -> Self {
         let mut engine = Engine::new(decide, &settings(second_copies));
         engine.report_completion();
         let (now, states) = (Time(1_000_000_000), BTreeMap::new());
-        let (held, probes, truth) = (Vec::new(), Vec::new(), BTreeMap::new());
-        let mut world = World { engine, now, held, probes, states, truth, second_copies };
+        let (pending, probes, history) = (Vec::new(), Vec::new(), BTreeMap::new());
+        let mut harness = Harness { engine, now, pending, probes, states, history, second_copies };
         let all = (0..SERVERS).map(|s| entry(s, ServerState::Ready)).collect();
-        world.list(ListKind::Full, all);
-        world
+        harness.list(ListKind::Full, all);
+        harness
     }
 
     fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
@@ -171,92 +173,96 @@
             request: 7,
         };
         let id = self.engine.submit(self.now, incoming)?;
-        self.truth.insert(id, Truth { class, answer_deadline, ..Truth::default() });
+        self.history.insert(id, RequestHistory { class, answer_deadline, ..RequestHistory::default() });
         self.drain();
         Ok(id)
     }
 
-    /// Carries out what the engine wants, and checks it.
+    /// Carries out the engine's commands and checks them against the rules.
     fn drain(&mut self) {
         while let Some(command) = self.engine.next_command() {
             match command {
                 Command::Start { attempt, server, request } => {
                     assert_eq!(*request, 7);
-                    self.held.push(Held { attempt, server, written: false });
+                    self.pending.push(PendingAttempt { attempt, server, written: false });
                 }
-                Command::Cancel(attempt) => self.held.retain(|h| h.attempt != attempt),
+                Command::Cancel(attempt) => self.pending.retain(|h| h.attempt != attempt),
                 Command::Answer { request, answer } => {
-                    let truth = self.truth.get_mut(&request).expect("a request that came");
-                    assert!(truth.answers.is_empty(), "{request} answered twice");
-                    assert!(!truth.left, "{request} answered after its client left");
-                    assert!(self.now <= truth.answer_deadline, "{request} answered late");
-                    let risky = truth.writes.iter().any(|w| !w.3);
-                    if matches!(answer, Answer::Refused(_)) && truth.class != SAFE {
-                        assert!(!risky, "{request} refused, and may have run");
+                    let history = self.history.get_mut(&request).expect("a submitted request");
+                    assert!(history.answers.is_empty(), "{request} answered twice");
+                    assert!(!history.disconnected, "{request} answered after its client disconnected");
+                    assert!(self.now <= history.answer_deadline, "{request} answered late");
+                    let may_have_run = history.writes.iter().any(|w| !w.3);
+                    if matches!(answer, Answer::Refused(_)) && history.class != SAFE {
+                        assert!(!may_have_run, "{request} refused, and may have run");
                     }
-                    truth.answers.push((self.now, answer));
+                    history.answers.push((self.now, answer));
                 }
                 Command::Probe { probe, .. } => self.probes.push(probe),
                 Command::CancelProbe(probe) => self.probes.retain(|p| *p != probe),
                 Command::Completed { request, may_have_run } => {
-                    let truth = self.truth.get_mut(&request).expect("a request that came");
-                    assert!(truth.over.is_none(), "{request} is over twice");
+                    let history = self.history.get_mut(&request).expect("a submitted request");
+                    assert!(history.completed.is_none(), "{request} is completed twice");
                     assert!(
-                        !truth.answers.is_empty() || truth.left,
-                        "{request} is over and was owed an answer"
+                        !history.answers.is_empty() || history.disconnected,
+                        "{request} is completed without an answer"
                     );
                     assert_eq!(
                         may_have_run,
-                        truth.writes.iter().any(|w| !w.3),
+                        history.writes.iter().any(|w| !w.3),
                         "{request}: whether it may have run"
                     );
-                    truth.over = Some(may_have_run);
+                    history.completed = Some(may_have_run);
                 }
                 Command::Watch | Command::Log(_) => {}
             }
         }
     }
 
-    /// The first byte of an attempt that waits would go out now.
+    /// Asks for permission to send a pending attempt and records the write.
     fn write(&mut self, at: usize) -> SendPermit {
-        let Held { attempt, server, .. } = self.held[at];
-        let clearance = self.engine.permit_send(self.now, attempt);
-        if clearance == SendPermit::Denied {
-            self.held.remove(at);
+        let PendingAttempt { attempt, server, .. } = self.pending[at];
+        let permit = self.engine.permit_send(self.now, attempt);
+        if permit == SendPermit::Denied {
+            self.pending.remove(at);
             self.engine.attempt_ended(self.now, attempt, AttemptResult::from_outcome(Outcome::NotSent));
             self.drain();
-            return clearance;
+            return permit;
         }
         let now = self.now;
-        let others_out = self.held.iter().any(|h| h.written && h.attempt.request == attempt.request);
-        let truth = self.truth.get_mut(&attempt.request).expect("a request that came");
-        assert!(truth.answers.is_empty() && !truth.left, "written after its end");
-        assert_eq!(self.states[&server.0], ServerState::Ready, "new work for a server that takes none");
-        assert!(truth.writes.iter().all(|w| w.0 != attempt), "written twice");
-        assert!(truth.writes.len() < 3, "more attempts than the site allows");
-        assert!(self.second_copies || !others_out, "two copies out");
-        let risky: Vec<_> = truth.writes.iter().filter(|w| !w.3).collect();
-        match truth.class {
+        let others_out = self.pending.iter().any(|h| h.written && h.attempt.request == attempt.request);
+        let history = self.history.get_mut(&attempt.request).expect("a submitted request");
+        assert!(history.answers.is_empty() && !history.disconnected, "written after the request was closed");
+        assert_eq!(
+            self.states[&server.0],
+            ServerState::Ready,
+            "written to a server that accepts no requests"
+        );
+        assert!(history.writes.iter().all(|w| w.0 != attempt), "written twice");
+        assert!(history.writes.len() < 3, "more attempts than the site allows");
+        assert!(self.second_copies || !others_out, "two copies in flight");
+        let may_have_run: Vec<_> = history.writes.iter().filter(|w| !w.3).collect();
+        match history.class {
             KEYED => {
-                assert!(risky.iter().all(|w| w.1 .0 / 2 == server.0 / 2), "repeated outside its group");
-                assert!(risky.iter().all(|w| now < w.2 + WINDOW), "repeated after its window");
+                assert!(may_have_run.iter().all(|w| w.1 .0 / 2 == server.0 / 2), "repeated outside its cell");
+                assert!(may_have_run.iter().all(|w| now < w.2 + WINDOW), "repeated after the replay window");
             }
-            UNSAFE => assert!(risky.is_empty(), "an unsafe request may run twice"),
+            UNSAFE => assert!(may_have_run.is_empty(), "an unsafe request may run twice"),
             _ => {}
         }
-        truth.writes.push((attempt, server, now, false));
-        self.held[at].written = true;
-        clearance
+        history.writes.push((attempt, server, now, false));
+        self.pending[at].written = true;
+        permit
     }
 
     fn end(&mut self, at: usize, outcome: Outcome) {
-        let held = self.held.remove(at);
-        let truth = self.truth.get_mut(&held.attempt.request).expect("a request that came");
-        for write in truth.writes.iter_mut().filter(|w| w.0 == held.attempt) {
+        let pending = self.pending.remove(at);
+        let history = self.history.get_mut(&pending.attempt.request).expect("a submitted request");
+        for write in history.writes.iter_mut().filter(|w| w.0 == pending.attempt) {
             write.3 = outcome.never_ran();
         }
-        let answer = (outcome == Outcome::Served).then_some(held.server.0);
-        self.engine.attempt_ended(self.now, held.attempt, AttemptResult { outcome, report: None, answer });
+        let answer = (outcome == Outcome::Served).then_some(pending.server.0);
+        self.engine.attempt_ended(self.now, pending.attempt, AttemptResult { outcome, report: None, answer });
         self.drain();
     }
 
@@ -270,17 +276,17 @@
         self.now = to;
     }
 
-    /// One random thing.
+    /// Performs one random step.
     fn step(&mut self, rng: &mut Xoshiro256PlusPlus) {
-        let some = below(rng, 1 << 20) as usize;
+        let random = below(rng, 1 << 20) as usize;
         match below(rng, 12) {
             0..=2 => {
-                // Names are few, so that some come again while they are open.
-                let _ = self.arrive((some % 3) as u8, &[(some / 3 % 40) as u8]);
+                // With few external ids, some requests arrive while one with the same id is open.
+                let _ = self.arrive((random % 3) as u8, &[(random / 3 % 40) as u8]);
             }
-            3..=5 if !self.held.is_empty() => {
-                let at = some % self.held.len();
-                match (self.held[at].written, some / 64 % 4) {
+            3..=5 if !self.pending.is_empty() => {
+                let at = random % self.pending.len();
+                match (self.pending[at].written, random / 64 % 4) {
                     (false, 0) => self.end(at, Outcome::Unreachable),
                     (false, _) => {
                         self.write(at);
@@ -291,36 +297,36 @@
                     (true, _) => self.end(at, Outcome::Error),
                 }
             }
-            6 if !self.truth.is_empty() => {
-                let id = *self.truth.keys().nth(some % self.truth.len()).expect("one of them");
-                let truth = self.truth.get_mut(&id).expect("one of them");
-                truth.left |= truth.answers.is_empty();
+            6 if !self.history.is_empty() => {
+                let id = *self.history.keys().nth(random % self.history.len()).expect("a valid index");
+                let history = self.history.get_mut(&id).expect("a valid index");
+                history.disconnected |= history.answers.is_empty();
                 self.engine.client_disconnected(self.now, id);
                 self.drain();
             }
             7 => {
                 use ServerState::*;
-                let state = [Ready, Ready, Draining, Gone][some % 4];
-                self.list(ListKind::Changes, vec![entry((some / 4) as u32 % SERVERS, state)]);
+                let state = [Ready, Ready, Draining, Gone][random % 4];
+                self.list(ListKind::Changes, vec![entry((random / 4) as u32 % SERVERS, state)]);
             }
             8 if !self.probes.is_empty() => {
-                let probe = self.probes.remove(some % self.probes.len());
+                let probe = self.probes.remove(random % self.probes.len());
                 self.engine.probe_ended(self.now, probe, Outcome::Served, Some(LoadReport::default()));
                 self.drain();
             }
-            _ => self.advance(Duration::from_micros(some as u64 % 20_000)),
+            _ => self.advance(Duration::from_micros(random as u64 % 20_000)),
         }
     }
 
-    /// Lets everything come to its end, and looks whether it did.
+    /// Runs all requests to their end and checks that nothing is left.
     fn finish(&mut self) {
         self.advance(500 * MS);
-        for (id, truth) in &self.truth {
-            assert_eq!(truth.answers.len(), usize::from(!truth.left), "{id}: one answer each");
-            assert!(truth.over.is_some(), "{id}: it is over, and that was said");
+        for (id, history) in &self.history {
+            assert_eq!(history.answers.len(), usize::from(!history.disconnected), "{id}: number of answers");
+            assert!(history.completed.is_some(), "{id}: not completed");
         }
-        assert_eq!(self.engine.active_requests(), 0, "nothing is kept");
-        assert!(self.held.is_empty(), "nothing is out that nobody waits for");
+        assert_eq!(self.engine.active_requests(), 0, "requests are left");
+        assert!(self.pending.is_empty(), "attempts are left");
     }
 }
 
@@ -328,28 +334,28 @@
     #![proptest_config(ProptestConfig::with_cases(600))]
 
     #[test]
-    fn the_rules_hold_whatever_is_decided(seed: u64, second_copies: bool, steps in 1usize..250) {
+    fn the_rules_hold_for_random_decisions(seed: u64, second_copies: bool, steps in 1usize..250) {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let wild = Wild { rng: Xoshiro256PlusPlus::seed_from_u64(!seed), requests: 0 };
-        let mut world = World::new(wild, second_copies);
-        (0..steps).for_each(|_| world.step(&mut rng));
-        world.finish();
+        let policy = RandomPolicy { rng: Xoshiro256PlusPlus::seed_from_u64(!seed), requests: 0 };
+        let mut harness = Harness::new(policy, second_copies);
+        (0..steps).for_each(|_| harness.step(&mut rng));
+        harness.finish();
     }
 
     #[test]
-    fn the_rules_hold_with_the_decisions_in_service(seed: u64, second_copies: bool, steps in 1usize..250) {
+    fn the_rules_hold_for_the_production_balancer(seed: u64, second_copies: bool, steps in 1usize..250) {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let balancer = Balancer::new(settings(second_copies), seed, Time(1_000_000_000)).expect("settings");
-        let mut world = World::new(balancer, second_copies);
-        (0..steps).for_each(|_| world.step(&mut rng));
-        world.finish();
+        let balancer = Balancer::new(settings(second_copies), seed, Time(1_000_000_000)).expect("valid settings");
+        let mut harness = Harness::new(balancer, second_copies);
+        (0..steps).for_each(|_| harness.step(&mut rng));
+        harness.finish();
     }
 }
 
-/// Sends what comes to the first server, and each ended attempt on to the next; refuses what a server turned away twice.
-struct Onward;
+/// Sends each request to server 0 and each ended attempt on to the next server; refuses it after the third attempt.
+struct NextServerPolicy;
 
-impl Policy for Onward {
+impl Policy for NextServerPolicy {
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Arrival(a) => {
@@ -369,66 +375,66 @@
     }
 }
 
-/// How an answer reads.
-fn answered<D: Policy>(world: &World<D>, id: RequestId) -> Option<Answer<u32>> {
-    world.truth[&id].answers.first().map(|a| a.1.clone())
+/// Returns a request's answer, if it has one.
+fn answered<D: Policy>(harness: &Harness<D>, id: RequestId) -> Option<Answer<u32>> {
+    harness.history[&id].answers.first().map(|a| a.1.clone())
 }
 
 #[test]
-fn a_drain_told_between_choice_and_write_stops_the_write() {
-    let mut world = World::new(Onward, false);
-    let id = world.arrive(UNSAFE, b"a").expect("taken");
-    world.list(ListKind::Changes, vec![entry(0, ServerState::Draining)]);
-    assert_eq!(world.write(0), SendPermit::Denied);
-    // It surely didn't run: it goes on, also though it is unsafe.
-    assert_eq!((world.held.len(), world.held[0].server), (1, ServerId(1)));
-    assert!(matches!(world.write(0), SendPermit::Granted(_)));
-    world.end(0, Outcome::Served);
-    assert_eq!(answered(&world, id), Some(Answer::Served(1)));
+fn a_drain_between_decision_and_write_stops_the_write() {
+    let mut harness = Harness::new(NextServerPolicy, false);
+    let id = harness.arrive(UNSAFE, b"a").expect("accepted");
+    harness.list(ListKind::Changes, vec![entry(0, ServerState::Draining)]);
+    assert_eq!(harness.write(0), SendPermit::Denied);
+    // It cannot have run, so it is sent on although it is unsafe.
+    assert_eq!((harness.pending.len(), harness.pending[0].server), (1, ServerId(1)));
+    assert!(matches!(harness.write(0), SendPermit::Granted(_)));
+    harness.end(0, Outcome::Served);
+    assert_eq!(answered(&harness, id), Some(Answer::Served(1)));
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_not_sent_again_and_not_refused() {
-    let mut world = World::new(Onward, false);
-    let id = world.arrive(UNSAFE, b"a").expect("taken");
-    world.write(0);
-    world.end(0, Outcome::Broken);
-    assert!(world.held.is_empty());
-    assert_eq!(answered(&world, id), Some(Answer::Failed));
+    let mut harness = Harness::new(NextServerPolicy, false);
+    let id = harness.arrive(UNSAFE, b"a").expect("accepted");
+    harness.write(0);
+    harness.end(0, Outcome::Broken);
+    assert!(harness.pending.is_empty());
+    assert_eq!(answered(&harness, id), Some(Answer::Failed));
 }
 
 #[test]
-fn a_key_is_repeated_in_its_cell_only_and_not_after_its_window() {
+fn a_keyed_request_is_repeated_only_in_its_cell_and_window() {
     for (wait, outcome) in [(Duration::ZERO, true), (WINDOW, false)] {
-        let mut world = World::new(Onward, false);
-        world.arrive(KEYED, b"a").expect("taken");
-        world.write(0);
-        world.end(0, Outcome::Broken);
-        // The next one, of the same cell, gets ready; connecting takes time.
-        assert_eq!(world.held[0].server, ServerId(1));
-        world.advance(wait);
-        assert_eq!(matches!(world.write(0), SendPermit::Granted(_)), outcome, "after {wait:?}");
+        let mut harness = Harness::new(NextServerPolicy, false);
+        harness.arrive(KEYED, b"a").expect("accepted");
+        harness.write(0);
+        harness.end(0, Outcome::Broken);
+        // The next server is in the same cell; connecting to it takes time.
+        assert_eq!(harness.pending[0].server, ServerId(1));
+        harness.advance(wait);
+        assert_eq!(matches!(harness.write(0), SendPermit::Granted(_)), outcome, "after {wait:?}");
         if outcome {
-            world.end(0, Outcome::Broken);
-            assert!(world.held.is_empty(), "server 2 is of another cell");
+            harness.end(0, Outcome::Broken);
+            assert!(harness.pending.is_empty(), "server 2 is in another cell");
         }
     }
 }
 
 #[test]
-fn an_attempt_is_let_go_once() {
-    let mut world = World::new(Onward, false);
-    world.arrive(SAFE, b"a").expect("taken");
-    let attempt = world.held[0].attempt;
-    assert!(matches!(world.engine.permit_send(world.now, attempt), SendPermit::Granted(_)));
-    assert_eq!(world.engine.permit_send(world.now, attempt), SendPermit::Denied);
+fn an_attempt_is_permitted_once() {
+    let mut harness = Harness::new(NextServerPolicy, false);
+    harness.arrive(SAFE, b"a").expect("accepted");
+    let attempt = harness.pending[0].attempt;
+    assert!(matches!(harness.engine.permit_send(harness.now, attempt), SendPermit::Granted(_)));
+    assert_eq!(harness.engine.permit_send(harness.now, attempt), SendPermit::Denied);
 }
 
-/// What was given up must not go out: nobody waits for it any more, and its request may be elsewhere.
+/// Guards against sending an attempt after its cancellation or deadline, when its request may already be at another server.
 #[test]
-fn an_attempt_that_was_given_up_or_is_over_is_not_let_go() {
-    struct Brief;
-    impl Policy for Brief {
+fn a_cancelled_or_overdue_attempt_is_not_permitted() {
+    struct CancelPolicy;
+    impl Policy for CancelPolicy {
         fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
             match event {
                 Event::Arrival(a) => {
@@ -442,81 +448,83 @@
         }
     }
     for given_up in [true, false] {
-        let mut world = World::new(Brief, false);
-        let id = world.arrive(SAFE, b"a").expect("taken");
+        let mut harness = Harness::new(CancelPolicy, false);
+        let id = harness.arrive(SAFE, b"a").expect("accepted");
         let attempt = AttemptId { request: id, number: 0 };
         match given_up {
-            true => world.advance(10 * MS),
-            false => world.now = world.now + 20 * MS, // The clock is ahead of the timers.
+            true => harness.advance(10 * MS),
+            false => harness.now = harness.now + 20 * MS, // The deadline has passed, but its timer has not fired.
         }
-        assert_eq!(world.engine.permit_send(world.now, attempt), SendPermit::Denied);
-        assert!(world.truth[&id].answers.is_empty(), "the request itself is still open");
+        assert_eq!(harness.engine.permit_send(harness.now, attempt), SendPermit::Denied);
+        assert!(harness.history[&id].answers.is_empty(), "the request is still open");
     }
 }
 
 #[test]
-fn a_name_is_free_again_once_nothing_is_out() {
-    let mut world = World::new(Onward, false);
-    let id = world.arrive(UNSAFE, b"a").expect("taken");
-    world.write(0);
-    assert_eq!(world.arrive(UNSAFE, b"a"), Err(DuplicateRequest));
-    world.truth.get_mut(&id).expect("it came").left = true;
-    world.engine.client_disconnected(world.now, id);
-    // Its client left, but a server still works on it.
-    assert_eq!(world.arrive(UNSAFE, b"a"), Err(DuplicateRequest));
-    world.end(0, Outcome::Served);
-    assert!(world.arrive(UNSAFE, b"a").is_ok());
+fn an_external_id_is_free_once_no_attempt_is_in_flight() {
+    let mut harness = Harness::new(NextServerPolicy, false);
+    let id = harness.arrive(UNSAFE, b"a").expect("accepted");
+    harness.write(0);
+    assert_eq!(harness.arrive(UNSAFE, b"a"), Err(DuplicateRequest));
+    harness.history.get_mut(&id).expect("a submitted request").disconnected = true;
+    harness.engine.client_disconnected(harness.now, id);
+    // The client disconnected, but a server may still be running the request.
+    assert_eq!(harness.arrive(UNSAFE, b"a"), Err(DuplicateRequest));
+    harness.end(0, Outcome::Served);
+    assert!(harness.arrive(UNSAFE, b"a").is_ok());
 }
 
 #[test]
-fn an_attempt_that_was_not_written_in_time_did_not_run() {
-    let mut world = World::new(Onward, false);
-    let (one, two) = (world.arrive(UNSAFE, b"a").expect("taken"), world.arrive(UNSAFE, b"b").expect("taken"));
-    world.write(1);
-    world.advance(100 * MS);
-    // The first was still connecting: it could be refused. The second may have run.
-    assert_eq!(answered(&world, one), Some(Answer::Refused(None)));
-    assert_eq!(answered(&world, two), Some(Answer::Failed));
+fn an_attempt_not_written_before_its_deadline_did_not_run() {
+    let mut harness = Harness::new(NextServerPolicy, false);
+    let (one, two) =
+        (harness.arrive(UNSAFE, b"a").expect("accepted"), harness.arrive(UNSAFE, b"b").expect("accepted"));
+    harness.write(1);
+    harness.advance(100 * MS);
+    // The first was still connecting, so it can be refused. The second may have run.
+    assert_eq!(answered(&harness, one), Some(Answer::Refused(None)));
+    assert_eq!(answered(&harness, two), Some(Answer::Failed));
 }
 
-/// Turned away by its host right before its first byte: refused, and over without having run; after one that may have run it fails.
+/// A request rejected by its host before any attempt was sent is refused and reported as not run; after an attempt that may have
+/// run it fails.
 #[test]
-fn a_request_that_its_host_turns_away_is_refused_only_where_that_is_true() {
+fn a_request_rejected_by_the_host_is_refused_only_if_it_never_ran() {
     for (before, expected) in [(false, Answer::Refused(Some(MS))), (true, Answer::Failed)] {
-        let mut world = World::new(Onward, false);
-        let id = world.arrive(KEYED, b"a").expect("taken");
+        let mut harness = Harness::new(NextServerPolicy, false);
+        let id = harness.arrive(KEYED, b"a").expect("accepted");
         if before {
-            world.write(0);
-            world.end(0, Outcome::Broken);
+            harness.write(0);
+            harness.end(0, Outcome::Broken);
         }
-        world.engine.reject(world.now, id, Some(MS));
-        world.drain();
-        assert_eq!(answered(&world, id), Some(expected));
-        assert_eq!(world.write(0), SendPermit::Denied);
-        assert_eq!(world.truth[&id].over, Some(before));
+        harness.engine.reject(harness.now, id, Some(MS));
+        harness.drain();
+        assert_eq!(answered(&harness, id), Some(expected));
+        assert_eq!(harness.write(0), SendPermit::Denied);
+        assert_eq!(harness.history[&id].completed, Some(before));
     }
 }
 
-/// With nobody to decide anything the answer still goes out, and no later than its last moment.
+/// A policy that never acts must not leave a client without an answer.
 #[test]
-fn a_request_that_nobody_decides_on_fails_in_time() {
-    struct Silent;
-    impl Policy for Silent {
+fn a_request_without_decisions_fails_at_its_answer_deadline() {
+    struct IdlePolicy;
+    impl Policy for IdlePolicy {
         fn handle(&mut self, _: Time, _: Event, _: &mut Vec<Action>) {}
     }
-    let mut world = World::new(Silent, false);
-    let id = world.arrive(SAFE, b"a").expect("taken");
-    let answer_deadline = world.truth[&id].answer_deadline;
-    world.advance(1000 * MS);
-    assert_eq!(world.truth[&id].answers, [(answer_deadline, Answer::Failed)]);
-    assert_eq!((world.engine.active_requests(), world.engine.next_wake()), (0, None));
+    let mut harness = Harness::new(IdlePolicy, false);
+    let id = harness.arrive(SAFE, b"a").expect("accepted");
+    let answer_deadline = harness.history[&id].answer_deadline;
+    harness.advance(1000 * MS);
+    assert_eq!(harness.history[&id].answers, [(answer_deadline, Answer::Failed)]);
+    assert_eq!((harness.engine.active_requests(), harness.engine.next_wake()), (0, None));
 }
 
-/// However often a decider wants it, the site's number of attempts is not exceeded.
+/// A policy that retries endlessly must not exceed the site's number of attempts.
 #[test]
 fn no_request_gets_more_attempts_than_the_site_allows() {
-    struct Stubborn;
-    impl Policy for Stubborn {
+    struct RetryPolicy;
+    impl Policy for RetryPolicy {
         fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
             let request = match event {
                 Event::Arrival(a) => a.request,
@@ -526,22 +534,22 @@
             actions.push(Action::Send { request, server: ServerId(0), limit: None });
         }
     }
-    let mut world = World::new(Stubborn, false);
-    let id = world.arrive(SAFE, b"a").expect("taken");
+    let mut harness = Harness::new(RetryPolicy, false);
+    let id = harness.arrive(SAFE, b"a").expect("accepted");
     for _ in 0..3 {
-        assert!(matches!(world.write(0), SendPermit::Granted(_)));
-        world.end(0, Outcome::Broken);
+        assert!(matches!(harness.write(0), SendPermit::Granted(_)));
+        harness.end(0, Outcome::Broken);
     }
-    assert!(world.held.is_empty(), "a fourth one");
-    world.advance(1000 * MS);
-    assert_eq!(answered(&world, id), Some(Answer::Failed));
+    assert!(harness.pending.is_empty(), "a fourth attempt");
+    harness.advance(1000 * MS);
+    assert_eq!(answered(&harness, id), Some(Answer::Failed));
 }
 
-/// Decisions that go round in a circle end.
+/// A policy that keeps sending a request to a server that is not listed must not loop forever.
 #[test]
-fn a_request_that_is_sent_on_for_ever_is_given_up() {
-    struct Round;
-    impl Policy for Round {
+fn a_request_that_is_sent_on_endlessly_fails() {
+    struct UnlistedServerPolicy;
+    impl Policy for UnlistedServerPolicy {
         fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
             let request = match event {
                 Event::Arrival(a) => a.request,
@@ -551,29 +559,29 @@
             actions.push(Action::Send { request, server: ServerId(99), limit: None });
         }
     }
-    let mut world = World::new(Round, false);
-    let id = world.arrive(SAFE, b"a").expect("taken");
-    assert_eq!(answered(&world, id), Some(Answer::Failed));
+    let mut harness = Harness::new(UnlistedServerPolicy, false);
+    let id = harness.arrive(SAFE, b"a").expect("accepted");
+    assert_eq!(answered(&harness, id), Some(Answer::Failed));
 }
 
-/// The engine opens no request: one recorded mix under the same seed and clock makes the same commands, whatever requests and
-/// answers are made of.
+/// Requests and answers are opaque to the engine: with the same seed and clock, the same events produce the same commands for any
+/// types of request and answer.
 #[test]
 fn the_protocol_changes_no_decision() {
     fn play<R: Clone, A: Clone>(request: R, answer: A, seed: u64) -> Vec<String> {
         let mut now = Time(1_000_000_000);
-        let balancer = Balancer::new(settings(true), seed, now).expect("settings");
+        let balancer = Balancer::new(settings(true), seed, now).expect("valid settings");
         let mut engine: Engine<_, R, A> = Engine::new(balancer, &settings(true));
         let all = (0..SERVERS).map(|s| entry(s, ServerState::Ready)).collect();
         engine.update_servers(now, ListKind::Full, all);
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let (mut said, mut out) = (Vec::new(), Vec::new());
+        let (mut commands, mut out) = (Vec::new(), Vec::new());
         for step in 0..2000u64 {
-            let some = below(&mut rng, 1 << 20);
-            match some % 4 {
+            let random = below(&mut rng, 1 << 20);
+            match random % 4 {
                 0 => {
                     let (deadline, answer_deadline) = (now + 100 * MS, now + 105 * MS);
-                    let (class, external_id) = (ClassId((some / 4 % 3) as u8), step.to_be_bytes().into());
+                    let (class, external_id) = (ClassId((random / 4 % 3) as u8), step.to_be_bytes().into());
                     let (tenant, work, request) = (TenantId(0), None, request.clone());
                     let incoming = Incoming {
                         class,
@@ -588,9 +596,9 @@
                     let _ = engine.submit(now, incoming);
                 }
                 1 if !out.is_empty() => {
-                    let attempt: AttemptId = out.remove((some / 4) as usize % out.len());
+                    let attempt: AttemptId = out.remove((random / 4) as usize % out.len());
                     let go = matches!(engine.permit_send(now, attempt), SendPermit::Granted(_));
-                    let outcome = match (go, some / 64 % 8) {
+                    let outcome = match (go, random / 64 % 8) {
                         (false, _) => Outcome::NotSent,
                         (true, 0) => Outcome::Rejected,
                         (true, 1) => Outcome::Broken,
@@ -601,12 +609,12 @@
                     engine.attempt_ended(now, attempt, AttemptResult { outcome, report: None, answer });
                 }
                 _ => {
-                    now = now + Duration::from_micros(some % 3000);
+                    now = now + Duration::from_micros(random % 3000);
                     engine.wake(now);
                 }
             }
             while let Some(command) = engine.next_command() {
-                said.push(match command {
+                commands.push(match command {
                     Command::Start { attempt, server, .. } => {
                         out.push(attempt);
                         format!("{now:?} start {attempt:?} {server}")
@@ -627,13 +635,13 @@
                     Command::CancelProbe(probe) => format!("{now:?} cancel {probe:?}"),
                     Command::Watch => "watch".to_owned(),
                     Command::Completed { request, may_have_run } => {
-                        format!("over {request:?} {may_have_run}")
+                        format!("completed {request:?} {may_have_run}")
                     }
                     Command::Log(line) => line,
                 });
             }
         }
-        said
+        commands
     }
     for seed in 0..5 {
         let http = play("GET / HTTP/1.1".to_owned(), "200 OK".to_owned(), seed);
@@ -643,10 +651,10 @@
     }
 }
 
-/// Sends each request to the first server and keeps what it is told of the end.
-struct First(std::rc::Rc<std::cell::RefCell<Vec<finchvale::AttemptEnded>>>);
+/// Sends each request to server 0 and records the ends of its attempts.
+struct RecordingPolicy(std::rc::Rc<std::cell::RefCell<Vec<finchvale::AttemptEnded>>>);
 
-impl Policy for First {
+impl Policy for RecordingPolicy {
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Arrival(a) => {
@@ -658,11 +666,12 @@
     }
 }
 
-/// While a body comes its client's time has not begun, nor its server's: both count from the last byte.
+/// Guards against charging the upload of a body to the client's deadline or to the server's latency.
 #[test]
-fn times_count_from_the_last_byte_of_a_body_that_comes_late() {
+fn latency_and_deadline_count_from_the_last_byte_of_a_late_body() {
     let ends = std::rc::Rc::default();
-    let mut engine: Engine<First, u32, u32> = Engine::new(First(std::rc::Rc::clone(&ends)), &settings(false));
+    let mut engine: Engine<RecordingPolicy, u32, u32> =
+        Engine::new(RecordingPolicy(std::rc::Rc::clone(&ends)), &settings(false));
     let start = Time(1_000_000_000);
     engine.update_servers(start, ListKind::Full, vec![entry(0, ServerState::Ready)]);
     let incoming = Incoming {
@@ -675,14 +684,14 @@
         external_id: b"r".to_vec().into(),
         request: 7,
     };
-    let request = engine.submit(start, incoming).expect("a new name");
+    let request = engine.submit(start, incoming).expect("accepted");
     let attempt = AttemptId { request, number: 0 };
     assert!(matches!(engine.next_command(), Some(Command::Start { .. })));
     assert!(matches!(engine.permit_send(start, attempt), SendPermit::Granted(_)));
     let whole = start + 5000 * MS;
     engine.wake(whole);
-    assert!(engine.next_command().is_none(), "it still comes");
-    engine.written(whole, attempt);
+    assert!(engine.next_command().is_none(), "the body is still incomplete");
+    engine.request_written(whole, attempt);
     engine.set_deadlines(request, whole + 100 * MS, whole + 105 * MS);
     assert_eq!(engine.next_wake(), Some(whole + 100 * MS));
     engine.wake(whole + 100 * MS);
@@ -691,5 +700,5 @@
     engine.wake(whole + 105 * MS);
     assert!(matches!(engine.next_command(), Some(Command::Answer { answer: Answer::Failed, .. })));
     engine.set_deadlines(request, whole + 900 * MS, whole + 900 * MS);
-    assert_eq!((engine.next_wake(), engine.active_requests()), (None, 0), "it is over");
+    assert_eq!((engine.next_wake(), engine.active_requests()), (None, 0), "the request is completed");
 }
--- a/crates/host/src/tickets.rs
+++ b/crates/host/src/tickets.rs
@@ -89,7 +89,7 @@
         move || {
             if let Some(host) = host.upgrade() {
                 host.figures.forwards.inc();
-                host.with(|engine, now| engine.written(now, attempt));
+                host.with(|engine, now| engine.request_written(now, attempt));
             }
         }
     }
--- a/crates/host/src/witness.rs
+++ b/crates/host/src/witness.rs
@@ -115,7 +115,7 @@
     /// What the whole fleet knows of servers, in the place of all that was said so before; only where [`Host::on_attempt_end`] was called.
     pub fn advise(&self, said: &[NamedServerAdjustment]) {
         let advice = self.witness.borrow().as_ref().map(|w| w.advice(said));
-        advice.into_iter().for_each(|advice| self.with(|engine, now| engine.advise(now, advice)));
+        advice.into_iter().for_each(|advice| self.with(|engine, now| engine.set_adjustments(now, advice)));
     }
 
     /// Whether a server of that name's hash takes new requests, and how many do; only where [`Host::on_attempt_end`] was called.
--- a/crates/lab/src/world/common.rs
+++ b/crates/lab/src/world/common.rs
@@ -173,7 +173,7 @@
         let all: Vec<ServerAdjustment> = all.into_values().collect();
         if common.advice != all {
             common.advice = all.clone();
-            self.nodes[node].engine.advise(self.now, all);
+            self.nodes[node].engine.set_adjustments(self.now, all);
             self.pump(node);
         }
     }
