--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -95,16 +95,14 @@
         for _ in 0..below(&mut self.rng, 3) {
             let request = RequestId(below(&mut self.rng, self.requests + 1));
             let server = ServerId(below(&mut self.rng, SERVERS.into()) as u32);
-            let random = Duration::from_millis(below(&mut self.rng, 60));
+            let pick = Duration::from_millis(below(&mut self.rng, 60));
             actions.push(match below(&mut self.rng, 10) {
-                0 => Action::Refuse { request, wait: Some(random), why: Refusal::BelowThreshold },
+                0 => Action::Refuse { request, wait: Some(pick), why: Refusal::BelowThreshold },
                 1 => Action::Fail { request },
                 2 => Action::Cancel { request, attempt: below(&mut self.rng, 4) as u32 },
-                3 => Action::SetTimer { at: now + random, timer: TimerId(0) },
+                3 => Action::SetTimer { at: now + pick, timer: TimerId(0) },
                 4 => Action::Probe { server },
-                _ => {
-                    Action::Send { request, server, limit: (below(&mut self.rng, 2) == 0).then_some(random) }
-                }
+                _ => Action::Send { request, server, limit: (below(&mut self.rng, 2) == 0).then_some(pick) },
             });
         }
     }
@@ -278,15 +276,15 @@
 
     /// Performs one random step.
     fn step(&mut self, rng: &mut Xoshiro256PlusPlus) {
-        let random = below(rng, 1 << 20) as usize;
+        let pick = below(rng, 1 << 20) as usize;
         match below(rng, 12) {
             0..=2 => {
                 // With few external ids, some requests arrive while one with the same id is open.
-                let _ = self.arrive((random % 3) as u8, &[(random / 3 % 40) as u8]);
+                let _ = self.arrive((pick % 3) as u8, &[(pick / 3 % 40) as u8]);
             }
             3..=5 if !self.pending.is_empty() => {
-                let at = random % self.pending.len();
-                match (self.pending[at].written, random / 64 % 4) {
+                let at = pick % self.pending.len();
+                match (self.pending[at].written, pick / 64 % 4) {
                     (false, 0) => self.end(at, Outcome::Unreachable),
                     (false, _) => {
                         self.write(at);
@@ -298,7 +296,7 @@
                 }
             }
             6 if !self.history.is_empty() => {
-                let id = *self.history.keys().nth(random % self.history.len()).expect("a valid index");
+                let id = *self.history.keys().nth(pick % self.history.len()).expect("a valid index");
                 let history = self.history.get_mut(&id).expect("a valid index");
                 history.disconnected |= history.answers.is_empty();
                 self.engine.client_disconnected(self.now, id);
@@ -306,15 +304,15 @@
             }
             7 => {
                 use ServerState::*;
-                let state = [Ready, Ready, Draining, Gone][random % 4];
-                self.list(ListKind::Changes, vec![entry((random / 4) as u32 % SERVERS, state)]);
+                let state = [Ready, Ready, Draining, Gone][pick % 4];
+                self.list(ListKind::Changes, vec![entry((pick / 4) as u32 % SERVERS, state)]);
             }
             8 if !self.probes.is_empty() => {
-                let probe = self.probes.remove(random % self.probes.len());
+                let probe = self.probes.remove(pick % self.probes.len());
                 self.engine.probe_ended(self.now, probe, Outcome::Served, Some(LoadReport::default()));
                 self.drain();
             }
-            _ => self.advance(Duration::from_micros(random as u64 % 20_000)),
+            _ => self.advance(Duration::from_micros(pick as u64 % 20_000)),
         }
     }
 
@@ -577,11 +575,11 @@
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let (mut commands, mut out) = (Vec::new(), Vec::new());
         for step in 0..2000u64 {
-            let random = below(&mut rng, 1 << 20);
-            match random % 4 {
+            let pick = below(&mut rng, 1 << 20);
+            match pick % 4 {
                 0 => {
                     let (deadline, answer_deadline) = (now + 100 * MS, now + 105 * MS);
-                    let (class, external_id) = (ClassId((random / 4 % 3) as u8), step.to_be_bytes().into());
+                    let (class, external_id) = (ClassId((pick / 4 % 3) as u8), step.to_be_bytes().into());
                     let (tenant, work, request) = (TenantId(0), None, request.clone());
                     let incoming = Incoming {
                         class,
@@ -596,9 +594,9 @@
                     let _ = engine.submit(now, incoming);
                 }
                 1 if !out.is_empty() => {
-                    let attempt: AttemptId = out.remove((random / 4) as usize % out.len());
+                    let attempt: AttemptId = out.remove((pick / 4) as usize % out.len());
                     let go = matches!(engine.permit_send(now, attempt), SendPermit::Granted(_));
-                    let outcome = match (go, random / 64 % 8) {
+                    let outcome = match (go, pick / 64 % 8) {
                         (false, _) => Outcome::NotSent,
                         (true, 0) => Outcome::Rejected,
                         (true, 1) => Outcome::Broken,
@@ -609,7 +607,7 @@
                     engine.attempt_ended(now, attempt, AttemptResult { outcome, report: None, answer });
                 }
                 _ => {
-                    now = now + Duration::from_micros(random % 3000);
+                    now = now + Duration::from_micros(pick % 3000);
                     engine.wake(now);
                 }
             }
--- a/crates/host/src/clock.rs
+++ b/crates/host/src/clock.rs
@@ -1,10 +1,10 @@
-//! The decisions' clock.
+//! The clock of the engine and its policy.
 
 use finchvale::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Unix time at the process's start, and monotonic from there.
+/// Starts at Unix time when the process starts and is monotonic from there.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     started: Instant,
--- a/crates/host/src/commands.rs
+++ b/crates/host/src/commands.rs
@@ -1,6 +1,6 @@
-//! Carries out what the engine asks for, and wakes it when something is due.
+//! Runs the engine's commands and its timer.
 
-use crate::tickets::Asker;
+use crate::handles::ProbeOrigin;
 use crate::{AttemptHandle, Host, ProbeHandle, Upstream};
 use birchswitch_engine::{Answer, Command};
 use birchswitch_figures::Disposition;
@@ -10,31 +10,31 @@
 use tokio::time::{sleep_until, Instant};
 
 impl<U: Upstream> Host<U> {
-    pub(crate) fn carry_out(&self) {
+    pub(crate) fn run_commands(&self) {
         while !self.closed.get() {
             let command = self.engine.borrow_mut().next_command();
             match command {
-                Some(command) => self.obey(command),
+                Some(command) => self.run_command(command),
                 None => break,
             }
         }
-        if let Some(witness) = self.witness.borrow().as_ref() {
+        if let Some(observer) = self.observer.borrow().as_ref() {
             for (server, outcome, latency) in self.engine.borrow_mut().take_attempt_ends() {
-                witness.ended(self.now(), server, outcome, latency);
+                observer.attempt_ended(self.now(), server, outcome, latency);
             }
         }
         let next = self.engine.borrow().next_wake();
-        if next.is_some_and(|n| self.timer.get().is_none_or(|t| n < t)) {
-            self.timer.set(next);
-            self.earlier.notify_one();
+        if next.is_some_and(|n| self.armed_wake.get().is_none_or(|t| n < t)) {
+            self.armed_wake.set(next);
+            self.timer_changed.notify_one();
         }
     }
 
-    fn obey(&self, command: Command<U::Request, U::Answer>) {
+    fn run_command(&self, command: Command<U::Request, U::Answer>) {
         match command {
             Command::Start { attempt, server, request } => {
-                let ticket = AttemptHandle { host: self.me.clone(), attempt, server };
-                let task = spawn_local(self.upstream.clone().attempt(server, request, ticket));
+                let handle = AttemptHandle { host: self.this.clone(), attempt, server };
+                let task = spawn_local(self.upstream.clone().attempt(server, request, handle));
                 self.attempts.borrow_mut().insert(attempt, task.abort_handle());
             }
             Command::Cancel(attempt) => {
@@ -47,30 +47,30 @@
                     if matches!(answer, Answer::Refused(_)) {
                         self.figures.set_refusals(self.engine.borrow().refusals());
                     }
-                    let _ = reply.send(answer); // A client that left in this very moment takes none.
+                    let _ = reply.send(answer); // Fails if the client has just disconnected.
                 }
             }
             Command::Probe { probe, server } => {
-                if self.health.borrow_mut().as_mut().is_some_and(|h| h.spares(server)) {
+                if self.silence.borrow_mut().as_mut().is_some_and(|h| h.suppresses(server)) {
                     let now = self.now();
                     return self.engine.borrow_mut().probe_ended(now, probe, Outcome::Unreachable, None);
                 }
                 self.figures.probes.inc();
-                let ticket = ProbeHandle { host: self.me.clone(), asker: Asker::Decisions(probe) };
-                let task = spawn_local(self.upstream.clone().probe(server, ticket));
+                let handle = ProbeHandle { host: self.this.clone(), origin: ProbeOrigin::Policy(probe) };
+                let task = spawn_local(self.upstream.clone().probe(server, handle));
                 self.probes.borrow_mut().insert(probe, (server, task.abort_handle()));
             }
             Command::CancelProbe(probe) => {
                 if let Some((server, task)) = self.probes.borrow_mut().remove(&probe) {
                     task.abort();
-                    self.met(server, Outcome::TimedOut);
+                    self.record_outcome(server, Outcome::TimedOut);
                 }
             }
             Command::Completed { request, may_have_run } => {
-                let pass = self.passes.borrow_mut().remove(&request);
-                pass.into_iter().for_each(|pass| pass.finish(may_have_run));
+                let permit = self.permits.borrow_mut().remove(&request);
+                permit.into_iter().for_each(|permit| permit.finish(may_have_run));
             }
-            Command::Watch => (self.watch.borrow())(),
+            Command::Watch => (self.watch_callback.borrow())(),
             Command::Log(line) => self.log(format_args!("{line}")),
         }
     }
@@ -84,21 +84,21 @@
     }
 }
 
-/// Wakes the engine whenever something is due.
-pub(crate) async fn keep_time<U: Upstream>(host: Weak<Host<U>>) {
+/// Wakes the engine whenever a scheduled event is due.
+pub(crate) async fn run_timer<U: Upstream>(host: Weak<Host<U>>) {
     loop {
         let Some(me) = host.upgrade() else { return };
         let now = me.now();
         let next = me.engine.borrow().next_wake();
         if next.is_some_and(|n| n <= now) {
-            me.with(|engine, now| engine.wake(now));
+            me.with_engine(|engine, now| engine.wake(now));
             continue;
         }
-        me.timer.set(next);
+        me.armed_wake.set(next);
         let at = next.map(|n| me.clock.instant(n));
         tokio::select! {
             biased;
-            () = me.earlier.notified() => {}
+            () = me.timer_changed.notified() => {}
             () = sleep_until(at.unwrap_or_else(Instant::now)), if at.is_some() => {}
         }
     }
--- /dev/null
+++ b/crates/host/src/handles.rs
@@ -0,0 +1,138 @@
+//! Handles through which the sides of a protocol talk to the host: a submitted request, an attempt, a probe.
+
+use crate::{Host, Upstream};
+use birchswitch_engine::{Answer, AttemptId, AttemptResult, ProbeId, SendPermit};
+use finchvale::{LoadReport, Outcome, RequestId, ServerId};
+use std::rc::Weak;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// A submitted request.
+pub struct PendingRequest<U: Upstream> {
+    pub(crate) host: Weak<Host<U>>,
+    pub(crate) id: RequestId,
+    pub(crate) answer: oneshot::Receiver<Answer<U::Answer>>,
+    pub(crate) rejection_message: Option<&'static str>,
+}
+
+impl<U: Upstream> PendingRequest<U> {
+    /// Returns the text for the client if admission control rejected the request.
+    pub fn rejection_message(&self) -> Option<&'static str> {
+        self.rejection_message
+    }
+
+    /// Waits for the final answer, which comes by the request's answer deadline. May be awaited to completion once; dropping the
+    /// future before that loses nothing.
+    pub async fn answer(&mut self) -> Answer<U::Answer> {
+        (&mut self.answer).await.unwrap_or(Answer::Failed)
+    }
+
+    /// Ends the request at once, with a refusal if a retry is harmless and otherwise with a failure. No further attempt starts.
+    pub fn abandon(&self) {
+        let Some(host) = self.host.upgrade() else { return };
+        host.with_engine(|engine, now| engine.reject(now, self.id, None));
+    }
+
+    /// Replaces the deadlines, for requests whose deadlines were unknown when they were submitted.
+    pub fn set_deadlines(&self, deadline: Instant, answer_deadline: Instant) {
+        let Some(host) = self.host.upgrade() else { return };
+        let [deadline, answer_deadline] =
+            [deadline, answer_deadline].map(|at| host.clock.time(host.clamp_to_shutdown(at)));
+        host.with_engine(|engine, _| engine.set_deadlines(self.id, deadline, answer_deadline));
+    }
+}
+
+impl<U: Upstream> Drop for PendingRequest<U> {
+    fn drop(&mut self) {
+        // Without an answer so far, the client has disconnected.
+        let Some(host) = self.host.upgrade() else { return };
+        let owed = host.replies.borrow_mut().remove(&self.id);
+        if owed.is_some() {
+            host.figures.outstanding.dec();
+            host.with_engine(|engine, now| engine.client_disconnected(now, self.id));
+        }
+    }
+}
+
+/// Reports an attempt to the engine. An attempt whose handle is dropped without [`AttemptHandle::finish`] times out.
+pub struct AttemptHandle<U: Upstream> {
+    pub(crate) host: Weak<Host<U>>,
+    pub(crate) attempt: AttemptId,
+    pub(crate) server: ServerId,
+}
+
+impl<U: Upstream> AttemptHandle<U> {
+    /// Decides whether the attempt may be sent, and how much time it has. To be called immediately before the first byte.
+    pub fn permit_send(&self) -> SendPermit {
+        let Some(host) = self.host.upgrade() else { return SendPermit::Denied };
+        let request = self.attempt.request;
+        let admission = host.permits.borrow().get(&request).map_or(Ok(()), |permit| permit.check());
+        if let Err(rejection) = admission {
+            let wait = host.limit_retry_after(rejection);
+            host.with_engine(|engine, now| engine.reject(now, request, wait));
+            return SendPermit::Denied;
+        }
+        let permit = host.with_engine(|engine, now| engine.permit_send(now, self.attempt));
+        if matches!(permit, SendPermit::Granted(_)) {
+            host.permits.borrow().get(&request).iter().for_each(|permit| permit.attempt_sent());
+        }
+        permit
+    }
+
+    /// Counts the attempt as sent. To be called when its last byte has been written.
+    pub fn written(&self) {
+        self.host.upgrade().iter().for_each(|host| host.figures.forwards.inc());
+    }
+
+    /// Returns the equivalent of [`AttemptHandle::written`] for a request whose body was incomplete when it was submitted. To be
+    /// called when the last byte has been written.
+    pub fn written_callback(&self) -> impl FnOnce() + 'static {
+        let (host, attempt) = (self.host.clone(), self.attempt);
+        move || {
+            if let Some(host) = host.upgrade() {
+                host.figures.forwards.inc();
+                host.with_engine(|engine, now| engine.request_written(now, attempt));
+            }
+        }
+    }
+
+    /// Reports the end of the attempt.
+    pub fn finish(self, ended: AttemptResult<U::Answer>) {
+        let Some(host) = self.host.upgrade() else { return };
+        host.attempts.borrow_mut().remove(&self.attempt);
+        host.record_outcome(self.server, ended.outcome);
+        host.with_engine(|engine, now| engine.attempt_ended(now, self.attempt, ended));
+    }
+}
+
+/// Who requested a probe.
+pub(crate) enum ProbeOrigin {
+    Policy(ProbeId),
+    /// Other nodes, on whose behalf this one probes.
+    Peers(oneshot::Sender<Outcome>),
+}
+
+/// Reports a probe's result.
+pub struct ProbeHandle<U: Upstream> {
+    pub(crate) host: Weak<Host<U>>,
+    pub(crate) origin: ProbeOrigin,
+}
+
+impl<U: Upstream> ProbeHandle<U> {
+    /// Reports the end of the probe and the server's load report.
+    pub fn finish(self, outcome: Outcome, report: Option<LoadReport>) {
+        let probe = match self.origin {
+            ProbeOrigin::Policy(probe) => probe,
+            // The receiver is gone if the probe timed out.
+            ProbeOrigin::Peers(sender) => {
+                let _ = sender.send(outcome);
+                return;
+            }
+        };
+        let Some(host) = self.host.upgrade() else { return };
+        if let Some((server, _)) = host.probes.borrow_mut().remove(&probe) {
+            host.record_outcome(server, outcome);
+        }
+        host.with_engine(|engine, now| engine.probe_ended(now, probe, outcome, report));
+    }
+}
--- a/crates/host/src/health.rs
+++ b/crates/host/src/health.rs
@@ -1,6 +1,7 @@
-//! What this node met at its servers, for those who ask on behalf of a whole fleet, and which of its own questions are spared.
+//! Tracks unresponsive servers. One node of the zone probes them for all: the others report them to it and skip their own
+//! probes of them.
 
-use crate::tickets::Asker;
+use crate::handles::ProbeOrigin;
 use crate::{Host, ProbeHandle, Upstream};
 use birchswitch_health::{ProbeSuppressor, ShortId};
 use finchvale::{Outcome, ServerEntry, ServerId, ServerState};
@@ -9,31 +10,38 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// See the module's words.
-pub(crate) struct Health {
-    began: Instant,
-    spare: ProbeSuppressor,
-    /// Servers that take new requests, by id and by the hash of their names.
+/// Reports servers that become unresponsive and suppresses probes of servers that another node probes.
+pub(crate) struct SilenceTracker {
+    started: Instant,
+    suppressor: ProbeSuppressor,
+    /// Ready servers, by id and by the hash of their names.
     names: FxHashMap<ServerId, u64>,
     ids: FxHashMap<u64, ServerId>,
-    /// Takes the name of a server that fell silent.
-    report: Box<dyn Fn(u64)>,
-    /// Questions spared.
-    pub(crate) spared: u64,
+    /// Called with the name hash of a server that became unresponsive.
+    on_silent: Box<dyn Fn(u64)>,
+    /// Number of suppressed probes.
+    pub(crate) suppressed_probes: u64,
 }
 
-impl Health {
-    pub(crate) fn new(report: Box<dyn Fn(u64)>) -> Self {
+impl SilenceTracker {
+    pub(crate) fn new(on_silent: Box<dyn Fn(u64)>) -> Self {
         let (names, ids) = (FxHashMap::default(), FxHashMap::default());
-        Health { began: Instant::now(), spare: ProbeSuppressor::default(), names, ids, report, spared: 0 }
+        SilenceTracker {
+            started: Instant::now(),
+            suppressor: ProbeSuppressor::default(),
+            names,
+            ids,
+            on_silent,
+            suppressed_probes: 0,
+        }
     }
 
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
-    pub(crate) fn list(&mut self, whole: bool, entries: &[ServerEntry]) {
-        if whole {
+    pub(crate) fn update_servers(&mut self, complete: bool, entries: &[ServerEntry]) {
+        if complete {
             self.names.clear();
         }
         for e in entries {
@@ -43,33 +51,34 @@
             }
         }
         self.ids = self.names.iter().map(|(id, name)| (*name, *id)).collect();
-        self.spare.retain_listed(&self.listed());
+        self.suppressor.retain_listed(&self.ready_names());
     }
 
-    /// Hashes of the names of all servers that take new requests.
-    pub(crate) fn listed(&self) -> FxHashSet<u64> {
+    /// Returns the name hashes of all ready servers.
+    pub(crate) fn ready_names(&self) -> FxHashSet<u64> {
         self.ids.keys().copied().collect()
     }
 
-    pub(crate) fn id(&self, name: u64) -> Option<ServerId> {
+    pub(crate) fn server_id(&self, name: u64) -> Option<ServerId> {
         self.ids.get(&name).copied()
     }
 
-    /// Returns whom to ask by oneself, since they are said to be back.
-    pub(crate) fn told(&mut self, silent: &[ShortId]) -> Vec<ServerId> {
-        let back = self.spare.update_silent(silent.iter().copied());
-        back.iter().filter_map(|name| self.id(*name)).collect()
+    /// Replaces the set of silent servers. Returns the servers that are no longer in it, which this node has to probe itself.
+    pub(crate) fn update_silent(&mut self, silent: &[ShortId]) -> Vec<ServerId> {
+        let recovered = self.suppressor.update_silent(silent.iter().copied());
+        recovered.iter().filter_map(|name| self.server_id(*name)).collect()
     }
 
-    pub(crate) fn spares(&mut self, server: ServerId) -> bool {
+    pub(crate) fn suppresses(&mut self, server: ServerId) -> bool {
         let now = self.now();
-        let spares = self.names.get(&server).is_some_and(|name| self.spare.should_suppress(now, *name));
-        self.spared += u64::from(spares);
-        spares
+        let suppressed =
+            self.names.get(&server).is_some_and(|name| self.suppressor.should_suppress(now, *name));
+        self.suppressed_probes += u64::from(suppressed);
+        suppressed
     }
 
-    pub(crate) fn met(&mut self, server: ServerId, outcome: Outcome) {
-        // What ended before it reached the server, or turned it away, says nothing of its silence.
+    pub(crate) fn record_outcome(&mut self, server: ServerId, outcome: Outcome) {
+        // Attempts that never reached the server or were cancelled by this node do not show whether it responds.
         let Some(name) = self
             .names
             .get(&server)
@@ -78,42 +87,44 @@
         else {
             return;
         };
-        if self.spare.record_outcome(self.now(), name, outcome.server_responded()) {
-            (self.report)(name);
+        if self.suppressor.record_outcome(self.now(), name, outcome.server_responded()) {
+            (self.on_silent)(name);
         }
     }
 }
 
 impl<U: Upstream> Host<U> {
-    /// From now on servers that fall silent are reported, by the hashes of their names, and questions to those that are
-    /// [told of](Host::set_silent_servers) as silent are spared. To be called before any list comes.
-    pub fn on_server_silent(&self, report: impl Fn(u64) + 'static) {
-        *self.health.borrow_mut() = Some(Health::new(Box::new(report)));
+    /// Enables reports of servers that become unresponsive, by the hashes of their names, and suppresses probes of the
+    /// servers passed to [`Host::set_silent_servers`]. Has to be called before the first list is applied.
+    pub fn on_server_silent(&self, on_silent: impl Fn(u64) + 'static) {
+        *self.silence.borrow_mut() = Some(SilenceTracker::new(Box::new(on_silent)));
     }
 
-    /// Another node asks these for this one, and they do not answer it. Servers of which that was said and is no more are asked once.
+    /// Sets the servers that another node probes on behalf of this one and that do not respond to it. Servers removed from
+    /// the set are probed once.
     pub fn set_silent_servers(&self, silent: &[ShortId]) {
-        let back = self.health.borrow_mut().as_mut().map(|h| h.told(silent)).unwrap_or_default();
-        for server in back {
-            self.with(|engine, now| engine.probe_server(now, server));
+        let recovered =
+            self.silence.borrow_mut().as_mut().map(|h| h.update_silent(silent)).unwrap_or_default();
+        for server in recovered {
+            self.with_engine(|engine, now| engine.probe_server(now, server));
         }
     }
 
-    /// Servers that take new requests, by the hashes of their names; none unless [`Host::on_server_silent`] was called.
+    /// Returns the name hashes of all ready servers; empty unless [`Host::on_server_silent`] was called.
     pub fn servers_to_probe(&self) -> FxHashSet<u64> {
-        self.health.borrow().as_ref().map(Health::listed).unwrap_or_default()
+        self.silence.borrow().as_ref().map(SilenceTracker::ready_names).unwrap_or_default()
     }
 
-    /// Asks a server on behalf of others: whether it says anything within that time. None: it takes no new requests, or this
-    /// node has no room.
-    pub async fn probe_for_others(&self, name: u64, patience: Duration) -> Option<bool> {
-        let server = self.health.borrow().as_ref()?.id(name)?;
-        let (tell, told) = oneshot::channel();
+    /// Probes a server on behalf of other nodes and returns whether it responds within the timeout. Returns `None` if the server
+    /// is not ready or the probe could not be sent, for instance for lack of a connection slot.
+    pub async fn probe_for_others(&self, name: u64, timeout: Duration) -> Option<bool> {
+        let server = self.silence.borrow().as_ref()?.server_id(name)?;
+        let (sender, receiver) = oneshot::channel();
         self.figures.probes.inc();
-        let ticket = ProbeHandle { host: self.me.clone(), asker: Asker::Others(tell) };
-        let asking = tokio::time::timeout(patience, self.upstream.clone().probe(server, ticket));
-        match asking.await {
-            Ok(()) => match told.await.ok()? {
+        let handle = ProbeHandle { host: self.this.clone(), origin: ProbeOrigin::Peers(sender) };
+        let probe = tokio::time::timeout(timeout, self.upstream.clone().probe(server, handle));
+        match probe.await {
+            Ok(()) => match receiver.await.ok()? {
                 Outcome::NotSent => None,
                 outcome => Some(outcome.server_responded()),
             },
@@ -121,14 +132,14 @@
         }
     }
 
-    /// Questions spared so far; none: nobody asks for this node.
+    /// Returns the number of suppressed probes, or `None` unless [`Host::on_server_silent`] was called.
     pub fn spared_probes(&self) -> Option<u64> {
-        self.health.borrow().as_ref().map(|h| h.spared)
+        self.silence.borrow().as_ref().map(|h| h.suppressed_probes)
     }
 
-    pub(crate) fn met(&self, server: ServerId, outcome: Outcome) {
-        if let Some(health) = self.health.borrow_mut().as_mut() {
-            health.met(server, outcome);
+    pub(crate) fn record_outcome(&self, server: ServerId, outcome: Outcome) {
+        if let Some(silence) = self.silence.borrow_mut().as_mut() {
+            silence.record_outcome(server, outcome);
         }
     }
 }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,36 +1,40 @@
 //! Runs an [`Engine`] on one thread of tokio.
 //!
-//! The engine says what is to be done; this carries it out with one task for each attempt and probe, one timer for
-//! everything that is due, and a clock. A protocol comes in twice: its front calls [`Host::submit`], and its servers'
-//! side is an [`Upstream`].
+//! The host carries out the engine's [commands](birchswitch_engine::Command): it runs one task per attempt and per probe, one
+//! timer for all scheduled events, and provides the clock. Each protocol has two sides: its front calls [`Host::submit`],
+//! and its upstream side implements [`Upstream`].
 //!
-//! It decides nothing, and never waits while the engine is borrowed. Everything runs on a `LocalSet`.
+//! The host makes no decisions and never awaits while the engine is borrowed. Everything runs on a `LocalSet`.
 //!
-//! [`Host`] is made here; `lists` takes in lists of servers, `requests` clients' requests; `commands` carries out what the engine
-//! asks for; `pool` keeps connections to servers; `door`, `health` and `witness` are where the fleet-wide parts come in.
+//! Modules: `lists` applies lists of servers, `requests` submits clients' requests, `commands` runs the engine's commands,
+//! `handles` holds what protocols use to report back, `pool` keeps connections to servers; `admission`, `health` and
+//! `observations` connect the fleet-wide parts.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+mod admission;
 mod clock;
 mod commands;
-mod door;
+mod handles;
 mod health;
 mod lists;
+mod observations;
 pub mod pool;
 mod requests;
 pub mod socket;
-mod tickets;
-mod witness;
 
+pub use admission::{key_hash, Admission, AdmissionPermit, AdmissionRequest, Rejection};
 use birchswitch_engine::{AttemptId, Engine, ProbeId};
 pub use birchswitch_figures::Metrics;
 use birchswitch_membership::{Directory, Target};
 use clock::Clock;
-pub use door::{key_hash, Admission, AdmissionPermit, AdmissionRequest, Rejection};
 use finchvale::{Balancer, RequestId, ServerId, Settings, SettingsError, Time};
-use health::Health;
-use requests::Owed;
+pub use handles::{AttemptHandle, PendingRequest, ProbeHandle};
+use health::SilenceTracker;
+use observations::ServerObserver;
+pub use observations::{AttemptRecord, NamedServerAdjustment};
+use requests::PendingReply;
 pub use requests::Request;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -39,81 +43,78 @@
 use std::io::Write;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
-pub use tickets::{AttemptHandle, PendingRequest, ProbeHandle};
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
-use witness::Witness;
-pub use witness::{AttemptRecord, NamedServerAdjustment};
 
-/// The servers' side of a protocol.
+/// The upstream side of a protocol.
 pub trait Upstream: Sized + 'static {
-    /// What goes to a server. The engine keeps it until the request is answered.
+    /// The request sent to a server. The engine keeps it until the request is closed.
     type Request: 'static;
-    /// What a server answered, for the front of the same protocol.
+    /// A server's answer, for the front of the same protocol.
     type Answer: 'static;
 
-    /// Takes in what became of servers.
+    /// Applies changes of servers.
     fn update_servers(&self, targets: &[Target]);
 
-    /// Where to count new connections, told once at the start.
+    /// Sets the figures in which new connections are counted. Called once, at the start.
     fn set_figures(&self, figures: Rc<Metrics>);
 
-    /// Makes one attempt: gets a connection, asks [`AttemptHandle::permit_send`] right before the first byte, sends once, and tells
-    /// [`AttemptHandle::finish`]. What it does after that is its own affair. Dropped when the attempt is given up: its connection
-    /// has to go with it.
+    /// Makes one attempt: gets a connection, calls [`AttemptHandle::permit_send`] immediately before the first byte, sends the
+    /// request once, and reports the end to [`AttemptHandle::finish`]. It may continue after that, for instance to release the
+    /// connection. The future is dropped when the attempt is cancelled, and has to close its connection with it.
     fn attempt(
         self: Rc<Self>,
         server: ServerId,
         request: Rc<Self::Request>,
-        ticket: AttemptHandle<Self>,
+        handle: AttemptHandle<Self>,
     ) -> impl Future<Output = ()> + 'static;
 
-    /// Asks a server for its load and tells [`ProbeHandle::finish`]. Dropped when it takes too long.
+    /// Asks a server for its load and reports the result to [`ProbeHandle::finish`]. The future is dropped on timeout.
     fn probe(
         self: Rc<Self>,
         server: ServerId,
-        ticket: ProbeHandle<Self>,
+        handle: ProbeHandle<Self>,
     ) -> impl Future<Output = ()> + 'static;
 }
 
-/// See the crate's own words.
+/// Runs an engine for one protocol. See the crate documentation.
 pub struct Host<U: Upstream> {
-    me: Weak<Host<U>>,
+    this: Weak<Host<U>>,
     name: String,
     clock: Clock,
     upstream: Rc<U>,
     engine: RefCell<Engine<Balancer, U::Request, U::Answer>>,
     directory: RefCell<Directory>,
-    replies: RefCell<FxHashMap<RequestId, Owed<U::Answer>>>,
+    replies: RefCell<FxHashMap<RequestId, PendingReply<U::Answer>>>,
     figures: Rc<Metrics>,
     attempts: RefCell<FxHashMap<AttemptId, AbortHandle>>,
     probes: RefCell<FxHashMap<ProbeId, (ServerId, AbortHandle)>>,
-    /// Where one node asks silent servers for many.
-    health: RefCell<Option<Health>>,
-    /// What this node tells of servers, and hears of them.
-    witness: RefCell<Option<Witness>>,
-    /// When the timer goes off next, and how to tell it of something earlier.
-    timer: Cell<Option<Time>>,
-    earlier: Notify,
-    /// Opens the watch that the decisions ask for.
-    watch: RefCell<Box<dyn Fn()>>,
+    /// Present if one node of the zone probes unresponsive servers for all.
+    silence: RefCell<Option<SilenceTracker>>,
+    /// Present if attempt ends are reported to fleet-wide parts.
+    observer: RefCell<Option<ServerObserver>>,
+    /// When the timer fires next. `timer_changed` is notified when an earlier event is scheduled.
+    armed_wake: Cell<Option<Time>>,
+    timer_changed: Notify,
+    /// Opens the watch on the list of servers when the policy asks for it.
+    watch_callback: RefCell<Box<dyn Fn()>>,
     revision: Cell<u64>,
-    servers_listed: Cell<bool>,
-    listed: Notify,
-    /// Nothing more is begun: the tasks that would do it are going.
+    has_servers: Cell<bool>,
+    servers_available: Notify,
+    /// Set at the end of the process: no more commands are run, since the tasks for them are being dropped.
     closed: Cell<bool>,
-    door: RefCell<Option<Rc<dyn Admission>>>,
-    passes: RefCell<FxHashMap<RequestId, Box<dyn AdmissionPermit>>>,
-    /// Longest wait that clients may be told; none: they are told none.
+    admission: RefCell<Option<Rc<dyn Admission>>>,
+    permits: RefCell<FxHashMap<RequestId, Box<dyn AdmissionPermit>>>,
+    /// Longest retry delay sent to clients; with `None`, no delay is sent.
     max_wait: Option<Duration>,
     warm_up: Duration,
-    /// When the process ends: every request is due by then.
-    end: Cell<Option<Instant>>,
+    /// When the process ends, which caps the deadlines of all requests.
+    shutdown_deadline: Cell<Option<Instant>>,
 }
 
 impl<U: Upstream> Host<U> {
-    /// Starts with no servers and no requests. The decisions are owed [`Host::load_cached_list`] first.
+    /// Creates a host without servers or requests. [`Host::load_cached_list`] has to be called first.
     pub fn new(
         name: String,
         settings: Settings,
@@ -125,8 +126,8 @@
         upstream.set_figures(figures.clone());
         let clock = Clock::new();
         let balancer = Balancer::new(settings.clone(), seed, clock.time(Instant::now()))?;
-        let host = Rc::new_cyclic(|me: &Weak<Self>| Host {
-            me: me.clone(),
+        let host = Rc::new_cyclic(|this: &Weak<Self>| Host {
+            this: this.clone(),
             name,
             clock,
             upstream,
@@ -136,83 +137,83 @@
             figures,
             attempts: RefCell::default(),
             probes: RefCell::default(),
-            health: RefCell::default(),
-            witness: RefCell::default(),
-            timer: Cell::new(None),
-            earlier: Notify::new(),
-            watch: RefCell::new(Box::new(|| {})),
+            silence: RefCell::default(),
+            observer: RefCell::default(),
+            armed_wake: Cell::new(None),
+            timer_changed: Notify::new(),
+            watch_callback: RefCell::new(Box::new(|| {})),
             revision: Cell::new(0),
-            servers_listed: Cell::new(false),
-            listed: Notify::new(),
+            has_servers: Cell::new(false),
+            servers_available: Notify::new(),
             closed: Cell::new(false),
-            door: RefCell::default(),
-            passes: RefCell::default(),
+            admission: RefCell::default(),
+            permits: RefCell::default(),
             max_wait: settings.max_retry_after,
             warm_up: settings.rules.warm_up,
-            end: Cell::new(None),
+            shutdown_deadline: Cell::new(None),
         });
-        spawn_local(commands::keep_time(Rc::downgrade(&host)));
+        spawn_local(commands::run_timer(Rc::downgrade(&host)));
         Ok(host)
     }
 
-    /// From now on every request passes this door. To be called before any comes.
-    pub fn set_admission(&self, door: Rc<dyn Admission>) {
+    /// Sets the admission control for all requests. Has to be called before the first request.
+    pub fn set_admission(&self, admission: Rc<dyn Admission>) {
         self.engine.borrow_mut().report_completion();
-        *self.door.borrow_mut() = Some(door);
+        *self.admission.borrow_mut() = Some(admission);
     }
 
-    /// What to do when the decisions ask for a watch.
+    /// Sets the callback that opens a watch on the list of servers when the policy asks for it.
     pub fn on_watch(&self, watch: impl Fn() + 'static) {
-        *self.watch.borrow_mut() = Box::new(watch);
+        *self.watch_callback.borrow_mut() = Box::new(watch);
     }
 
-    /// A line for the node's log.
+    /// Writes a line to the node's log on standard error.
     pub fn log(&self, line: fmt::Arguments) {
-        // Nobody may be left to read it: that is no reason to stop serving, which `eprintln!` would make of it.
+        // `eprintln!` panics if standard error is closed, which must not stop the node.
         let _ = writeln!(std::io::stderr(), "{}: {line}", self.name);
     }
 
-    /// Version of the list held.
+    /// Returns the revision of the current list.
     pub fn revision(&self) -> u64 {
         self.revision.get()
     }
 
-    /// Whether a list was held that names a server.
+    /// Returns whether any list so far named a server.
     pub fn ready(&self) -> bool {
-        self.servers_listed.get()
+        self.has_servers.get()
     }
 
-    /// Waits for a list that names a server.
+    /// Waits until a list names a server.
     pub async fn until_ready(&self) {
-        let mut listed = std::pin::pin!(self.listed.notified());
+        let mut listed = std::pin::pin!(self.servers_available.notified());
         while !self.ready() {
             listed.as_mut().await;
-            listed.set(self.listed.notified());
+            listed.set(self.servers_available.notified());
         }
     }
 
-    /// Requests in hand.
+    /// Returns the number of requests that are open or have an attempt in flight.
     pub fn active_requests(&self) -> usize {
         self.engine.borrow().active_requests()
     }
 
-    /// Begins nothing more, whatever still ends. For the process's own end.
+    /// Stops running commands. To be called at the end of the process.
     pub fn close(&self) {
         self.closed.set(true);
     }
 
-    /// The process ends at that time: what is in hand then, or is taken from now on, is due by then.
+    /// Caps the deadlines of all current and future requests at `end`, the end of the process.
     pub fn cap_deadlines(&self, end: Instant) {
-        self.end.set(Some(end));
+        self.shutdown_deadline.set(Some(end));
         let end = self.clock.time(end);
-        self.with(|engine, _| engine.cap_deadlines(end));
+        self.with_engine(|engine, _| engine.cap_deadlines(end));
     }
 
-    fn before_end(&self, at: Instant) -> Instant {
-        self.end.get().map_or(at, |end| at.min(end))
+    fn clamp_to_shutdown(&self, at: Instant) -> Instant {
+        self.shutdown_deadline.get().map_or(at, |end| at.min(end))
     }
 
-    /// What this node counts.
+    /// Returns the node's figures.
     pub fn figures(&self) -> &Metrics {
         &self.figures
     }
@@ -221,10 +222,13 @@
         self.clock.time(Instant::now())
     }
 
-    fn with<T>(&self, call: impl FnOnce(&mut Engine<Balancer, U::Request, U::Answer>, Time) -> T) -> T {
+    fn with_engine<T>(
+        &self,
+        call: impl FnOnce(&mut Engine<Balancer, U::Request, U::Answer>, Time) -> T,
+    ) -> T {
         let now = self.now();
         let value = call(&mut self.engine.borrow_mut(), now);
-        self.carry_out();
+        self.run_commands();
         value
     }
 }
--- a/crates/host/src/lists.rs
+++ b/crates/host/src/lists.rs
@@ -1,77 +1,78 @@
-//! Lists of servers, as they come from discovery and as operators change them by hand.
+//! Lists of servers from discovery, and their changes by operators.
 
 use crate::{Host, Upstream};
 use birchswitch_membership::list::ServerList;
 use finchvale::{ListKind, ServerEntry};
 
 impl<U: Upstream> Host<U> {
-    /// Takes in the list as last known before the start. The decisions are owed one, be it empty.
+    /// Applies the list cached before the start. Has to be called once, with `None` if there is none, since the policy needs a
+    /// list before anything else.
     pub fn load_cached_list(&self, list: Option<&ServerList>) {
-        let entries = list.map(|l| self.take(l)).unwrap_or_default();
-        self.told(ListKind::Cached, entries);
+        let entries = list.map(|l| self.apply(l)).unwrap_or_default();
+        self.update_engine_servers(ListKind::Cached, entries);
     }
 
-    /// Takes in what discovery says.
+    /// Applies a list from discovery.
     pub fn apply_list(&self, list: &ServerList) {
         self.figures.lists.inc();
         let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
         let first = !self.ready();
-        let entries = self.take(list);
+        let entries = self.apply(list);
         let servers = entries.len();
-        self.told(kind, entries);
+        self.update_engine_servers(kind, entries);
         if first && self.ready() {
             self.log(format_args!("holds a list of {servers} servers"));
         }
     }
 
-    /// A watch that the decisions asked for came to nothing, or ended.
+    /// Reports that a watch requested by the policy failed or ended.
     pub fn watch_failed(&self) {
-        self.told(ListKind::Failed, Vec::new());
+        self.update_engine_servers(ListKind::Failed, Vec::new());
     }
 
-    /// Whether a server of this name is listed, or was taken out by hand.
+    /// Returns whether a server of this name is listed or suspended.
     pub fn knows_server(&self, server: &str) -> bool {
         self.directory.borrow().knows(server)
     }
 
-    /// Takes a server out by hand, or lets it in again, whatever lists say of it meanwhile.
-    pub fn set_suspended(&self, server: &str, out: bool) {
-        let update = self.directory.borrow_mut().set_out(server, out);
+    /// Suspends or restores a server on behalf of an operator. A suspension persists whatever later lists contain.
+    pub fn set_suspended(&self, server: &str, suspended: bool) {
+        let update = self.directory.borrow_mut().set_out(server, suspended);
         if !update.entries.is_empty() {
             self.upstream.update_servers(&update.targets);
-            self.told(ListKind::Changes, update.entries);
+            self.update_engine_servers(ListKind::Changes, update.entries);
         }
     }
 
-    /// Where this node stands among those that live: the part of the ring of servers at which it begins, and nodes as last
-    /// agreed.
-    pub fn set_ring_position(&self, begins: f64, nodes: u32) {
-        self.with(|engine, now| engine.set_ring_position(now, begins, nodes));
+    /// Sets this node's position among the live nodes: the point on the ring of servers where its share starts, and the agreed
+    /// number of nodes.
+    pub fn set_ring_position(&self, start: f64, nodes: u32) {
+        self.with_engine(|engine, now| engine.set_ring_position(now, start, nodes));
     }
 
-    /// Servers listed, and how many of them were taken out by hand.
+    /// Returns the number of listed servers and how many of them are suspended.
     pub fn server_counts(&self) -> (usize, usize) {
         self.directory.borrow().count()
     }
 
-    fn take(&self, list: &ServerList) -> Vec<ServerEntry> {
+    fn apply(&self, list: &ServerList) -> Vec<ServerEntry> {
         self.revision.set(list.revision);
         let update = self.directory.borrow_mut().take(list);
         self.upstream.update_servers(&update.targets);
-        self.servers_listed.set(self.servers_listed.get() || !update.entries.is_empty());
+        self.has_servers.set(self.has_servers.get() || !update.entries.is_empty());
         if self.ready() {
-            self.listed.notify_waiters();
+            self.servers_available.notify_waiters();
         }
         update.entries
     }
 
-    pub(crate) fn told(&self, kind: ListKind, entries: Vec<ServerEntry>) {
-        if let Some(health) = self.health.borrow_mut().as_mut() {
-            health.list(matches!(kind, ListKind::Full | ListKind::Cached), &entries);
+    pub(crate) fn update_engine_servers(&self, kind: ListKind, entries: Vec<ServerEntry>) {
+        if let Some(silence) = self.silence.borrow_mut().as_mut() {
+            silence.update_servers(matches!(kind, ListKind::Full | ListKind::Cached), &entries);
         }
-        if let Some(witness) = self.witness.borrow_mut().as_mut() {
-            witness.list(matches!(kind, ListKind::Full | ListKind::Cached), &entries);
+        if let Some(observer) = self.observer.borrow_mut().as_mut() {
+            observer.update_servers(matches!(kind, ListKind::Full | ListKind::Cached), &entries);
         }
-        self.with(|engine, now| engine.update_servers(now, kind, entries));
+        self.with_engine(|engine, now| engine.update_servers(now, kind, entries));
     }
 }
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to servers, for any protocol: as many as the process may hold, kept while idle, and of no use once their server
-//! restarted, moved, drains or is gone.
+//! Connection pool for any protocol. It limits the connections of the process, keeps idle ones for reuse, and drops those
+//! whose server restarted, moved, drains or is gone.
 
 use birchswitch_figures::Metrics;
 use birchswitch_membership::Target;
@@ -15,48 +15,48 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{timeout, Instant};
 
-/// How often idle connections are looked at.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval between checks of idle connections.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The limits on connections to servers.
+/// Limits on connections to servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most connections to all servers together.
+    /// Maximum number of connections to all servers together.
     pub connections: usize,
-    /// For a connection to come up.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// After this a server closes an idle connection.
+    /// Time after which a server closes an idle connection.
     pub conn_idle: Duration,
-    /// Before it is used again a connection has to be quiet for so long.
+    /// How long a connection has to be idle before it is reused.
     pub reuse_delay: Duration,
 }
 
 /// A connection that a pool keeps.
 pub trait PooledConnection {
-    /// Whether it is open and empty, as far as the system knows by now.
+    /// Returns whether it is open and has no unread data, according to the operating system.
     fn is_usable(&self) -> bool;
-    /// That of the [`NewConnection`] one that it was made of.
+    /// Returns the generation of the [`NewConnection`] it was created from.
     fn generation(&self) -> u64;
 }
 
-/// A connection that has just come up.
+/// A connection that was just opened.
 pub struct NewConnection {
-    /// Its socket.
+    /// The socket.
     pub stream: TcpStream,
-    /// Its place among those that the process may hold. To be kept as long as the socket.
+    /// Its slot among the connections of the process. To be kept as long as the socket.
     pub slot: OwnedSemaphorePermit,
-    /// Which of the server's lives it belongs to.
+    /// The generation of the server's connections to which it belongs.
     pub generation: u64,
 }
 
-/// One server, as long as the list names it or something is out there.
+/// A server. Lives while it is listed or an attempt uses it.
 pub struct Server<C> {
     address: Cell<SocketAddr>,
-    /// Whether anything new may go there.
-    takes_new: Cell<bool>,
-    /// Grows whenever the connections made so far are of no more use.
+    /// Whether the server accepts new requests.
+    accepts_requests: Cell<bool>,
+    /// Incremented when all existing connections become invalid.
     generation: Cell<u64>,
-    /// The most recently used one is last.
+    /// Idle connections, the most recently used one last.
     idle: RefCell<Vec<Idle<C>>>,
 }
 
@@ -66,12 +66,12 @@
 }
 
 impl<C> Server<C> {
-    /// Where it listens.
+    /// Returns the address where it listens.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    fn abandon_connections(&self) {
+    fn invalidate_connections(&self) {
         self.generation.set(self.generation.get() + 1);
         self.idle.borrow_mut().clear();
     }
@@ -86,52 +86,53 @@
 }
 
 impl<C: PooledConnection> Pool<C> {
-    /// Starts with no servers.
+    /// Creates a pool without servers.
     pub fn new(limits: Limits) -> Self {
         let slots = Arc::new(Semaphore::new(limits.connections));
         Pool { slots, limits, servers: RefCell::default(), figures: OnceCell::new() }
     }
 
-    /// Counts connections there from now on; only the first word on it holds.
+    /// Sets the figures in which new connections are counted. Only the first call has an effect.
     pub fn set_figures(&self, figures: Rc<Metrics>) {
         let _ = self.figures.set(figures);
     }
 
-    /// The server with this id, if it is listed.
+    /// Returns the server with this id, if it is listed.
     pub fn get(&self, id: ServerId) -> Option<Rc<Server<C>>> {
         self.servers.borrow().get(&id).cloned()
     }
 
-    /// Takes in what became of servers.
+    /// Applies changes of servers.
     pub fn update_servers(&self, targets: &[Target]) {
         let mut servers = self.servers.borrow_mut();
         for target in targets {
             if target.state == ServerState::Gone {
                 if let Some(server) = servers.remove(&target.server) {
-                    server.takes_new.set(false);
-                    server.abandon_connections();
+                    server.accepts_requests.set(false);
+                    server.invalidate_connections();
                 }
                 continue;
             }
             let server = servers.entry(target.server).or_insert_with(|| {
                 Rc::new(Server {
                     address: Cell::new(target.address),
-                    takes_new: Cell::new(true),
+                    accepts_requests: Cell::new(true),
                     generation: Cell::new(0),
                     idle: RefCell::default(),
                 })
             });
             server.address.set(target.address);
-            server.takes_new.set(target.state == ServerState::Ready);
-            if target.renewed {
-                server.abandon_connections();
+            server.accepts_requests.set(target.state == ServerState::Ready);
+            if target.invalidate_connections {
+                server.invalidate_connections();
             }
         }
     }
 
-    /// The most recently used idle connection that has rested and is good. Those that are not good go.
+    /// Takes the most recently used idle connection that is past the reuse delay and still usable. Closes unusable ones that it
+    /// encounters.
     pub fn take_idle(&self, server: &Server<C>) -> Option<C> {
-        let rested = self.limits.reuse_delay..self.retire_after();
+        let rested = self.limits.reuse_delay..self.max_idle();
         loop {
             let mut idle = server.idle.borrow_mut();
             let at = idle.iter().rposition(|i| rested.contains(&i.since.elapsed()))?;
@@ -142,22 +143,22 @@
         }
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     ///
-    /// Errors: [`Outcome::NotSent`] where the process has no room, or the server moved or restarted meanwhile;
-    /// [`Outcome::Unreachable`] where the server is not to be had.
+    /// Fails with [`Outcome::NotSent`] if the process has no free slot or descriptor, or if the server moved or restarted
+    /// meanwhile, and with [`Outcome::Unreachable`] if the server cannot be reached.
     pub async fn connect(&self, server: &Server<C>) -> Result<NewConnection, Outcome> {
-        let slot = self.slot().await.ok_or(Outcome::NotSent)?;
+        let slot = self.acquire_slot().await.ok_or(Outcome::NotSent)?;
         let generation = server.generation.get();
         let stream =
             match timeout(self.limits.connect_timeout, TcpStream::connect(server.address.get())).await {
                 Ok(Ok(stream)) => stream,
-                // The node's own shortage says nothing of the server.
-                Ok(Err(error)) if no_descriptors(&error) => return Err(Outcome::NotSent),
+                // A lack of descriptors in this process does not make the server unreachable.
+                Ok(Err(error)) if is_out_of_descriptors(&error) => return Err(Outcome::NotSent),
                 _ => return Err(Outcome::Unreachable),
             };
         self.figures.get().iter().for_each(|f| f.handshakes.inc());
-        // What answers at the address that it had is another's by now, or gone.
+        // The connection leads to the server's previous address or process.
         if generation != server.generation.get() {
             return Err(Outcome::NotSent);
         }
@@ -165,37 +166,38 @@
         Ok(NewConnection { stream, slot, generation })
     }
 
-    /// Takes back a connection on which nothing is under way. Whether it is good is asked when it is used again.
+    /// Returns a connection without outstanding requests to the pool. Whether it is usable is checked before its reuse.
     pub fn give_back(&self, server: &Server<C>, connection: C) {
-        if connection.generation() == server.generation.get() && server.takes_new.get() {
+        if connection.generation() == server.generation.get() && server.accepts_requests.get() {
             server.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
         }
     }
 
-    /// Closes connections that have been idle for long, and those that servers have closed, for good.
+    /// Periodically closes connections that have been idle too long or were closed by their server. Never returns.
     pub async fn retire_idle(&self) {
-        let mut every = tokio::time::interval(LOOK);
+        let mut every = tokio::time::interval(IDLE_CHECK_INTERVAL);
         loop {
             every.tick().await;
-            let fit = |i: &Idle<C>| i.since.elapsed() < self.retire_after() && i.connection.is_usable();
+            let fit = |i: &Idle<C>| i.since.elapsed() < self.max_idle() && i.connection.is_usable();
             for server in self.servers.borrow().values() {
                 server.idle.borrow_mut().retain(fit);
             }
         }
     }
 
-    /// Well before the server closes it: a request that crosses the closing may be lost.
-    fn retire_after(&self) -> Duration {
+    /// Returns how long a connection may be idle: clearly shorter than the server's own limit, since a request sent while the
+    /// server closes the connection may be lost.
+    fn max_idle(&self) -> Duration {
         self.limits.conn_idle * 3 / 4
     }
 
-    /// Room for one more connection, made if need be by closing the one that has been idle the longest.
-    async fn slot(&self) -> Option<OwnedSemaphorePermit> {
+    /// Acquires a slot for a connection, if necessary by closing the one that has been idle the longest.
+    async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(permit) = self.slots.clone().try_acquire_owned() {
             return Some(permit);
         }
         self.close_longest_idle();
-        // Where a task of its own drives a connection, the slot comes free in that task's next turn.
+        // If a separate task drives the closed connection, its slot is released when that task runs next.
         tokio::task::yield_now().await;
         self.slots.clone().try_acquire_owned().ok()
     }
@@ -208,7 +210,7 @@
     }
 }
 
-fn no_descriptors(error: &io::Error) -> bool {
+fn is_out_of_descriptors(error: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE))
--- a/crates/host/src/requests.rs
+++ b/crates/host/src/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests, from their arrival to the engine.
+//! Submission of clients' requests to the engine.
 
 use crate::{AdmissionRequest, Host, PendingRequest, Rejection, Upstream};
 use birchswitch_engine::{Answer, DuplicateRequest, Incoming};
@@ -8,33 +8,35 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Stands for requests that were turned away at the door: the engine never knew them.
-const NONE: RequestId = RequestId(u64::MAX);
+/// Id of requests rejected by admission control, which never reach the engine.
+const NO_REQUEST: RequestId = RequestId(u64::MAX);
 
-/// A client's request, with its times on tokio's clock.
+/// A client's request, with its deadlines on tokio's clock.
 pub struct Request<R> {
-    /// The engine's part of it; its times are filled in here.
+    /// The engine's part. Its deadlines are overwritten with those below.
     pub incoming: Incoming<R>,
-    /// When the decisions have to be over.
+    /// Deadline of all attempts.
     pub deadline: Instant,
-    /// When the answer goes out whatever they say.
+    /// When the request fails if it has no answer yet.
     pub answer_deadline: Instant,
-    /// The hash of its key, where it has one.
+    /// The hash of its key, if it has one.
     pub key: Option<u64>,
 }
 
-/// Whom an answer is owed to, and the class of the request, for the figures.
-pub(crate) type Owed<A> = (ClassId, oneshot::Sender<Answer<A>>);
+/// The class of a request, for the figures, and the channel for its answer.
+pub(crate) type PendingReply<A> = (ClassId, oneshot::Sender<Answer<A>>);
 
 impl<U: Upstream> Host<U> {
-    /// Takes a client's request. Dropping [`PendingRequest`] before its answer is the client's leaving.
+    /// Submits a client's request. Dropping the [`PendingRequest`] before its answer means that the client disconnected.
     pub fn submit(&self, request: Request<U::Request>) -> Result<PendingRequest<U>, DuplicateRequest> {
         let Request { incoming, deadline, answer_deadline, key } = request;
-        let [deadline, answer_deadline] = [deadline, answer_deadline].map(|at| self.before_end(at));
+        let [deadline, answer_deadline] = [deadline, answer_deadline].map(|at| self.clamp_to_shutdown(at));
         let Incoming { class, tenant, work, .. } = incoming;
-        let door = self.door.borrow().clone();
-        let pass = match door.map(|door| door.admit(&AdmissionRequest { class, tenant, key, work })) {
-            Some(Err(turned)) => return Ok(self.turn_away(class, turned)),
+        let admission = self.admission.borrow().clone();
+        let permit = match admission
+            .map(|admission| admission.admit(&AdmissionRequest { class, tenant, key, work }))
+        {
+            Some(Err(rejection)) => return Ok(self.reject(class, rejection)),
             entered => entered.and_then(Result::unwrap_or_default),
         };
         let incoming = Incoming {
@@ -44,32 +46,37 @@
         };
         let (reply, answer) = oneshot::channel();
         let arrived = self.engine.borrow_mut().submit(self.now(), incoming);
-        let id = match (arrived, pass) {
-            (Ok(id), pass) => {
-                pass.into_iter().for_each(|pass| drop(self.passes.borrow_mut().insert(id, pass)));
+        let id = match (arrived, permit) {
+            (Ok(id), permit) => {
+                permit.into_iter().for_each(|permit| drop(self.permits.borrow_mut().insert(id, permit)));
                 id
             }
-            (Err(duplicate), pass) => {
-                pass.into_iter().for_each(|pass| pass.finish(false));
+            (Err(duplicate), permit) => {
+                permit.into_iter().for_each(|permit| permit.finish(false));
                 return Err(duplicate);
             }
         };
         self.replies.borrow_mut().insert(id, (class, reply));
         self.figures.outstanding.inc();
-        self.carry_out();
-        Ok(PendingRequest { host: self.me.clone(), id, answer, rejection_message: None })
+        self.run_commands();
+        Ok(PendingRequest { host: self.this.clone(), id, answer, rejection_message: None })
     }
 
-    /// What clients may be told of a wait.
-    pub(crate) fn told_wait(&self, turned: Rejection) -> Option<Duration> {
-        self.max_wait.map(|most| turned.retry_after.min(most))
+    /// Returns the retry delay that a client may be sent.
+    pub(crate) fn limit_retry_after(&self, rejection: Rejection) -> Option<Duration> {
+        self.max_wait.map(|most| rejection.retry_after.min(most))
     }
 
-    /// A request that the door turned away is answered already.
-    fn turn_away(&self, class: ClassId, turned: Rejection) -> PendingRequest<U> {
+    /// Returns a request that is already answered with a rejection.
+    fn reject(&self, class: ClassId, rejection: Rejection) -> PendingRequest<U> {
         let (reply, answer) = oneshot::channel();
-        let _ = reply.send(Answer::Refused(self.told_wait(turned)));
+        let _ = reply.send(Answer::Refused(self.limit_retry_after(rejection)));
         self.figures.record_result(usize::from(class.0), Disposition::Declined);
-        PendingRequest { host: self.me.clone(), id: NONE, answer, rejection_message: Some(turned.message) }
+        PendingRequest {
+            host: self.this.clone(),
+            id: NO_REQUEST,
+            answer,
+            rejection_message: Some(rejection.message),
+        }
     }
 }
--- a/crates/host/src/socket.rs
+++ b/crates/host/src/socket.rs
@@ -1,4 +1,4 @@
-//! What the operating system knows of a socket, and how a connection is closed without losing what was written to it.
+//! Socket state according to the operating system, and closing a connection without losing written data.
 
 use socket2::SockRef;
 use std::io;
@@ -8,20 +8,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// How often it is looked whether the other side has gone, on a socket that is not read meanwhile.
-const LOOK: Duration = Duration::from_millis(25);
-/// For what is still to be read and thrown away.
-const LINGER: Duration = Duration::from_millis(300);
-/// Most that is thrown away.
-const MOST_LINGERING: usize = 256 << 10;
+/// Interval between checks whether the peer has closed a socket that is not being read.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// How long to read and discard remaining data before closing.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum amount of data discarded before closing.
+const MAX_LINGER_BYTES: usize = 256 << 10;
 
-/// Whether a socket is open and nothing has come on it. Asks the system itself: what the runtime knows may be older.
+/// Returns whether a socket is open and has no unread data. Queries the operating system, since the runtime's readiness may be
+/// out of date.
 pub fn is_open_and_idle(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     SockRef::from(socket).peek(&mut byte).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Whether the system has told that the other side ended its sending, be there unread bytes before that or not.
+/// Returns whether the peer has closed its sending side, even if unread data precedes that.
 pub async fn is_read_closed(socket: &TcpStream) -> bool {
     tokio::select! {
         biased;
@@ -30,22 +31,22 @@
     }
 }
 
-/// Waits until the other side has ended its sending, on a socket that nobody reads meanwhile.
+/// Waits until the peer closes its sending side. For sockets that are not being read.
 pub async fn wait_read_closed(socket: &TcpStream) {
     while !is_read_closed(socket).await {
-        sleep(LOOK).await;
+        sleep(CLOSE_POLL_INTERVAL).await;
     }
 }
 
-/// Reads what still comes on a socket whose sending side is closed, up to a bound: closing it on unread bytes would reset
-/// the connection, and might take the last answer from the other side.
+/// Reads and discards remaining data on a socket whose sending side is closed, up to a limit. Closing a socket with unread data
+/// resets the connection, which can destroy the last answer before the peer reads it.
 pub async fn linger(socket: &TcpStream) {
-    let _ = timeout(LINGER, discard(socket)).await;
+    let _ = timeout(LINGER_TIMEOUT, discard(socket)).await;
 }
 
 async fn discard(socket: &TcpStream) {
     let (mut buffer, mut read) = ([0; 4096], 0);
-    while read < MOST_LINGERING && socket.readable().await.is_ok() {
+    while read < MAX_LINGER_BYTES && socket.readable().await.is_ok() {
         match socket.try_read(&mut buffer) {
             Ok(0) => return,
             Ok(n) => read += n,
@@ -55,8 +56,8 @@
     }
 }
 
-/// The connections that the system has queued for a listener by now, whatever the runtime knows of that. The listener closes
-/// after the last.
+/// Accepts the connections that the operating system has queued for a listener, regardless of the runtime's readiness, then
+/// closes the listener.
 pub fn queued_connections(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
     let listener = listener.into_std().ok();
     std::iter::from_fn(move || Some(listener.as_ref()?.accept().ok()?.0))
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -27,7 +27,7 @@
     /// What it takes.
     pub state: ServerState,
     /// Connections made so far are of no more use: it restarted, moved, drains or is gone.
-    pub renewed: bool,
+    pub invalidate_connections: bool,
 }
 
 /// See the module's own words.
@@ -80,7 +80,8 @@
         let mut update = Update::default();
         if let Some(known) = self.known.get_mut(name).filter(|_| changed) {
             let state = effective(known.listed, out);
-            known.target = Target { state, renewed: state == ServerState::Draining, ..known.target };
+            known.target =
+                Target { state, invalidate_connections: state == ServerState::Draining, ..known.target };
             update.targets.push(known.target);
             update.entries.push(known.entry());
         }
@@ -131,16 +132,16 @@
                     let address = address.unwrap_or(known.target.address);
                     // What was connected to the process before this one is dead, whether or not it says so. And what
                     // nothing new may go over is only in the way of others.
-                    let renewed = known.started != started
+                    let invalidate_connections = known.started != started
                         || known.target.address != address
                         || state == ServerState::Draining;
-                    let target = Target { address, state, renewed, ..known.target };
+                    let target = Target { address, state, invalidate_connections, ..known.target };
                     Known { listed, target, started, place, weight: member.size, ..known }
                 }
                 (None, Some(address)) if state != ServerState::Gone => {
                     let server = ServerId(self.next);
                     self.next = self.next.wrapping_add(1);
-                    let target = Target { server, address, state, renewed: false };
+                    let target = Target { server, address, state, invalidate_connections: false };
                     let hash = FxBuildHasher.hash_one(&member.id);
                     Known { listed, target, started, hash, place, weight: member.size }
                 }
@@ -165,7 +166,7 @@
 }
 
 fn gone(target: Target) -> Target {
-    Target { state: ServerState::Gone, renewed: true, ..target }
+    Target { state: ServerState::Gone, invalidate_connections: true, ..target }
 }
 
 /// Position of a name among those that the settings give; names they don't give share one of their own.
@@ -200,7 +201,7 @@
         let first =
             take(&mut directory, true, &[one("x", 1, "active", 0), one("y", 2, "active", 0)].join(","));
         assert_eq!(first.entries[1].zone, ZoneId(1));
-        assert!(first.targets.iter().all(|t| !t.renewed));
+        assert!(first.targets.iter().all(|t| !t.invalidate_connections));
         let again = take(&mut directory, true, &one("y", 2, "active", 0));
         assert_eq!(again.entries[0].server, first.entries[1].server);
         let dropped: Vec<_> = again.targets.iter().filter(|t| t.state == ServerState::Gone).collect();
@@ -214,7 +215,7 @@
         let mut directory = directory();
         let mut renewed = |port, phase, up| {
             let update = take(&mut directory, false, &one("x", port, phase, up));
-            (update.targets[0].renewed, update.targets[0].address.port())
+            (update.targets[0].invalidate_connections, update.targets[0].address.port())
         };
         assert_eq!(renewed(1, "active", 5), (false, 1));
         assert_eq!(renewed(1, "active", 5), (false, 1));
@@ -231,7 +232,10 @@
         assert!(!directory.knows("x"));
         take(&mut directory, true, &[one("x", 1, "active", 0), one("y", 2, "active", 0)].join(","));
         let out = directory.set_out("x", true);
-        assert_eq!((out.entries[0].state, out.targets[0].renewed), (ServerState::Draining, true));
+        assert_eq!(
+            (out.entries[0].state, out.targets[0].invalidate_connections),
+            (ServerState::Draining, true)
+        );
         assert!(directory.set_out("x", true).entries.is_empty(), "said twice");
         let mut state = |complete, members: &str| take(&mut directory, complete, members).entries[0].state;
         assert_eq!(state(true, &one("x", 1, "active", 0)), ServerState::Draining);
--- a/node/src/fleet/advice.rs
+++ b/node/src/fleet/advice.rs
@@ -12,7 +12,7 @@
 
 impl<U: Upstream> Advises for Host<U> {
     fn advise(&self, said: &[NamedServerAdjustment]) {
-        Host::advise(self, said);
+        Host::set_server_adjustments(self, said);
     }
 }
 
