--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -13,10 +13,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Timeout of a probe. The policy chooses among probed servers within a few milliseconds, so a later response is of no use.
+/// Timeout of a probe. The policy chooses among probed servers within a few milliseconds, so a later response
+/// is of no use.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
-/// Number of send actions per request, effective or not, after which it fails. Bounds a policy that keeps choosing servers
-/// to which the request may not go.
+/// Number of send actions per request, effective or not, after which it fails. Bounds a policy that keeps
+/// choosing servers to which the request may not go.
 const MAX_SEND_ACTIONS: usize = 64;
 
 /// A scheduled event. The declaration order is the order in which events of the same time are handled.
@@ -39,7 +40,8 @@
     policy: D,
     rules: Rules,
     requests: FxHashMap<RequestId, RequestState<R>>,
-    /// External ids of all tracked requests. Clients choose these ids, so the set keeps the standard, randomly seeded hasher.
+    /// External ids of all tracked requests. Clients choose these ids, so the set keeps the standard,
+    /// randomly seeded hasher.
     external_ids: HashSet<Rc<[u8]>>,
     servers: FxHashMap<ServerId, ListedServer>,
     probes: FxHashMap<ProbeId, (ServerId, Time)>,
@@ -57,8 +59,8 @@
 }
 
 impl<D: Policy, R, A> Engine<D, R, A> {
-    /// Creates an engine without servers or requests. The first call has to be [`Engine::update_servers`], if only with an
-    /// empty list.
+    /// Creates an engine without servers or requests. The first call has to be [`Engine::update_servers`], if
+    /// only with an empty list.
     pub fn new(policy: D, settings: &Settings) -> Self {
         Engine {
             policy,
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Returns the next command to carry out. Callers drain all commands after every call that changes the engine.
+    /// Returns the next command to carry out. Callers drain all commands after every call that changes the
+    /// engine.
     pub fn next_command(&mut self) -> Option<Command<R, A>> {
         self.commands.pop_front()
     }
@@ -152,8 +155,8 @@
         Ok(id)
     }
 
-    /// Replaces the deadlines of an open request, for those that were unknown when it arrived. Attempts in flight are cut
-    /// to `deadline`; an attempt with an earlier deadline keeps it.
+    /// Replaces the deadlines of an open request, for those that were unknown when it arrived. Attempts in
+    /// flight are cut to `deadline`; an attempt with an earlier deadline keeps it.
     pub fn set_deadlines(&mut self, request: RequestId, deadline: Time, answer_deadline: Time) {
         let Some(entry) = self.requests.get_mut(&request).filter(|e| e.is_open()) else { return };
         let answer_deadline = answer_deadline.max(deadline);
@@ -195,8 +198,8 @@
         }
     }
 
-    /// Decides whether an attempt may be sent. Has to be called immediately before its first byte. If denied, the caller ends
-    /// the attempt with [`Outcome::NotSent`]; if granted, it sends the request once.
+    /// Decides whether an attempt may be sent. Has to be called immediately before its first byte. If denied,
+    /// the caller ends the attempt with [`Outcome::NotSent`]; if granted, it sends the request once.
     pub fn permit_send(&mut self, now: Time, attempt: AttemptId) -> SendPermit {
         let number = attempt.number as usize;
         let Some(entry) = self.requests.get_mut(&attempt.request) else { return SendPermit::Denied };
@@ -211,8 +214,8 @@
         SendPermit::Granted(a.deadline - now)
     }
 
-    /// Records that the last byte of an attempt was sent whose request was incomplete at its start. The server's latency
-    /// counts from here.
+    /// Records that the last byte of an attempt was sent whose request was incomplete at its start. The
+    /// server's latency counts from here.
     pub fn request_written(&mut self, now: Time, attempt: AttemptId) {
         let AttemptId { request, number } = attempt;
         let attempts = self.requests.get_mut(&request).map(|entry| &mut entry.attempts);
@@ -370,7 +373,8 @@
     }
 
     // ---- Policy ----
-    /// Passes an event to the policy and applies its actions, then does the same for the events that these cause.
+    /// Passes an event to the policy and applies its actions, then does the same for the events that these
+    /// cause.
     fn handle_event(&mut self, now: Time, event: Event) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,9 +1,11 @@
-//! Tracks requests, their attempts, timers and deadlines, and enforces the rules on them, independent of protocol and I/O.
+//! Tracks requests, their attempts, timers and deadlines, and enforces the rules on them, independent of
+//! protocol and I/O.
 //!
-//! The front of a protocol calls [`Engine::submit`] for each request, its upstream side reports the ends of attempts with
-//! [`Engine::attempt_ended`], and discovery passes lists of servers to [`Engine::update_servers`]. A [`Policy`], in
-//! production that of `finchvale`, makes all decisions. The engine tracks the state of requests, checks each decision
-//! against the rules and returns the work to do as [`Command`]s. Requests and answers are opaque to it.
+//! The front of a protocol calls [`Engine::submit`] for each request, its upstream side reports the ends of
+//! attempts with [`Engine::attempt_ended`], and discovery passes lists of servers to
+//! [`Engine::update_servers`]. A [`Policy`], in production that of `finchvale`, makes all decisions. The
+//! engine tracks the state of requests, checks each decision against the rules and returns the work to do as
+//! [`Command`]s. Requests and answers are opaque to it.
 //!
 //! ```text
 //! front --submit, client_disconnected--> Engine --Command::Answer--> front
@@ -13,16 +15,18 @@
 //!                                       upstream
 //! ```
 //!
-//! Time is an argument. [`Engine::next_wake`] returns when to call [`Engine::wake`]; no other timer is needed.
+//! Time is an argument. [`Engine::next_wake`] returns when to call [`Engine::wake`]; no other timer is
+//! needed.
 //!
 //! The rules hold for every [`Policy`] and every order of events:
 //!
-//! 1. Each accepted request gets one [`Command::Answer`], at its `answer_deadline` at the latest, unless its client
-//!    disconnects first.
-//! 2. An attempt is sent only after [`Engine::permit_send`] has granted it, once, and only if the request is open, the server
-//!    accepts new requests and no earlier attempt forbids it. For unsafe requests, any attempt that may have run forbids it;
-//!    for keyed ones, one that may have run outside the server's key scope, or longer ago than the replay window. A refusal
-//!    is turned into a failure where a retry might not be harmless.
+//! 1. Each accepted request gets one [`Command::Answer`], at its `answer_deadline` at the latest, unless its
+//!    client disconnects first.
+//! 2. An attempt is sent only after [`Engine::permit_send`] has granted it, once, and only if the request is
+//!    open, the server accepts new requests and no earlier attempt forbids it. For unsafe requests, any
+//!    attempt that may have run forbids it; for keyed ones, one that may have run outside the server's key
+//!    scope, or longer ago than the replay window. A refusal is turned into a failure where a retry might not
+//!    be harmless.
 //! 3. No attempt is permitted to a server that drains or is gone.
 
 #![forbid(unsafe_code)]
@@ -37,7 +41,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Makes the decisions. Production uses [`finchvale::Balancer`]; tests use others to show that the rules hold for any policy.
+/// Makes the decisions. Production uses [`finchvale::Balancer`]; tests use others to show that the rules hold
+/// for any policy.
 pub trait Policy {
     /// Handles an event that happened at `now` and appends the resulting actions.
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
@@ -64,15 +69,15 @@
     pub tenant: TenantId,
     /// Expected work, if the client sent a hint.
     pub work: Option<Duration>,
-    /// Whether the body has been received completely. If not, [`Engine::request_written`] reports when a server has all of it
-    /// and [`Engine::set_deadlines`] sets the final deadlines.
+    /// Whether the body has been received completely. If not, [`Engine::request_written`] reports when a
+    /// server has all of it and [`Engine::set_deadlines`] sets the final deadlines.
     pub body_complete: bool,
     /// Deadline of all attempts.
     pub deadline: Time,
     /// When the request fails if it has no answer yet; `deadline` if that is later.
     pub answer_deadline: Time,
-    /// The client's id of the request. No other request with this id is accepted while it is open or has an attempt in
-    /// flight.
+    /// The client's id of the request. No other request with this id is accepted while it is open or has an
+    /// attempt in flight.
     pub external_id: Box<[u8]>,
     /// The protocol's request, which may be sent to servers several times.
     pub request: R,
@@ -133,8 +138,8 @@
     },
     /// Abort the probe.
     CancelProbe(ProbeId),
-    /// A request is finished: it is answered or its client disconnected, and no attempt is in flight. Only after
-    /// [`Engine::report_completion`].
+    /// A request is finished: it is answered or its client disconnected, and no attempt is in flight. Only
+    /// after [`Engine::report_completion`].
     Completed {
         /// The request.
         request: RequestId,
@@ -174,6 +179,7 @@
     Denied,
 }
 
-/// A request with the same external id is open or has an attempt in flight, and the new one would count as its repeat.
+/// A request with the same external id is open or has an attempt in flight, and the new one would count as
+/// its repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateRequest;
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -80,13 +80,14 @@
         }
     }
 
-    /// Returns a class's effect; classes missing from the settings count as unsafe, the most restrictive effect.
+    /// Returns a class's effect; classes missing from the settings count as unsafe, the most restrictive
+    /// effect.
     fn effect(&self, class: ClassId) -> Effect {
         self.effects.get(usize::from(class.0)).copied().unwrap_or(Effect::Unsafe)
     }
 
-    /// Returns why a request may not be sent to a server now, given its other attempts. `current` is the attempt to be sent,
-    /// if it is recorded already; it is left out of account.
+    /// Returns why a request may not be sent to a server now, given its other attempts. `current` is the
+    /// attempt to be sent, if it is recorded already; it is left out of account.
     pub(crate) fn denial_reason<R>(
         &self,
         now: Time,
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Checks the engine's rules for several policies and random orders of events, with scripted servers and a manual clock.
+//! Checks the engine's rules for several policies and random orders of events, with scripted servers and a
+//! manual clock.
 
 use birchswitch_engine::{
     Answer, AttemptId, AttemptResult, Command, DuplicateRequest, Engine, Incoming, Policy, ProbeId,
@@ -350,7 +351,8 @@
     }
 }
 
-/// Sends each request to server 0 and each ended attempt on to the next server; refuses it after the third attempt.
+/// Sends each request to server 0 and each ended attempt on to the next server; refuses it after the third
+/// attempt.
 struct NextServerPolicy;
 
 impl Policy for NextServerPolicy {
@@ -428,7 +430,8 @@
     assert_eq!(harness.engine.permit_send(harness.now, attempt), SendPermit::Denied);
 }
 
-/// Guards against sending an attempt after its cancellation or deadline, when its request may already be at another server.
+/// Guards against sending an attempt after its cancellation or deadline, when its request may already be at
+/// another server.
 #[test]
 fn a_cancelled_or_overdue_attempt_is_not_permitted() {
     struct CancelPolicy;
@@ -484,8 +487,8 @@
     assert_eq!(answered(&harness, two), Some(Answer::Failed));
 }
 
-/// A request rejected by its host before any attempt was sent is refused and reported as not run; after an attempt that may have
-/// run it fails.
+/// A request rejected by its host before any attempt was sent is refused and reported as not run; after an
+/// attempt that may have run it fails.
 #[test]
 fn a_request_rejected_by_the_host_is_refused_only_if_it_never_ran() {
     for (before, expected) in [(false, Answer::Refused(Some(MS))), (true, Answer::Failed)] {
@@ -562,8 +565,8 @@
     assert_eq!(answered(&harness, id), Some(Answer::Failed));
 }
 
-/// Requests and answers are opaque to the engine: with the same seed and clock, the same events produce the same commands for any
-/// types of request and answer.
+/// Requests and answers are opaque to the engine: with the same seed and clock, the same events produce the
+/// same commands for any types of request and answer.
 #[test]
 fn the_protocol_changes_no_decision() {
     fn play<R: Clone, A: Clone>(request: R, answer: A, seed: u64) -> Vec<String> {
--- a/crates/host/src/admission.rs
+++ b/crates/host/src/admission.rs
@@ -1,12 +1,12 @@
-//! Admission control in front of the engine: fleet-wide limits and accounts, which admit each request once and are notified
-//! of its end.
+//! Admission control in front of the engine: fleet-wide limits and accounts, which admit each request once
+//! and are notified of its end.
 
 use finchvale::{ClassId, TenantId};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hashes a key together with its class and tenant. The hash is stored and compared between nodes and fronts, so it must not
-/// change.
+/// Hashes a key together with its class and tenant. The hash is stored and compared between nodes and fronts,
+/// so it must not change.
 pub fn key_hash(class: ClassId, tenant: TenantId, key: &[u8]) -> u64 {
     xxh3_64(&[&[class.0], &tenant.0.to_le_bytes()[..], key].concat())
 }
@@ -35,14 +35,15 @@
 
 /// Admits or rejects requests. Called on the node's event loop, so implementations must not block.
 pub trait Admission {
-    /// Admits or rejects a request. The permit, if there is one, is notified of the request's attempts and end.
+    /// Admits or rejects a request. The permit, if there is one, is notified of the request's attempts and
+    /// end.
     fn admit(&self, request: &AdmissionRequest) -> Result<Option<Box<dyn AdmissionPermit>>, Rejection>;
 }
 
 /// What an admitted request holds, such as a share of a limit or a reservation.
 pub trait AdmissionPermit {
-    /// Checks again whether the request may be sent. Called immediately before the first byte of each attempt, which may be
-    /// long after admission.
+    /// Checks again whether the request may be sent. Called immediately before the first byte of each
+    /// attempt, which may be long after admission.
     fn check(&self) -> Result<(), Rejection> {
         Ok(())
     }
@@ -50,6 +51,7 @@
     /// Called when an attempt is sent to a server.
     fn attempt_sent(&self) {}
 
-    /// Called when the request is finished. `may_have_run` tells whether any server ran it or may have run it.
+    /// Called when the request is finished. `may_have_run` tells whether any server ran it or may have run
+    /// it.
     fn finish(self: Box<Self>, may_have_run: bool);
 }
--- a/crates/host/src/handles.rs
+++ b/crates/host/src/handles.rs
@@ -21,13 +21,14 @@
         self.rejection_message
     }
 
-    /// Waits for the final answer, which comes by the request's answer deadline. May be awaited to completion once; dropping the
-    /// future before that loses nothing.
+    /// Waits for the final answer, which comes by the request's answer deadline. May be awaited to completion
+    /// once; dropping the future before that loses nothing.
     pub async fn answer(&mut self) -> Answer<U::Answer> {
         (&mut self.answer).await.unwrap_or(Answer::Failed)
     }
 
-    /// Ends the request at once, with a refusal if a retry is harmless and otherwise with a failure. No further attempt starts.
+    /// Ends the request at once, with a refusal if a retry is harmless and otherwise with a failure. No
+    /// further attempt starts.
     pub fn abandon(&self) {
         let Some(host) = self.host.upgrade() else { return };
         host.with_engine(|engine, now| engine.reject(now, self.id, None));
@@ -54,7 +55,8 @@
     }
 }
 
-/// Reports an attempt to the engine. An attempt whose handle is dropped without [`AttemptHandle::finish`] times out.
+/// Reports an attempt to the engine. An attempt whose handle is dropped without [`AttemptHandle::finish`]
+/// times out.
 pub struct AttemptHandle<U: Upstream> {
     pub(crate) host: Weak<Host<U>>,
     pub(crate) attempt: AttemptId,
@@ -62,7 +64,8 @@
 }
 
 impl<U: Upstream> AttemptHandle<U> {
-    /// Decides whether the attempt may be sent, and how much time it has. To be called immediately before the first byte.
+    /// Decides whether the attempt may be sent, and how much time it has. To be called immediately before the
+    /// first byte.
     pub fn permit_send(&self) -> SendPermit {
         let Some(host) = self.host.upgrade() else { return SendPermit::Denied };
         let request = self.attempt.request;
@@ -84,8 +87,8 @@
         self.host.upgrade().iter().for_each(|host| host.figures.forwards.inc());
     }
 
-    /// Returns the equivalent of [`AttemptHandle::written`] for a request whose body was incomplete when it was submitted. To be
-    /// called when the last byte has been written.
+    /// Returns the equivalent of [`AttemptHandle::written`] for a request whose body was incomplete when it
+    /// was submitted. To be called when the last byte has been written.
     pub fn written_callback(&self) -> impl FnOnce() + 'static {
         let (host, attempt) = (self.host.clone(), self.attempt);
         move || {
--- a/crates/host/src/health.rs
+++ b/crates/host/src/health.rs
@@ -1,5 +1,5 @@
-//! Tracks unresponsive servers. One node of the zone probes them for all: the others report them to it and skip their own
-//! probes of them.
+//! Tracks unresponsive servers. One node of the zone probes them for all: the others report them to it and
+//! skip their own probes of them.
 
 use crate::handles::ProbeOrigin;
 use crate::{Host, ProbeHandle, Upstream};
@@ -63,7 +63,8 @@
         self.ids.get(&name).copied()
     }
 
-    /// Replaces the set of silent servers. Returns the servers that are no longer in it, which this node has to probe itself.
+    /// Replaces the set of silent servers. Returns the servers that are no longer in it, which this node has
+    /// to probe itself.
     pub(crate) fn update_silent(&mut self, silent: &[ShortId]) -> Vec<ServerId> {
         let recovered = self.suppressor.update_silent(silent.iter().copied());
         recovered.iter().filter_map(|name| self.server_id(*name)).collect()
@@ -78,7 +79,8 @@
     }
 
     pub(crate) fn record_outcome(&mut self, server: ServerId, outcome: Outcome) {
-        // Attempts that never reached the server or were cancelled by this node do not show whether it responds.
+        // Attempts that never reached the server or were cancelled by this node do not show whether it
+        // responds.
         let Some(name) = self
             .names
             .get(&server)
@@ -94,14 +96,15 @@
 }
 
 impl<U: Upstream> Host<U> {
-    /// Enables reports of servers that become unresponsive, by the hashes of their names, and suppresses probes of the
-    /// servers passed to [`Host::set_silent_servers`]. Has to be called before the first list is applied.
+    /// Enables reports of servers that become unresponsive, by the hashes of their names, and suppresses
+    /// probes of the servers passed to [`Host::set_silent_servers`]. Has to be called before the first list
+    /// is applied.
     pub fn on_server_silent(&self, on_silent: impl Fn(u64) + 'static) {
         *self.silence.borrow_mut() = Some(SilenceTracker::new(Box::new(on_silent)));
     }
 
-    /// Sets the servers that another node probes on behalf of this one and that do not respond to it. Servers removed from
-    /// the set are probed once.
+    /// Sets the servers that another node probes on behalf of this one and that do not respond to it. Servers
+    /// removed from the set are probed once.
     pub fn set_silent_servers(&self, silent: &[ShortId]) {
         let recovered =
             self.silence.borrow_mut().as_mut().map(|h| h.update_silent(silent)).unwrap_or_default();
@@ -115,8 +118,9 @@
         self.silence.borrow().as_ref().map(SilenceTracker::ready_names).unwrap_or_default()
     }
 
-    /// Probes a server on behalf of other nodes and returns whether it responds within the timeout. Returns `None` if the server
-    /// is not ready or the probe could not be sent, for instance for lack of a connection slot.
+    /// Probes a server on behalf of other nodes and returns whether it responds within the timeout. Returns
+    /// `None` if the server is not ready or the probe could not be sent, for instance for lack of a
+    /// connection slot.
     pub async fn probe_for_others(&self, name: u64, timeout: Duration) -> Option<bool> {
         let server = self.silence.borrow().as_ref()?.server_id(name)?;
         let (sender, receiver) = oneshot::channel();
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,14 +1,15 @@
 //! Runs an [`Engine`] on one thread of tokio.
 //!
-//! The host carries out the engine's [commands](birchswitch_engine::Command): it runs one task per attempt and per probe, one
-//! timer for all scheduled events, and provides the clock. Each protocol has two sides: its front calls [`Host::submit`],
-//! and its upstream side implements [`Upstream`].
+//! The host carries out the engine's [commands](birchswitch_engine::Command): it runs one task per attempt
+//! and per probe, one timer for all scheduled events, and provides the clock. Each protocol has two sides:
+//! its front calls [`Host::submit`], and its upstream side implements [`Upstream`].
 //!
-//! The host makes no decisions and never awaits while the engine is borrowed. Everything runs on a `LocalSet`.
+//! The host makes no decisions and never awaits while the engine is borrowed. Everything runs on a
+//! `LocalSet`.
 //!
-//! Modules: `lists` applies lists of servers, `requests` submits clients' requests, `commands` runs the engine's commands,
-//! `handles` holds what protocols use to report back, `pool` keeps connections to servers; `admission`, `health` and
-//! `observations` connect the fleet-wide parts.
+//! Modules: `lists` applies lists of servers, `requests` submits clients' requests, `commands` runs the
+//! engine's commands, `handles` holds what protocols use to report back, `pool` keeps connections to servers;
+//! `admission`, `health` and `observations` connect the fleet-wide parts.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -60,9 +61,10 @@
     /// Sets the figures in which new connections are counted. Called once, at the start.
     fn set_figures(&self, figures: Rc<Metrics>);
 
-    /// Makes one attempt: gets a connection, calls [`AttemptHandle::permit_send`] immediately before the first byte, sends the
-    /// request once, and reports the end to [`AttemptHandle::finish`]. It may continue after that, for instance to release the
-    /// connection. The future is dropped when the attempt is cancelled, and has to close its connection with it.
+    /// Makes one attempt: gets a connection, calls [`AttemptHandle::permit_send`] immediately before the
+    /// first byte, sends the request once, and reports the end to [`AttemptHandle::finish`]. It may continue
+    /// after that, for instance to release the connection. The future is dropped when the attempt is
+    /// cancelled, and has to close its connection with it.
     fn attempt(
         self: Rc<Self>,
         server: ServerId,
@@ -70,7 +72,8 @@
         handle: AttemptHandle<Self>,
     ) -> impl Future<Output = ()> + 'static;
 
-    /// Asks a server for its load and reports the result to [`ProbeHandle::finish`]. The future is dropped on timeout.
+    /// Asks a server for its load and reports the result to [`ProbeHandle::finish`]. The future is dropped on
+    /// timeout.
     fn probe(
         self: Rc<Self>,
         server: ServerId,
--- a/crates/host/src/lists.rs
+++ b/crates/host/src/lists.rs
@@ -5,8 +5,8 @@
 use finchvale::{ListKind, ServerEntry};
 
 impl<U: Upstream> Host<U> {
-    /// Applies the list cached before the start. Has to be called once, with `None` if there is none, since the policy needs a
-    /// list before anything else.
+    /// Applies the list cached before the start. Has to be called once, with `None` if there is none, since
+    /// the policy needs a list before anything else.
     pub fn load_cached_list(&self, list: Option<&ServerList>) {
         let entries = list.map(|l| self.apply(l)).unwrap_or_default();
         self.update_engine_servers(ListKind::Cached, entries);
@@ -35,29 +35,30 @@
         self.directory.borrow().knows(server)
     }
 
-    /// Suspends or restores a server on behalf of an operator. A suspension persists whatever later lists contain.
+    /// Suspends or restores a server on behalf of an operator. A suspension persists whatever later lists
+    /// contain.
     pub fn set_suspended(&self, server: &str, suspended: bool) {
-        let update = self.directory.borrow_mut().set_out(server, suspended);
+        let update = self.directory.borrow_mut().set_suspended(server, suspended);
         if !update.entries.is_empty() {
             self.upstream.update_servers(&update.targets);
             self.update_engine_servers(ListKind::Changes, update.entries);
         }
     }
 
-    /// Sets this node's position among the live nodes: the point on the ring of servers where its share starts, and the agreed
-    /// number of nodes.
+    /// Sets this node's position among the live nodes: the point on the ring of servers where its share
+    /// starts, and the agreed number of nodes.
     pub fn set_ring_position(&self, start: f64, nodes: u32) {
         self.with_engine(|engine, now| engine.set_ring_position(now, start, nodes));
     }
 
     /// Returns the number of listed servers and how many of them are suspended.
     pub fn server_counts(&self) -> (usize, usize) {
-        self.directory.borrow().count()
+        self.directory.borrow().counts()
     }
 
     fn apply(&self, list: &ServerList) -> Vec<ServerEntry> {
         self.revision.set(list.revision);
-        let update = self.directory.borrow_mut().take(list);
+        let update = self.directory.borrow_mut().apply(list);
         self.upstream.update_servers(&update.targets);
         self.has_servers.set(self.has_servers.get() || !update.entries.is_empty());
         if self.ready() {
--- a/crates/host/src/observations.rs
+++ b/crates/host/src/observations.rs
@@ -1,5 +1,5 @@
-//! Reports attempt ends to fleet-wide parts and applies the server adjustments they return. Both identify servers by the hash
-//! of their names, since ids differ between nodes.
+//! Reports attempt ends to fleet-wide parts and applies the server adjustments they return. Both identify
+//! servers by the hash of their names, since ids differ between nodes.
 
 use crate::{Host, Upstream};
 use finchvale::{Outcome, ServerAdjustment, ServerEntry, ServerId, ServerState, Time};
@@ -113,7 +113,8 @@
         *self.observer.borrow_mut() = Some(ServerObserver::new(Box::new(callback), self.warm_up));
     }
 
-    /// Replaces all fleet-wide adjustments of servers. Has no effect unless [`Host::on_attempt_end`] was called.
+    /// Replaces all fleet-wide adjustments of servers. Has no effect unless [`Host::on_attempt_end`] was
+    /// called.
     pub fn set_server_adjustments(&self, adjustments: &[NamedServerAdjustment]) {
         let resolved = self.observer.borrow().as_ref().map(|o| o.resolve(adjustments));
         resolved
@@ -121,7 +122,8 @@
             .for_each(|resolved| self.with_engine(|engine, now| engine.set_adjustments(now, resolved)));
     }
 
-    /// Returns whether the server with this name hash is ready; false unless [`Host::on_attempt_end`] was called.
+    /// Returns whether the server with this name hash is ready; false unless [`Host::on_attempt_end`] was
+    /// called.
     pub fn is_ready_server(&self, name: u64) -> bool {
         self.observer.borrow().as_ref().is_some_and(|o| o.is_ready(name))
     }
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connection pool for any protocol. It limits the connections of the process, keeps idle ones for reuse, and drops those
-//! whose server restarted, moved, drains or is gone.
+//! Connection pool for any protocol. It limits the connections of the process, keeps idle ones for reuse, and
+//! drops those whose server restarted, moved, drains or is gone.
 
 use birchswitch_figures::Metrics;
 use birchswitch_membership::Target;
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Takes the most recently used idle connection that is past the reuse delay and still usable. Closes unusable ones that it
-    /// encounters.
+    /// Takes the most recently used idle connection that is past the reuse delay and still usable. Closes
+    /// unusable ones that it encounters.
     pub fn take_idle(&self, server: &Server<C>) -> Option<C> {
         let rested = self.limits.reuse_delay..self.max_idle();
         loop {
@@ -145,8 +145,8 @@
 
     /// Opens a new connection.
     ///
-    /// Fails with [`Outcome::NotSent`] if the process has no free slot or descriptor, or if the server moved or restarted
-    /// meanwhile, and with [`Outcome::Unreachable`] if the server cannot be reached.
+    /// Fails with [`Outcome::NotSent`] if the process has no free slot or descriptor, or if the server moved
+    /// or restarted meanwhile, and with [`Outcome::Unreachable`] if the server cannot be reached.
     pub async fn connect(&self, server: &Server<C>) -> Result<NewConnection, Outcome> {
         let slot = self.acquire_slot().await.ok_or(Outcome::NotSent)?;
         let generation = server.generation.get();
@@ -166,14 +166,16 @@
         Ok(NewConnection { stream, slot, generation })
     }
 
-    /// Returns a connection without outstanding requests to the pool. Whether it is usable is checked before its reuse.
+    /// Returns a connection without outstanding requests to the pool. Whether it is usable is checked before
+    /// its reuse.
     pub fn give_back(&self, server: &Server<C>, connection: C) {
         if connection.generation() == server.generation.get() && server.accepts_requests.get() {
             server.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
         }
     }
 
-    /// Periodically closes connections that have been idle too long or were closed by their server. Never returns.
+    /// Periodically closes connections that have been idle too long or were closed by their server. Never
+    /// returns.
     pub async fn retire_idle(&self) {
         let mut every = tokio::time::interval(IDLE_CHECK_INTERVAL);
         loop {
@@ -185,8 +187,8 @@
         }
     }
 
-    /// Returns how long a connection may be idle: clearly shorter than the server's own limit, since a request sent while the
-    /// server closes the connection may be lost.
+    /// Returns how long a connection may be idle: clearly shorter than the server's own limit, since a
+    /// request sent while the server closes the connection may be lost.
     fn max_idle(&self) -> Duration {
         self.limits.conn_idle * 3 / 4
     }
--- a/crates/host/src/requests.rs
+++ b/crates/host/src/requests.rs
@@ -27,7 +27,8 @@
 pub(crate) type PendingReply<A> = (ClassId, oneshot::Sender<Answer<A>>);
 
 impl<U: Upstream> Host<U> {
-    /// Submits a client's request. Dropping the [`PendingRequest`] before its answer means that the client disconnected.
+    /// Submits a client's request. Dropping the [`PendingRequest`] before its answer means that the client
+    /// disconnected.
     pub fn submit(&self, request: Request<U::Request>) -> Result<PendingRequest<U>, DuplicateRequest> {
         let Request { incoming, deadline, answer_deadline, key } = request;
         let [deadline, answer_deadline] = [deadline, answer_deadline].map(|at| self.clamp_to_shutdown(at));
--- a/crates/host/src/socket.rs
+++ b/crates/host/src/socket.rs
@@ -15,8 +15,8 @@
 /// Maximum amount of data discarded before closing.
 const MAX_LINGER_BYTES: usize = 256 << 10;
 
-/// Returns whether a socket is open and has no unread data. Queries the operating system, since the runtime's readiness may be
-/// out of date.
+/// Returns whether a socket is open and has no unread data. Queries the operating system, since the runtime's
+/// readiness may be out of date.
 pub fn is_open_and_idle(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     SockRef::from(socket).peek(&mut byte).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
@@ -38,8 +38,8 @@
     }
 }
 
-/// Reads and discards remaining data on a socket whose sending side is closed, up to a limit. Closing a socket with unread data
-/// resets the connection, which can destroy the last answer before the peer reads it.
+/// Reads and discards remaining data on a socket whose sending side is closed, up to a limit. Closing a
+/// socket with unread data resets the connection, which can destroy the last answer before the peer reads it.
 pub async fn linger(socket: &TcpStream) {
     let _ = timeout(LINGER_TIMEOUT, discard(socket)).await;
 }
@@ -56,8 +56,8 @@
     }
 }
 
-/// Accepts the connections that the operating system has queued for a listener, regardless of the runtime's readiness, then
-/// closes the listener.
+/// Accepts the connections that the operating system has queued for a listener, regardless of the runtime's
+/// readiness, then closes the listener.
 pub fn queued_connections(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
     let listener = listener.into_std().ok();
     std::iter::from_fn(move || Some(listener.as_ref()?.accept().ok()?.0))
--- a/crates/membership/src/discovery.rs
+++ b/crates/membership/src/discovery.rs
@@ -1,6 +1,7 @@
-//! The platform's discovery over HTTP/1.1: the whole list on request, and a watch that brings changes.
+//! Client of the platform's discovery service over HTTP/1.1: fetches the complete list and watches for
+//! changes.
 
-use crate::framing::{FramingError, Objects};
+use crate::framing::{FramingError, ObjectSplitter};
 use crate::list::{ListError, ServerList};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -16,137 +17,141 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// An empty line is due every 2 s, and news counts as told 6 s after it came up: a watch that has been silent
-/// for this long is taken for dead, which leaves time to open the next. So is one on which a list does not come to its end.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Largest whole list that is taken in.
-const LARGEST_LIST: usize = 4 << 20;
+/// How long a watch may be silent, or a list incomplete, before the watch counts as dead. Discovery sends an
+/// empty line every 2 s, and a node has to know of a change within 6 s, so that 3 s leave time to open
+/// another watch.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum size of a complete list.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// How long discovery may take, and how soon it is called again.
+/// Timeouts and reconnection delays for discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryTimeouts {
-    /// For a connection to come up.
+    /// Timeout for opening a connection.
     pub connect: Duration,
-    /// For an answer to begin.
-    pub answer: Duration,
-    /// The first pause before a broken watch is opened again.
-    pub first_pause: Duration,
-    /// The longest.
-    pub longest_pause: Duration,
+    /// Timeout for the start of a response.
+    pub response: Duration,
+    /// Initial delay before a broken watch is reopened.
+    pub min_backoff: Duration,
+    /// Maximum delay.
+    pub max_backoff: Duration,
 }
 
 impl DiscoveryTimeouts {
-    /// An agent on the node's own machine. It answers at once and at no cost, or not at all; what it hears while it says
-    /// nothing counts as told from the moment in which it can be reached again.
+    /// For an agent on the node's own machine, which responds at once and at no cost, or not at all. The
+    /// delays are short because changes it learns while unreachable count as known to the node as soon as it
+    /// can be reached again.
     pub const AGENT: DiscoveryTimeouts = DiscoveryTimeouts {
         connect: Duration::from_millis(250),
-        answer: Duration::from_millis(500),
-        first_pause: Duration::from_millis(100),
-        longest_pause: Duration::from_millis(200),
+        response: Duration::from_millis(500),
+        min_backoff: Duration::from_millis(100),
+        max_backoff: Duration::from_millis(200),
     };
-    /// One service for all nodes, which works through calls in turn.
+    /// For one service shared by all nodes, which handles requests one after another.
     pub const SERVICE: DiscoveryTimeouts = DiscoveryTimeouts {
         connect: Duration::from_secs(1),
-        answer: SILENCE,
-        first_pause: Duration::from_millis(100),
-        longest_pause: Duration::from_secs(1),
+        response: SILENCE_TIMEOUT,
+        min_backoff: Duration::from_millis(100),
+        max_backoff: Duration::from_secs(1),
     };
 }
 
-/// How a watch ended.
+/// Why a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// No connection.
+    /// The connection could not be opened.
     #[error("no connection: {0}")]
     Connect(std::io::Error),
-    /// Nothing came, not even an empty line.
+    /// No data was received in time, not even an empty line.
     #[error("silent for too long")]
     Silent,
-    /// The connection broke or spoke no HTTP.
+    /// The connection broke or violated HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The call was turned away.
-    #[error("answered {0}")]
+    /// The response had an error status.
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// Discovery ended it.
+    /// Discovery closed the watch.
     #[error("ended")]
     Ended,
-    /// A line that is no server list.
+    /// An object is not a list of servers.
     #[error("unusable line: {0}")]
     BadLine(#[from] ListError),
-    /// What came is no sequence of lists.
+    /// The stream is not a sequence of objects.
     #[error("unusable line: {0}")]
     Framing(#[from] FramingError),
-    /// A whole list that is too long, or isn't whole.
+    /// A fetched list is too long, or not complete.
     #[error("unusable list: {0}")]
     Unusable(String),
 }
 
-/// What discovery says, or what became of asking it.
+/// An event from discovery.
 #[derive(Debug)]
 pub enum DiscoveryEvent {
-    /// A list, whole or changes.
+    /// A list of servers, complete or changes only.
     List(ServerList),
-    /// A watch that was asked for ended, or never came up.
+    /// A watch opened with [`Discovery::watch_once`] ended or could not be opened.
     WatchFailed(WatchError),
-    /// A watch that is kept open ended, and is opened again after a pause.
+    /// A watch opened with [`Discovery::follow`] ended, and is reopened after the given delay.
     Reconnecting(WatchError, Duration),
 }
 
-/// Follows discovery in a task of its own, on a `LocalSet`.
+/// Watches discovery in a separate task on a `LocalSet`.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    patience: DiscoveryTimeouts,
-    /// The list held is not from where the list is now: changes to it are no use.
-    moved: Cell<bool>,
-    /// Version of the list held.
+    timeouts: DiscoveryTimeouts,
+    /// Set while the current list comes from a previous address, so that changes from the new address cannot
+    /// be applied to it.
+    address_changed: Cell<bool>,
+    /// Revision of the current list.
     revision: Cell<u64>,
-    lists_taken: Cell<u64>,
-    /// The watch, or the task that keeps one open.
+    lists_received: Cell<u64>,
+    /// The task that runs the watch.
     task: RefCell<Option<AbortHandle>>,
-    tell: Box<dyn Fn(DiscoveryEvent)>,
+    handler: Box<dyn Fn(DiscoveryEvent)>,
 }
 
 impl Discovery {
-    /// Starts from a list of this revision, 0 for none. What is said goes to `tell`.
+    /// Creates a client that has a list of the given revision, 0 for none, and passes events to `handler`.
     pub fn new(
         address: SocketAddr,
-        patience: DiscoveryTimeouts,
+        timeouts: DiscoveryTimeouts,
         revision: u64,
-        tell: impl Fn(DiscoveryEvent) + 'static,
+        handler: impl Fn(DiscoveryEvent) + 'static,
     ) -> Rc<Self> {
         Rc::new(Discovery {
             address: Cell::new(address),
-            patience,
-            moved: Cell::new(false),
+            timeouts,
+            address_changed: Cell::new(false),
             revision: Cell::new(revision),
-            lists_taken: Cell::new(0),
+            lists_received: Cell::new(0),
             task: RefCell::default(),
-            tell: Box::new(tell),
+            handler: Box::new(handler),
         })
     }
 
-    /// Keeps a watch open for good.
+    /// Keeps a watch open permanently.
     pub fn follow(self: &Rc<Self>) {
         let me = self.clone();
-        self.replace(async move { me.keep_watching().await });
+        self.replace(async move { me.watch_forever().await });
     }
 
-    /// Opens one watch; its end is told as [`DiscoveryEvent::WatchFailed`].
+    /// Opens one watch. Its end is reported as [`DiscoveryEvent::WatchFailed`].
     pub fn watch_once(self: &Rc<Self>) {
         let me = self.clone();
         self.replace(async move {
             let error = me.watch().await;
-            (me.tell)(DiscoveryEvent::WatchFailed(error));
+            (me.handler)(DiscoveryEvent::WatchFailed(error));
         });
     }
 
-    /// The list of servers is elsewhere from now on. False: it was there before. Nothing that the old address still
-    /// says is heard; the new one is asked for its whole list by the next watch, which the caller opens.
+    /// Changes the address of discovery. Returns false if the address is the same. A running watch of the old
+    /// address is aborted; the next watch, which the caller opens, first fetches the complete list from the
+    /// new address.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         let moved = self.address.replace(address) != address;
         if moved {
-            self.moved.set(true);
+            self.address_changed.set(true);
             self.task.take().iter().for_each(AbortHandle::abort);
         }
         moved
@@ -159,35 +164,36 @@
         }
     }
 
-    fn take(&self, list: ServerList) {
-        self.lists_taken.set(self.lists_taken.get() + 1);
+    fn handle_list(&self, list: ServerList) {
+        self.lists_received.set(self.lists_received.get() + 1);
         self.revision.set(list.revision);
-        self.moved.set(self.moved.get() && !list.complete);
-        (self.tell)(DiscoveryEvent::List(list));
+        self.address_changed.set(self.address_changed.get() && !list.complete);
+        (self.handler)(DiscoveryEvent::List(list));
     }
 
-    async fn keep_watching(&self) {
-        let DiscoveryTimeouts { first_pause, longest_pause, .. } = self.patience;
-        let mut pause = first_pause;
+    async fn watch_forever(&self) {
+        let DiscoveryTimeouts { min_backoff, max_backoff, .. } = self.timeouts;
+        let mut backoff = min_backoff;
         loop {
-            let before = self.lists_taken.get();
+            let before = self.lists_received.get();
             let error = self.watch().await;
-            if self.lists_taken.get() != before {
-                pause = first_pause;
+            if self.lists_received.get() != before {
+                backoff = min_backoff;
             }
-            (self.tell)(DiscoveryEvent::Reconnecting(error, pause));
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(longest_pause);
+            (self.handler)(DiscoveryEvent::Reconnecting(error, backoff));
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(max_backoff);
         }
     }
 
-    /// Opens one watch from the version held on and hands on what it brings until it ends.
+    /// Opens a watch from the current revision on and passes on its lists until it ends.
     async fn watch(&self) -> WatchError {
         let address = self.address.get();
-        if self.moved.get() {
-            // The version held comes from another address and may mean anything here, also one that is newer.
-            match timeout(SILENCE, self.fetch(address)).await {
-                Ok(Ok(list)) => self.take(list),
+        if self.address_changed.get() {
+            // Revisions of different addresses are not comparable: the current one may even exceed that of
+            // the new address.
+            match timeout(SILENCE_TIMEOUT, self.fetch(address)).await {
+                Ok(Ok(list)) => self.handle_list(list),
                 Ok(Err(error)) => return error,
                 Err(_) => return WatchError::Silent,
             }
@@ -198,14 +204,14 @@
         }
     }
 
-    /// Reads one watch to its end.
+    /// Opens a watch and reads it to its end.
     async fn run_watch(&self, address: SocketAddr) -> Result<(), WatchError> {
         let (mut sender, connection) = http1::handshake(TokioIo::new(self.connect(address).await?)).await?;
-        // The connection is driven here, so that nothing of it outlives the watch.
+        // The connection is driven here and not in a separate task, so that it ends with the watch.
         let lines = async {
             let since = self.revision.get();
             let request = request(address, &format!("?follow=1&since={since}"));
-            let response = timeout(self.patience.answer, sender.send_request(request)).await;
+            let response = timeout(self.timeouts.response, sender.send_request(request)).await;
             let response = response.map_err(|_| WatchError::Silent)??;
             if response.status() != StatusCode::OK {
                 return Err(WatchError::Status(response.status()));
@@ -213,53 +219,54 @@
             self.read_lists(response.into_body()).await
         };
         tokio::select! {
-            biased; // What has come is read before the end is noticed.
+            biased; // Reads all received data before the end of the connection is noticed.
             ended = lines => ended,
             ended = connection => Err(ended.map_or_else(WatchError::Http, |()| WatchError::Ended)),
         }
     }
 
-    /// Takes in what a watch brings, until its connection ends.
+    /// Handles the lists of a watch until its body ends.
     async fn read_lists(&self, mut body: Incoming) -> Result<(), WatchError> {
-        let mut objects = Objects::default();
-        let mut patience_ends = Instant::now() + SILENCE;
+        let mut splitter = ObjectSplitter::default();
+        let mut silence_deadline = Instant::now() + SILENCE_TIMEOUT;
         loop {
-            // A machine that vanishes leaves its connections open and silent: only the clock tells.
-            let frame = timeout_at(patience_ends, body.frame()).await.map_err(|_| WatchError::Silent)?;
+            // A crashed machine leaves its connections open and silent, which only a timeout detects.
+            let frame = timeout_at(silence_deadline, body.frame()).await.map_err(|_| WatchError::Silent)?;
             let Some(frame) = frame else { return Ok(()) };
             let Ok(data) = frame?.into_data() else { continue };
-            let was_within = objects.is_within_object();
-            let mut taken = false;
-            objects.push(&data);
-            while let Some(object) = objects.next_object()? {
-                // After a bad list the next may rest on what it said: a new watch starts from the last good one.
-                self.take(ServerList::parse(&object)?);
-                taken = true;
+            let was_within = splitter.is_within_object();
+            let mut received = false;
+            splitter.push(&data);
+            while let Some(object) = splitter.next_object()? {
+                // Lists after an invalid one may depend on it, so the watch ends and the next one starts from
+                // the last valid revision.
+                self.handle_list(ServerList::parse(&object)?);
+                received = true;
             }
-            // One that has begun has to come to its end in time, however its bytes trickle in.
-            if taken || !(was_within && objects.is_within_object()) {
-                patience_ends = Instant::now() + SILENCE;
+            // A partial object has to be completed in time; a trickle of bytes does not extend the deadline.
+            if received || !(was_within && splitter.is_within_object()) {
+                silence_deadline = Instant::now() + SILENCE_TIMEOUT;
             }
         }
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<TcpStream, WatchError> {
-        match timeout(self.patience.connect, TcpStream::connect(address)).await {
+        match timeout(self.timeouts.connect, TcpStream::connect(address)).await {
             Ok(stream) => stream.map_err(WatchError::Connect),
             Err(_) => Err(WatchError::Silent),
         }
     }
 
-    /// Asks for the whole list, once.
+    /// Fetches the complete list.
     async fn fetch(&self, address: SocketAddr) -> Result<ServerList, WatchError> {
         let (mut sender, connection) = http1::handshake(TokioIo::new(self.connect(address).await?)).await?;
         let list = async {
-            let response = timeout(self.patience.answer, sender.send_request(request(address, ""))).await;
+            let response = timeout(self.timeouts.response, sender.send_request(request(address, ""))).await;
             let response = response.map_err(|_| WatchError::Silent)??;
             if response.status() != StatusCode::OK {
                 return Err(WatchError::Status(response.status()));
             }
-            let body = Limited::new(response.into_body(), LARGEST_LIST).collect().await;
+            let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await;
             let list = ServerList::parse(&body.map_err(|e| WatchError::Unusable(e.to_string()))?.to_bytes())?;
             match list.complete {
                 true => Ok(list),
@@ -271,7 +278,7 @@
         tokio::select! {
             biased;
             list = list.as_mut() => list,
-            // The answer may end with its connection: what has come is still to be read.
+            // The end of the connection may delimit the response, whose received data still has to be read.
             ended = connection.as_mut() => match ended {
                 Ok(()) => list.await,
                 Err(error) => Err(error.into()),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which servers there are.
+//! The set of servers: lists, addresses and discovery.
 //!
-//! - [`list`]: a list of servers as discovery writes it.
-//! - [`framing`]: the objects in a stream of bytes.
-//! - [`Directory`]: turns lists into the decisions' terms and says what became of each server. No I/O.
-//! - [`Discovery`]: follows the platform's discovery and hands on what it says.
+//! - [`list`]: the format of a list of servers.
+//! - [`framing`]: splits a byte stream into JSON objects.
+//! - [`Directory`]: turns lists into entries for the engine and changes for connection pools. No I/O.
+//! - [`Discovery`]: watches the platform's discovery service.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -1,41 +1,41 @@
-//! A list of servers as the platform's discovery writes it: JSON.
+//! The JSON format in which the platform's discovery sends lists of servers.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Servers, all of them or those that have changed.
+/// A list of all servers, or of those that changed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServerList {
-    /// Version of the list.
+    /// Revision of the list.
     pub revision: u64,
-    /// Whether those not named are gone.
+    /// Whether the list is complete, so that servers missing from it are gone.
     pub complete: bool,
     /// The servers.
     pub members: Vec<Member>,
 }
 
-/// One server, as discovery describes it.
+/// A server's entry.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
-    /// Its name, the same at every node.
+    /// The server's name, the same on every node.
     pub id: String,
-    /// Where it listens. One that has left needs none.
+    /// The address where it listens. Optional for a server that has left.
     pub host_port: Option<SocketAddr>,
-    /// Its zone.
+    /// The name of its zone.
     #[serde(default)]
     pub locality: String,
-    /// Its machine kind.
+    /// The name of its machine kind.
     #[serde(default)]
     pub flavor: String,
-    /// Its cell.
+    /// The number of its cell.
     #[serde(default)]
     pub cell: u16,
-    /// What it takes.
+    /// Whether it accepts requests.
     pub phase: Phase,
-    /// Its weight.
+    /// Its weight; 1 if not given.
     #[serde(default = "one")]
     pub size: f64,
-    /// Its latest start in Unix time, in milliseconds; 0 for long ago.
+    /// Its latest start in Unix milliseconds; 0 means long ago.
     #[serde(default)]
     pub up_since_ms: u64,
 }
@@ -44,31 +44,31 @@
     1.0
 }
 
-/// What a server takes.
+/// Which requests a server accepts.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// New requests.
+    /// It accepts new requests.
     Active,
-    /// Nothing new.
+    /// It drains: no new requests.
     Leaving,
-    /// It is no more.
+    /// It is gone.
     Left,
 }
 
-/// Why a text is no list of servers.
+/// An error in a list of servers.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// It is not JSON of that form.
+    /// Not JSON of the expected form.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A server that is there has to be somewhere.
+    /// A server that has not left lacks an address.
     #[error("{0} has no host_port")]
     NoAddress(String),
 }
 
 impl ServerList {
-    /// Reads a list.
+    /// Parses a list.
     pub fn parse(text: &[u8]) -> Result<Self, ListError> {
         let list: ServerList = serde_json::from_slice(text)?;
         match list.members.iter().find(|m| m.host_port.is_none() && m.phase != Phase::Left) {
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,15 +1,17 @@
-//! The JSON settings of an instance, turned into [`finchvale::Settings`].
+//! Parses the JSON settings of an instance into [`finchvale::Settings`].
 //!
-//! Read and passed on: `balancers`, `me`, `prices.probe` and `prices.handshake`, `profiles` (with `runs_in` and `kinds_open`), `registry_mode`, `report`,
-//! `rules`, `tenants`, `over_share_worth`, `weights`, `worth_by`, `zone`, `zones`, and of `limits` the attempts, the
-//! permissions, the advice on waits, `conn_idle_ns` and `connect_timeout_ns`. The names of classes, tenants, zones,
-//! kinds and report values are kept beside the settings, for a node that meets them in messages.
+//! Used settings: `balancers`, `me`, `prices.probe` and `prices.handshake`, `profiles` (with `runs_in` and
+//! `kinds_open`), `registry_mode`, `report`, `rules`, `tenants`, `over_share_worth`, `weights`, `worth_by`,
+//! `zone`, `zones`, and of `limits` the number of attempts, the permissions, the advice on retry delays,
+//! `conn_idle_ns` and `connect_timeout_ns`. The names of classes, tenants, zones, kinds and report fields are
+//! kept separately, for nodes whose messages contain them.
 //!
-//! A price that is missing, negative or no number counts as none: a wrong price is no reason to turn a site down.
+//! A price that is missing, negative or not a number counts as zero: an invalid price is no reason to reject
+//! a site.
 //!
-//! Skipped, since no decision uses them yet: the other `prices`, `goal`, `clients`, `extra`, `tier`,
+//! Ignored settings, which no decision uses yet: the other `prices`, `goal`, `clients`, `extra`, `tier`,
 //! `tiers`, `tick_ns`, `limits.max_open`, `limits.streams_per_conn`, `limits.cpu_*`, `limits.peer_messages`,
-//! `rules.answer_slack_ns` (answers are given by the deadline itself) and the report value `errors_per_s`.
+//! `rules.answer_slack_ns` (answers are given by the deadline itself) and the report field `errors_per_s`.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -20,38 +22,38 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Why an instance's settings were turned down.
+/// An error in an instance's settings.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Not JSON, or a value of the wrong kind; names the place.
+    /// Invalid JSON, or a value of the wrong type.
     #[error("settings at `{path}`: {problem}")]
     Json {
-        /// Path of the offending key.
+        /// Path of the key with the error.
         path: String,
-        /// What is wrong there.
+        /// Description of the error.
         problem: String,
     },
 }
 
-/// A position in a load report and the figure found there.
+/// The meaning of a position in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Busy part of the cores.
+    /// Fraction of the cores that is busy.
     Utilization,
-    /// Requests served a second.
+    /// Requests served per second.
     Throughput,
     /// Requests waiting.
     Backlog,
-    /// Requests in hand.
+    /// Requests accepted and not yet answered.
     Outstanding,
-    /// Recent service time, milliseconds.
+    /// Recent service time in milliseconds.
     RecentMs,
-    /// A figure the balancer has no use for.
+    /// A value that the balancer does not use.
     Other,
 }
 
 impl ReportField {
-    /// Writes the figure found at this position into a report.
+    /// Stores the value found at this position in a report.
     pub fn store(self, value: f64, report: &mut LoadReport) {
         match self {
             ReportField::Utilization => report.busy = Some(value),
@@ -64,7 +66,7 @@
     }
 }
 
-/// What the settings' positions are called in messages.
+/// Names by position in the settings, as they appear in messages.
 #[derive(Debug, Default)]
 pub struct Names {
     /// Request classes.
@@ -75,18 +77,18 @@
     pub zones: Vec<String>,
     /// Machine kinds.
     pub kinds: Vec<String>,
-    /// Values of a load report.
+    /// Fields of a load report.
     pub fields: Vec<String>,
 }
 
-/// What an instance is started with.
+/// The parsed settings of an instance.
 #[derive(Debug)]
 pub struct Config {
-    /// For the balancer.
+    /// Settings of the balancer.
     pub settings: Settings,
-    /// For reading load reports.
+    /// Meaning of each position in a load report.
     pub fields: Vec<ReportField>,
-    /// For reading messages that name things.
+    /// Names that appear in messages.
     pub names: Names,
 }
 
@@ -118,7 +120,7 @@
     kinds: Vec<String>,
 }
 
-/// Any JSON is borne.
+/// Prices; any JSON value is accepted here, see [`price`].
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct PricesDoc {
@@ -126,7 +128,7 @@
     handshake: serde_json::Value,
 }
 
-/// A price in parts of a mean request's worth.
+/// Returns a price as a fraction of a mean request's worth; 0 if it is invalid.
 fn price(value: &serde_json::Value) -> f64 {
     value.as_f64().filter(|p| p.is_finite() && *p >= 0.0).unwrap_or(0.0)
 }
@@ -251,13 +253,13 @@
     1
 }
 
-/// Reads an instance's settings. Unknown keys are skipped; unknown words are errors.
+/// Parses an instance's settings. Unknown keys are ignored; unknown enum values are errors.
 pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
     let mut reader = serde_json::Deserializer::from_slice(text);
     let doc: Doc = serde_path_to_error::deserialize(&mut reader)
         .map_err(|e| ConfigError::Json { path: e.path().to_string(), problem: e.inner().to_string() })?;
     reader.end().map_err(|e| ConfigError::Json { path: ".".into(), problem: e.to_string() })?;
-    let fields: Vec<ReportField> = doc.report.fields.iter().map(|name| field(name)).collect();
+    let fields: Vec<ReportField> = doc.report.fields.iter().map(|name| report_field(name)).collect();
     let ns = Duration::from_nanos;
     let classes = doc.profiles.iter().map(|p| Class {
         effect: match p.effect {
@@ -325,7 +327,7 @@
     Ok(Config { settings, fields, names })
 }
 
-fn field(name: &str) -> ReportField {
+fn report_field(name: &str) -> ReportField {
     match name {
         "utilization" => ReportField::Utilization,
         "throughput" => ReportField::Throughput,
--- a/crates/site/tests/names.rs
+++ b/crates/site/tests/names.rs
@@ -1,4 +1,4 @@
-//! The names that the settings give, by which messages refer to positions.
+//! Parsing of names and prices in the settings.
 
 use birchswitch_site::{parse, ReportField};
 
@@ -13,7 +13,7 @@
         "report": {"fields": ["backlog", "other"], "how": "pull"},
         "rules": {"cold_from": 0.1, "drain_grace_ns": 1, "fall_multiple": 3.0, "overload_for_ns": 1, "warm_up_ns": 1}
     }"#;
-    let config = parse(text).expect("good settings");
+    let config = parse(text).expect("valid settings");
     assert_eq!(config.names.classes, ["buy", "top"]);
     assert_eq!(config.names.tenants, ["a", "b"]);
     assert_eq!(config.names.zones, ["x", "y"]);
@@ -22,9 +22,10 @@
     assert_eq!(config.fields, [ReportField::Backlog, ReportField::Other]);
 }
 
-/// A price says what a site counts, never what a node may: one that makes no sense counts as none.
+/// An invalid price counts as zero and must not reject the settings: prices only weigh costs, they permit
+/// nothing.
 #[test]
-fn prices_that_make_no_sense_count_as_none() {
+fn invalid_prices_count_as_zero() {
     let text = |prices: &str| {
         format!(
             r#"{{"balancers":3,"me":2,"prices":{prices},"profiles":[{{"promise_ns":1,"deadline_ns":2,"effect":"free","importance":1}}],
