--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -274,8 +274,8 @@
     }
 
     /// Sets this node's position among the live nodes ([`Event::RingPosition`]).
-    pub fn set_ring_position(&mut self, now: Time, start: f64, nodes: u32) {
-        self.handle_event(now, Event::RingPosition { start, nodes });
+    pub fn set_ring_position(&mut self, now: Time, ring_start: f64, nodes: u32) {
+        self.handle_event(now, Event::RingPosition { start: ring_start, nodes });
     }
 
     /// Handles all events scheduled up to `now`.
