--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -155,8 +155,8 @@
         Ok(id)
     }
 
-    /// Replaces the deadlines of an open request, for those that were unknown when it arrived. Attempts in
-    /// flight are cut to `deadline`; an attempt with an earlier deadline keeps it.
+    /// Replaces the deadlines of an open request, for requests whose deadlines were unknown when they arrived.
+    /// Attempts in flight are cut to `deadline`; an attempt with an earlier deadline keeps it.
     pub fn set_deadlines(&mut self, request: RequestId, deadline: Time, answer_deadline: Time) {
         let Some(entry) = self.requests.get_mut(&request).filter(|e| e.is_open()) else { return };
         let answer_deadline = answer_deadline.max(deadline);
@@ -226,8 +226,8 @@
     }
 
     /// Records the end of an attempt. Has no effect on attempts that were cancelled or timed out before.
-    pub fn attempt_ended(&mut self, now: Time, attempt: AttemptId, ended: AttemptResult<A>) {
-        let AttemptResult { outcome, report, answer } = ended;
+    pub fn attempt_ended(&mut self, now: Time, attempt: AttemptId, result: AttemptResult<A>) {
+        let AttemptResult { outcome, report, answer } = result;
         if let Some(answer) = answer.filter(|_| self.is_in_flight(attempt)) {
             // The first answer closes the request; the answer of a second copy is dropped.
             if self.close(attempt.request) {
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Probes a ready server without a request of the policy, which receives the result all the same.
+    /// Probes a ready server on behalf of the host. The policy receives the result like that of its own probes.
     pub fn probe_server(&mut self, now: Time, server: ServerId) {
         if self.servers.get(&server).is_some_and(|s| s.state == ServerState::Ready) {
             self.start_probe(now, server);
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -142,8 +142,8 @@
 }
 
 impl<D: Policy> Harness<D> {
-    fn new(decide: D, second_copies: bool) -> Self {
-        let mut engine = Engine::new(decide, &settings(second_copies));
+    fn new(policy: D, second_copies: bool) -> Self {
+        let mut engine = Engine::new(policy, &settings(second_copies));
         engine.report_completion();
         let (now, states) = (Time(1_000_000_000), BTreeMap::new());
         let (pending, probes, history) = (Vec::new(), Vec::new(), BTreeMap::new());
@@ -159,7 +159,7 @@
         self.drain();
     }
 
-    fn arrive(&mut self, class: u8, name: &[u8]) -> Result<RequestId, DuplicateRequest> {
+    fn arrive(&mut self, class: u8, external_id: &[u8]) -> Result<RequestId, DuplicateRequest> {
         let (deadline, answer_deadline) = (self.now + 100 * MS, self.now + 105 * MS);
         let incoming = Incoming {
             body_complete: true,
@@ -168,7 +168,7 @@
             work: None,
             deadline,
             answer_deadline,
-            external_id: name.into(),
+            external_id: external_id.into(),
             request: 7,
         };
         let id = self.engine.submit(self.now, incoming)?;
--- a/crates/host/src/handles.rs
+++ b/crates/host/src/handles.rs
@@ -47,8 +47,8 @@
     fn drop(&mut self) {
         // Without an answer so far, the client has disconnected.
         let Some(host) = self.host.upgrade() else { return };
-        let owed = host.replies.borrow_mut().remove(&self.id);
-        if owed.is_some() {
+        let reply = host.replies.borrow_mut().remove(&self.id);
+        if reply.is_some() {
             host.figures.outstanding.dec();
             host.with_engine(|engine, now| engine.client_disconnected(now, self.id));
         }
@@ -100,11 +100,11 @@
     }
 
     /// Reports the end of the attempt.
-    pub fn finish(self, ended: AttemptResult<U::Answer>) {
+    pub fn finish(self, result: AttemptResult<U::Answer>) {
         let Some(host) = self.host.upgrade() else { return };
         host.attempts.borrow_mut().remove(&self.attempt);
-        host.record_outcome(self.server, ended.outcome);
-        host.with_engine(|engine, now| engine.attempt_ended(now, self.attempt, ended));
+        host.record_outcome(self.server, result.outcome);
+        host.with_engine(|engine, now| engine.attempt_ended(now, self.attempt, result));
     }
 }
 
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -100,7 +100,7 @@
     #[serde(default)]
     prices: PricesDoc,
     profiles: Vec<Profile>,
-    registry_mode: Mode,
+    registry_mode: RegistryMode,
     limits: Limits,
     report: Report,
     rules: RulesDoc,
@@ -135,7 +135,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Mode {
+enum RegistryMode {
     Automatic,
     Subscribe,
 }
@@ -168,7 +168,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
-enum Scope {
+enum KeyScopeDoc {
     #[default]
     All,
     Zone,
@@ -177,7 +177,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum How {
+enum ReportDelivery {
     Piggyback,
     Pull,
     Silent,
@@ -191,7 +191,7 @@
     deadline_ns: u64,
     effect: EffectDoc,
     #[serde(default)]
-    key_scope: Scope,
+    key_scope: KeyScopeDoc,
     #[serde(default)]
     repeat_window_ns: u64,
     importance: f64,
@@ -228,7 +228,7 @@
 struct Report {
     #[serde(default)]
     fields: Vec<String>,
-    how: How,
+    how: ReportDelivery,
 }
 
 #[derive(Deserialize)]
@@ -267,9 +267,9 @@
             EffectDoc::SingleShot => Effect::Unsafe,
             EffectDoc::Guarded => Effect::Keyed {
                 scope: match p.key_scope {
-                    Scope::All => KeyScope::All,
-                    Scope::Zone => KeyScope::Zone,
-                    Scope::Cell => KeyScope::Cell,
+                    KeyScopeDoc::All => KeyScope::All,
+                    KeyScopeDoc::Zone => KeyScope::Zone,
+                    KeyScopeDoc::Cell => KeyScope::Cell,
                 },
                 window: ns(p.repeat_window_ns),
             },
@@ -295,12 +295,12 @@
         worth_by_work: matches!(doc.worth_by, WorthBy::Work),
         use_listed_weights: !matches!(doc.weights, Weights::Silent),
         reports: match doc.report.how {
-            How::Piggyback => Reports::WithAnswers,
-            How::Pull => Reports::ByProbe,
-            How::Silent => Reports::Absent,
+            ReportDelivery::Piggyback => Reports::WithAnswers,
+            ReportDelivery::Pull => Reports::ByProbe,
+            ReportDelivery::Silent => Reports::Absent,
         },
         reports_rate: fields.contains(&ReportField::Utilization) && fields.contains(&ReportField::Throughput),
-        subscribe_to_lists: matches!(doc.registry_mode, Mode::Subscribe),
+        subscribe_to_lists: matches!(doc.registry_mode, RegistryMode::Subscribe),
         max_attempts: doc.limits.try_limit,
         may_cancel: doc.limits.may_cancel,
         may_probe: doc.limits.may_probe,
