--- a/crates/host/src/commands.rs
+++ b/crates/host/src/commands.rs
@@ -42,10 +42,10 @@
             }
             Command::Answer { request, answer } => {
                 if let Some((class, reply)) = self.replies.borrow_mut().remove(&request) {
-                    self.figures.outstanding.dec();
-                    self.figures.record_result(usize::from(class.0), disposition(&answer));
+                    self.metrics.outstanding.dec();
+                    self.metrics.record_result(usize::from(class.0), disposition(&answer));
                     if matches!(answer, Answer::Refused(_)) {
-                        self.figures.set_refusals(self.engine.borrow().refusals());
+                        self.metrics.set_refusals(self.engine.borrow().refusals());
                     }
                     let _ = reply.send(answer); // Fails if the client has just disconnected.
                 }
@@ -55,7 +55,7 @@
                     let now = self.now();
                     return self.engine.borrow_mut().probe_ended(now, probe, Outcome::Unreachable, None);
                 }
-                self.figures.probes.inc();
+                self.metrics.probes.inc();
                 let handle = ProbeHandle { host: self.this.clone(), origin: ProbeOrigin::Policy(probe) };
                 let task = spawn_local(self.upstream.clone().probe(server, handle));
                 self.probes.borrow_mut().insert(probe, (server, task.abort_handle()));
--- a/crates/host/src/handles.rs
+++ b/crates/host/src/handles.rs
@@ -49,7 +49,7 @@
         let Some(host) = self.host.upgrade() else { return };
         let reply = host.replies.borrow_mut().remove(&self.id);
         if reply.is_some() {
-            host.figures.outstanding.dec();
+            host.metrics.outstanding.dec();
             host.with_engine(|engine, now| engine.client_disconnected(now, self.id));
         }
     }
@@ -84,7 +84,7 @@
 
     /// Counts the attempt as sent. To be called when its last byte has been written.
     pub fn written(&self) {
-        self.host.upgrade().iter().for_each(|host| host.figures.forwards.inc());
+        self.host.upgrade().iter().for_each(|host| host.metrics.forwards.inc());
     }
 
     /// Returns the equivalent of [`AttemptHandle::written`] for a request whose body was incomplete when it
@@ -93,7 +93,7 @@
         let (host, attempt) = (self.host.clone(), self.attempt);
         move || {
             if let Some(host) = host.upgrade() {
-                host.figures.forwards.inc();
+                host.metrics.forwards.inc();
                 host.with_engine(|engine, now| engine.request_written(now, attempt));
             }
         }
--- a/crates/host/src/health.rs
+++ b/crates/host/src/health.rs
@@ -124,7 +124,7 @@
     pub async fn probe_for_others(&self, name: u64, timeout: Duration) -> Option<bool> {
         let server = self.silence.borrow().as_ref()?.server_id(name)?;
         let (sender, receiver) = oneshot::channel();
-        self.figures.probes.inc();
+        self.metrics.probes.inc();
         let handle = ProbeHandle { host: self.this.clone(), origin: ProbeOrigin::Peers(sender) };
         let probe = tokio::time::timeout(timeout, self.upstream.clone().probe(server, handle));
         match probe.await {
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -58,8 +58,8 @@
     /// Applies changes of servers.
     fn update_servers(&self, targets: &[Target]);
 
-    /// Sets the figures in which new connections are counted. Called once, at the start.
-    fn set_figures(&self, figures: Rc<Metrics>);
+    /// Sets the metrics in which new connections are counted. Called once, at the start.
+    fn set_metrics(&self, metrics: Rc<Metrics>);
 
     /// Makes one attempt: gets a connection, calls [`AttemptHandle::permit_send`] immediately before the
     /// first byte, sends the request once, and reports the end to [`AttemptHandle::finish`]. It may continue
@@ -90,7 +90,7 @@
     engine: RefCell<Engine<Balancer, U::Request, U::Answer>>,
     directory: RefCell<Directory>,
     replies: RefCell<FxHashMap<RequestId, PendingReply<U::Answer>>>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     attempts: RefCell<FxHashMap<AttemptId, AbortHandle>>,
     probes: RefCell<FxHashMap<ProbeId, (ServerId, AbortHandle)>>,
     /// Present if one node of the zone probes unresponsive servers for all.
@@ -124,9 +124,9 @@
         seed: u64,
         directory: Directory,
         upstream: Rc<U>,
-        figures: Rc<Metrics>,
+        metrics: Rc<Metrics>,
     ) -> Result<Rc<Self>, SettingsError> {
-        upstream.set_figures(figures.clone());
+        upstream.set_metrics(metrics.clone());
         let clock = Clock::new();
         let balancer = Balancer::new(settings.clone(), seed, clock.time(Instant::now()))?;
         let host = Rc::new_cyclic(|this: &Weak<Self>| Host {
@@ -137,7 +137,7 @@
             engine: RefCell::new(Engine::new(balancer, &settings)),
             directory: RefCell::new(directory),
             replies: RefCell::default(),
-            figures,
+            metrics,
             attempts: RefCell::default(),
             probes: RefCell::default(),
             silence: RefCell::default(),
@@ -216,9 +216,9 @@
         self.shutdown_deadline.get().map_or(at, |end| at.min(end))
     }
 
-    /// Returns the node's figures.
-    pub fn figures(&self) -> &Metrics {
-        &self.figures
+    /// Returns the node's metrics.
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     fn now(&self) -> Time {
--- a/crates/host/src/lists.rs
+++ b/crates/host/src/lists.rs
@@ -14,7 +14,7 @@
 
     /// Applies a list from discovery.
     pub fn apply_list(&self, list: &ServerList) {
-        self.figures.lists.inc();
+        self.metrics.lists.inc();
         let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
         let first = !self.ready();
         let entries = self.apply(list);
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -82,19 +82,19 @@
     limits: Limits,
     slots: Arc<Semaphore>,
     servers: RefCell<FxHashMap<ServerId, Rc<Server<C>>>>,
-    figures: OnceCell<Rc<Metrics>>,
+    metrics: OnceCell<Rc<Metrics>>,
 }
 
 impl<C: PooledConnection> Pool<C> {
     /// Creates a pool without servers.
     pub fn new(limits: Limits) -> Self {
         let slots = Arc::new(Semaphore::new(limits.connections));
-        Pool { slots, limits, servers: RefCell::default(), figures: OnceCell::new() }
+        Pool { slots, limits, servers: RefCell::default(), metrics: OnceCell::new() }
     }
 
-    /// Sets the figures in which new connections are counted. Only the first call has an effect.
-    pub fn set_figures(&self, figures: Rc<Metrics>) {
-        let _ = self.figures.set(figures);
+    /// Sets the metrics in which new connections are counted. Only the first call has an effect.
+    pub fn set_metrics(&self, metrics: Rc<Metrics>) {
+        let _ = self.metrics.set(metrics);
     }
 
     /// Returns the server with this id, if it is listed.
@@ -157,7 +157,7 @@
                 Ok(Err(error)) if is_out_of_descriptors(&error) => return Err(Outcome::NotSent),
                 _ => return Err(Outcome::Unreachable),
             };
-        self.figures.get().iter().for_each(|f| f.handshakes.inc());
+        self.metrics.get().iter().for_each(|f| f.handshakes.inc());
         // The connection leads to the server's previous address or process.
         if generation != server.generation.get() {
             return Err(Outcome::NotSent);
--- a/crates/host/src/requests.rs
+++ b/crates/host/src/requests.rs
@@ -23,7 +23,7 @@
     pub key: Option<u64>,
 }
 
-/// The class of a request, for the figures, and the channel for its answer.
+/// The class of a request, for the metrics, and the channel for its answer.
 pub(crate) type PendingReply<A> = (ClassId, oneshot::Sender<Answer<A>>);
 
 impl<U: Upstream> Host<U> {
@@ -58,7 +58,7 @@
             }
         };
         self.replies.borrow_mut().insert(id, (class, reply));
-        self.figures.outstanding.inc();
+        self.metrics.outstanding.inc();
         self.run_commands();
         Ok(PendingRequest { host: self.this.clone(), id, answer, rejection_message: None })
     }
@@ -72,7 +72,7 @@
     fn reject(&self, class: ClassId, rejection: Rejection) -> PendingRequest<U> {
         let (reply, answer) = oneshot::channel();
         let _ = reply.send(Answer::Refused(self.limit_retry_after(rejection)));
-        self.figures.record_result(usize::from(class.0), Disposition::Declined);
+        self.metrics.record_result(usize::from(class.0), Disposition::Declined);
         PendingRequest {
             host: self.this.clone(),
             id: NO_REQUEST,
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -224,8 +224,8 @@
         self.pool.update_servers(targets);
     }
 
-    fn set_figures(&self, metrics: Rc<Metrics>) {
-        self.pool.set_figures(metrics);
+    fn set_metrics(&self, metrics: Rc<Metrics>) {
+        self.pool.set_metrics(metrics);
     }
 
     async fn attempt(
--- a/crates/thrift-proxy/src/upstream.rs
+++ b/crates/thrift-proxy/src/upstream.rs
@@ -189,8 +189,8 @@
         self.pool.update_servers(targets);
     }
 
-    fn set_figures(&self, metrics: Rc<Metrics>) {
-        self.pool.set_figures(metrics);
+    fn set_metrics(&self, metrics: Rc<Metrics>) {
+        self.pool.set_metrics(metrics);
     }
 
     async fn attempt(self: Rc<Self>, server: ServerId, call: Rc<Call>, ticket: AttemptHandle<Self>) {
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -263,12 +263,12 @@
     let config = match Config::from_env() {
         Ok(config) => config,
         Err(error) => {
-            host.figures().reload_failed.inc();
+            host.metrics().reload_failed.inc();
             host.log(format_args!("the configuration stays as it is: {error}"));
             return false;
         }
     };
-    host.figures().reloaded.inc();
+    host.metrics().reloaded.inc();
     host.log(format_args!("configuration read again"));
     let Some(address) = config.discovery_in_file else { return false };
     let moved = discovery.set_address(address);
