--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -1,4 +1,4 @@
-//! What goes over a connection once both have greeted: frames with their length before them (`tokio_util`), in postcard's encoding.
+//! The frames of a connection after its handshake: length-delimited (`tokio_util`), in postcard's encoding.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::SinkExt;
@@ -8,60 +8,60 @@
 use tokio::time::timeout;
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Most bytes of a frame.
+/// Largest size of a frame.
 pub const MAX_FRAME_BYTES: usize = 256 << 10;
-/// For a frame to be taken by the other side's socket.
-const WRITE: Duration = Duration::from_secs(2);
+/// Most time for a frame to be written.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One frame.
+/// One frame. The order of the variants and fields is part of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Frame {
-    /// Nothing to say.
-    Beat,
-    /// A question, which an [`Frame::Answer`] of the same number follows.
-    Ask {
-        /// Counted by whoever asks.
+    /// Shows that the sender is alive.
+    Heartbeat,
+    /// A request. A [`Frame::Response`] of the same number answers it.
+    Request {
+        /// Assigned by the sender of the request.
         number: u64,
-        /// Which part serves it.
+        /// Selects the handler.
         lane: u8,
-        /// What is asked.
+        /// The payload.
         bytes: Bytes,
     },
-    /// The answer; none: nobody serves that here, or not now.
-    Answer {
-        /// The question's.
+    /// A response.
+    Response {
+        /// The request's number.
         number: u64,
-        /// What is answered.
+        /// The payload. `None`: no handler serves the lane, or not now.
         bytes: Option<Bytes>,
     },
-    /// A word that takes the place of the last one of its topic.
-    Tell {
-        /// Which part takes it.
+    /// A message that supersedes the last one of its topic.
+    Publish {
+        /// Selects the handler.
         topic: u8,
-        /// What is told.
+        /// The payload.
         bytes: Bytes,
     },
 }
 
-/// Why a connection is over.
+/// Why a connection ended.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum Ended {
+pub(crate) enum Disconnect {
     /// The other side closed it.
     #[error("closed")]
     Closed,
-    /// It broke, or a frame was longer than any may be.
+    /// An I/O error, or a frame larger than [`MAX_FRAME_BYTES`].
     #[error("{0}")]
-    Broken(#[from] std::io::Error),
-    /// A frame makes no sense.
+    Io(#[from] std::io::Error),
+    /// A frame could not be decoded.
     #[error("a frame of {0} bytes makes no sense")]
-    Senseless(usize),
-    /// Nothing whole came for too long.
+    Malformed(usize),
+    /// No complete frame arrived for too long.
     #[error("silent")]
     Silent,
-    /// What was to be sent was not taken in time.
+    /// The other side did not read what was sent in time.
     #[error("takes nothing")]
-    Stuck,
-    /// Nothing was to be said for long.
+    WriteTimeout,
+    /// Only heartbeats were exchanged for long.
     #[error("idle")]
     Idle,
 }
@@ -74,20 +74,20 @@
 }
 
 impl Frame {
-    pub(crate) fn decode(bytes: &BytesMut) -> Result<Self, Ended> {
-        postcard::from_bytes(bytes).map_err(|_| Ended::Senseless(bytes.len()))
+    pub(crate) fn decode(bytes: &BytesMut) -> Result<Self, Disconnect> {
+        postcard::from_bytes(bytes).map_err(|_| Disconnect::Malformed(bytes.len()))
     }
 }
 
-/// Writes something whole, or ends the connection.
+/// Writes a frame. A partial write ends the connection.
 pub(crate) async fn write<W: AsyncWrite + Unpin>(
     writer: &mut Writer<W>,
-    what: &impl Serialize,
-) -> Result<(), Ended> {
-    // Nothing that is written fails to encode but for want of memory.
-    let bytes = postcard::to_stdvec(what).map_err(|_| Ended::Senseless(0))?;
-    match timeout(WRITE, writer.send(Bytes::from(bytes))).await {
-        Ok(sent) => sent.map_err(Ended::Broken),
-        Err(_) => Err(Ended::Stuck),
+    value: &impl Serialize,
+) -> Result<(), Disconnect> {
+    // Encoding these types fails only for lack of memory.
+    let bytes = postcard::to_stdvec(value).map_err(|_| Disconnect::Malformed(0))?;
+    match timeout(WRITE_TIMEOUT, writer.send(Bytes::from(bytes))).await {
+        Ok(sent) => sent.map_err(Disconnect::Io),
+        Err(_) => Err(Disconnect::WriteTimeout),
     }
 }
--- a/crates/mesh/src/leased_service.rs
+++ b/crates/mesh/src/leased_service.rs
@@ -1,4 +1,5 @@
-//! Serving a task of the whole fleet: while this node holds its lease, whoever asks is answered by one sitting for each token.
+//! Serves a task of which the fleet runs one instance: while this node holds the task's lease, requests go to a handler that is
+//! created anew for each fencing token.
 
 use crate::{Clock, Mesh, ProcessId, ResponseFuture, Time};
 use arc_swap::ArcSwap;
@@ -7,75 +8,79 @@
 use serde::Serialize;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A time as the one that runs a task.
+/// A time during which this node runs a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeadershipTerm {
-    /// The lease's.
+    /// The lease's fencing token.
     pub token: u64,
-    /// Nothing is answered from then on, by the node's clock.
+    /// End of the term by the node's clock: no request is served from then on.
     pub until: Time,
 }
 
-/// What whoever runs a task does under one token, without I/O.
+/// Handles a task's requests under one token, without I/O.
 pub trait TermHandler: Send + 'static {
-    /// What it is asked.
+    /// A request to the task.
     type Request: DeserializeOwned;
-    /// What it answers.
+    /// The task's response.
     type Response: Serialize;
 
-    /// The highest token that whoever asks has heard; none: the question makes no sense.
-    fn highest_token(question: &Self::Request) -> Option<u64>;
+    /// The highest token that the sender has seen. `None`: the request is invalid.
+    fn highest_token(request: &Self::Request) -> Option<u64>;
 
-    /// Answers one.
-    fn handle(&mut self, now: Time, who: ProcessId, question: Self::Request) -> Self::Response;
+    /// Handles a request from a process.
+    fn handle(&mut self, now: Time, process: ProcessId, request: Self::Request) -> Self::Response;
 }
 
-/// Begins a sitting under a token, at a time.
-type Begins<S> = dyn Fn(u64, Time) -> S + Send + Sync;
+/// Creates the handler for a token, at the time when its first request arrives.
+type NewHandler<S> = dyn Fn(u64, Time) -> S + Send + Sync;
 
-/// Whoever may run a task. The node's thread says when it does, and never waits for what is answered.
+/// A task that this node may run. The node's thread sets its term without waiting for requests in progress.
 pub struct LeasedService<S> {
     clock: Clock,
-    begins: Box<Begins<S>>,
-    reign: ArcSwap<Option<LeadershipTerm>>,
-    sitting: Mutex<Option<(u64, S)>>,
+    new_handler: Box<NewHandler<S>>,
+    term: ArcSwap<Option<LeadershipTerm>>,
+    handler: Mutex<Option<(u64, S)>>,
 }
 
 impl<S: TermHandler> LeasedService<S> {
-    /// Serves on a lane from now on, whenever its node runs the task.
+    /// Serves a lane of the mesh whenever the node runs the task.
     pub fn serve(
         mesh: &Mesh,
         lane: u8,
-        begins: impl Fn(u64, Time) -> S + Send + Sync + 'static,
+        new_handler: impl Fn(u64, Time) -> S + Send + Sync + 'static,
     ) -> Arc<Self> {
-        let (clock, begins) = (mesh.clock(), Box::new(begins));
-        let seat =
-            Arc::new(LeasedService { clock, begins, reign: ArcSwap::default(), sitting: Mutex::new(None) });
-        let serves = Arc::downgrade(&seat);
-        let serve = move |who: ProcessId, bytes: Bytes| {
-            let answer = serves.upgrade().and_then(|seat| seat.answer(who, &bytes));
-            Box::pin(std::future::ready(answer)) as ResponseFuture
+        let (clock, new_handler) = (mesh.clock(), Box::new(new_handler));
+        let service = Arc::new(LeasedService {
+            clock,
+            new_handler,
+            term: ArcSwap::default(),
+            handler: Mutex::new(None),
+        });
+        let weak = Arc::downgrade(&service);
+        let handle = move |process: ProcessId, bytes: Bytes| {
+            let response = weak.upgrade().and_then(|service| service.handle(process, &bytes));
+            Box::pin(std::future::ready(response)) as ResponseFuture
         };
-        mesh.serve(lane, Arc::new(serve));
-        seat
+        mesh.serve(lane, Arc::new(handle));
+        service
     }
 
-    /// It runs the task until then, or does not.
-    pub fn set_term(&self, reign: Option<LeadershipTerm>) {
-        self.reign.store(Arc::new(reign));
+    /// Sets the term during which the node runs the task. `None`: it does not run it.
+    pub fn set_term(&self, term: Option<LeadershipTerm>) {
+        self.term.store(Arc::new(term));
     }
 
-    fn answer(&self, who: ProcessId, bytes: &[u8]) -> Option<Bytes> {
+    fn handle(&self, process: ProcessId, bytes: &[u8]) -> Option<Bytes> {
         let now = self.clock.now();
-        let reign = (**self.reign.load()).filter(|r| now < r.until)?;
-        let question: S::Request = postcard::from_bytes(bytes).ok()?;
-        // Beyond: somebody has heard a later one.
-        S::highest_token(&question).filter(|heard| *heard <= reign.token)?;
-        let mut sitting = self.sitting.lock().unwrap_or_else(PoisonError::into_inner);
-        if sitting.as_ref().is_none_or(|s| s.0 != reign.token) {
-            *sitting = Some((reign.token, (self.begins)(reign.token, now)));
+        let term = (**self.term.load()).filter(|term| now < term.until)?;
+        let request: S::Request = postcard::from_bytes(bytes).ok()?;
+        // A sender that has seen a higher token proves that a later runner exists.
+        S::highest_token(&request).filter(|token| *token <= term.token)?;
+        let mut handler = self.handler.lock().unwrap_or_else(PoisonError::into_inner);
+        if handler.as_ref().is_none_or(|s| s.0 != term.token) {
+            *handler = Some((term.token, (self.new_handler)(term.token, now)));
         }
-        let word = sitting.as_mut()?.1.handle(now, who, question);
-        Some(postcard::to_stdvec(&word).ok()?.into())
+        let response = handler.as_mut()?.1.handle(now, process, request);
+        Some(postcard::to_stdvec(&response).ok()?.into())
     }
 }
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,32 +1,33 @@
-//! TCP between the nodes of a fleet: who is asked answers, who is told something newer forgets what was older.
+//! TCP messaging between the nodes of a fleet: requests with responses, and topics of which only the latest message counts.
 //!
 //! ```text
-//!   parts      ask / tell / serve ............................ Mesh (mesh.rs)
-//!   peers      one task each: what waits for it, its one connection ... line/{mod,reach,talk,queue}.rs
-//!   sockets    listen.rs takes, line/reach.rs dials; greeting.rs, frame.rs say what goes over them
+//!   API        request / publish / serve / subscribe ......... Mesh (mesh.rs)
+//!   peers      one task each, with its queue and its one connection ... peer/{mod,connect,connection,queue}.rs
+//!   sockets    listen.rs accepts, peer/connect.rs dials; handshake.rs and frame.rs define the protocol
 //! ```
 //!
-//! It claims, and `tests.rs` and the node's tests with processes check:
+//! Guarantees, which `tests.rs` and the node's tests with processes check:
 //!
-//! - **One connection a pair**, also when both dial at once: that of the lesser member stands.
-//! - **A peer holds up its own task alone**, whatever it does: it reads a byte a second, stops in the middle of a frame, stands still.
-//! - **Nothing is dropped in silence but what is replaced anyway**: a newer word of a topic takes the older one's place, and whoever asks is
-//!   told by his deadline that no answer came. A question may be heard twice when a connection broke: whoever serves it bears that.
-//! - **What a peer may cost is bounded**: [`MAX_QUEUED_REQUESTS`] questions, [`MAX_TOPICS`] words, two frames of [`MAX_FRAME_BYTES`] bytes and one descriptor.
+//! - **One connection per pair of nodes**, also when both dial at once: the one dialed by the member with the lower id is kept.
+//! - **A peer delays only its own task**, whatever it does: reading a byte a second, stopping in the middle of a frame, or hanging.
+//! - **Nothing is lost silently except what is superseded**: a newer message of a topic replaces an older one, and a request without a
+//!   response fails at its deadline. A request may be delivered twice if its connection broke, so handlers must be idempotent.
+//! - **A peer's cost is bounded**: [`MAX_QUEUED_REQUESTS`] requests waiting to be sent and as many waiting for their responses,
+//!   [`MAX_TOPICS`] messages, two frames of [`MAX_FRAME_BYTES`] bytes and one file descriptor.
 //!
-//! It knows nothing of what it carries. Times are those of [`Clock`].
+//! Payloads are opaque bytes. Times are those of [`Clock`].
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 mod clock;
 mod frame;
-mod greeting;
+mod handshake;
 mod leased_service;
-mod line;
 mod listen;
 mod membership;
 mod mesh;
+mod peer;
 mod reports;
 mod settings;
 #[cfg(test)]
@@ -35,10 +36,10 @@
 pub use clock::{Clock, Time};
 pub use frame::MAX_FRAME_BYTES;
 pub use leased_service::{LeadershipTerm, LeasedService, TermHandler};
-pub use line::queue::{MAX_QUEUED_REQUESTS, MAX_TOPICS};
 pub use membership::{Member, MembershipView, ProcessId};
 pub use mesh::{
     Counters, Identity, Mesh, MeshError, RequestError, RequestHandler, ResponseFuture, TopicHandler,
 };
+pub use peer::queue::{MAX_QUEUED_REQUESTS, MAX_TOPICS};
 pub use reports::{report_periodically, ReportSettings, ReportStep};
 pub use settings::{MeshSettings, MeshTable};
--- a/crates/mesh/src/listen.rs
+++ b/crates/mesh/src/listen.rs
@@ -1,42 +1,46 @@
-//! Takes connections: one short task each until it has greeted, then it is its peer's.
+//! Accepts connections. Each has a short task for its handshake, and is then handed to its peer's task.
 
-use crate::greeting::{greet, Unfit};
+use crate::handshake::{handshake, ConnectError};
 use crate::mesh::Inner;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// Connections that have not greeted, at a time.
-const STRANGERS: usize = 64;
-/// A failed `accept` is not tried again at once.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Most connections that are in their handshake at a time.
+const MAX_HANDSHAKES: usize = 64;
+/// Wait after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Takes connections for good.
+/// Accepts connections until the mesh stops.
 pub(crate) async fn listen(mesh: Arc<Inner>, listener: TcpListener) {
-    let strangers = Arc::new(Semaphore::new(STRANGERS));
+    let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
     loop {
-        // Whoever greets late holds up those beyond so many, and for no longer than a greeting may take.
-        let Ok(stranger) = strangers.clone().acquire_owned().await else { return };
+        // Slow handshakes delay only connections beyond the limit, and for no longer than the handshake's timeout.
+        let Ok(in_handshake) = handshakes.clone().acquire_owned().await else { return };
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(_) => {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let mesh = mesh.clone();
         tokio::spawn(async move {
-            let taken = async {
-                let place = mesh.places.clone().try_acquire_owned().map_err(|_| Unfit::Full)?;
-                greet(stream, &mesh.greeting, false, place).await
+            let accepted = async {
+                let permit = mesh
+                    .connection_permits
+                    .clone()
+                    .try_acquire_owned()
+                    .map_err(|_| ConnectError::TooManyConnections)?;
+                handshake(stream, &mesh.hello, false, permit).await
             };
-            match taken.await {
+            match accepted.await {
                 Ok(connection) => {
-                    drop(stranger);
-                    let line = Inner::line(&mesh, connection.who.id);
-                    // A peer's task that is behind with connections wants none of an old one's.
-                    let _ = line.came.try_send(connection);
+                    drop(in_handshake);
+                    let peer = Inner::peer(&mesh, connection.process.id);
+                    // Dropped if the peer's task already has several connections to look at.
+                    let _ = peer.incoming.try_send(connection);
                 }
                 Err(why) => tracing::info!(target: "mesh", kind = "turned_away", why = %why),
             }
--- a/crates/mesh/src/membership.rs
+++ b/crates/mesh/src/membership.rs
@@ -1,16 +1,16 @@
-//! Who the fleet's nodes are, as membership last told: a snapshot that the node's thread makes and tasks read.
+//! A snapshot of the cluster's membership, written by the node's thread and read by the mesh's tasks.
 
 use birchswitch_cluster::{Generation, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One process under a name.
+/// A process: a member, and which of its successive processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
-    /// Its name's hash.
+    /// The member's id: the hash of its name.
     pub id: MemberId,
-    /// Which process.
+    /// Tells the process from earlier ones of the same member.
     pub generation: Generation,
 }
 
@@ -21,30 +21,30 @@
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Which process.
+    /// The generation of its process.
     pub generation: Generation,
-    /// Where its mesh takes connections, if it has one.
+    /// The address at which its mesh accepts connections, if it has a mesh.
     pub address: Option<SocketAddr>,
     /// Tasks that it says it runs, as `birchswitch_lease_host::running_tasks` reads them.
     pub tasks: Vec<u32>,
 }
 
-/// Those that count as alive, this node among them.
+/// The members that count as alive, this node among them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipView {
-    /// By the hashes of their names.
+    /// Members by id.
     pub members: BTreeMap<MemberId, Member>,
-    /// How many they are by the last agreement of a majority.
+    /// The cluster's size as a majority last agreed on it.
     pub agreed: u32,
 }
 
 impl MembershipView {
-    /// Members that say they run a task: one, but while it changes hands.
+    /// The members that claim to run a task: one, except during a handover.
     pub fn running(&self, task: u32) -> impl Iterator<Item = MemberId> + '_ {
         self.members.iter().filter(move |(_, m)| m.tasks.contains(&task)).map(|(id, _)| *id)
     }
 
-    /// The name of a member, or its number where it is none.
+    /// A member's name, or its id in hexadecimal if it is not known.
     pub fn name(&self, id: MemberId) -> String {
         self.members.get(&id).map_or_else(|| format!("{:x}", id.0), |m| m.name.clone())
     }
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -1,11 +1,11 @@
-//! The mesh as parts of the program use it, and the thread that it runs on.
+//! The public interface of the mesh, and the thread that it runs on.
 
 use crate::clock::Clock;
-use crate::greeting::Greeting;
-use crate::line::queue::Ask;
-use crate::line::Line;
+use crate::handshake::Hello;
 use crate::listen;
 use crate::membership::{MembershipView, ProcessId};
+use crate::peer::queue::PendingRequest;
+use crate::peer::PeerHandle;
 use crate::settings::MeshSettings;
 use arc_swap::ArcSwap;
 use birchswitch_cluster::{Generation, MemberId};
@@ -24,78 +24,85 @@
 use tokio::sync::{oneshot, Semaphore};
 use tokio::time::{timeout, Instant};
 
-/// Who a node is on the mesh.
+/// The identity with which a node starts its mesh.
 pub struct Identity<'a> {
     /// The cluster's name.
     pub cluster: &'a str,
-    /// The node's name among its members.
+    /// The node's member name in the cluster.
     pub name: &'a str,
-    /// Which process.
+    /// The process's generation: tells it from earlier processes of the same name.
     pub generation: Generation,
-    /// Its clock.
+    /// The node's clock.
     pub clock: Clock,
 }
 
-/// Why a mesh can't be started.
+/// Why a mesh could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum MeshError {
-    /// The socket can't be had.
+    /// The listening socket could not be bound.
     #[error("mesh: cannot listen on {address}: {source}")]
     Bind {
-        /// Where.
+        /// The address to bind.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// Its thread can't.
+    /// The thread or its runtime could not be started.
     #[error("mesh: cannot start its thread: {0}")]
     Thread(std::io::Error),
 }
 
-/// Why a question has no answer. It may have been heard all the same, but where it says otherwise.
+/// Why a request got no response. The peer may have handled it all the same, except where noted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// As many wait for that peer as may: this one was not sent.
+    /// The peer's queue is full. The request was not sent.
     #[error("too many questions wait for that member")]
     QueueFull,
-    /// Nothing came in time.
+    /// No response arrived within the timeout.
     #[error("no answer came in time")]
     TimedOut,
-    /// Nobody serves that there, or not now.
+    /// The member has no handler for this lane, or the handler does not serve now.
     #[error("that member does not serve it")]
     NotServed,
 }
 
-/// Between the answers of two that both say they run a task.
-const TOGETHER: Duration = Duration::from_millis(50);
+/// How long to wait for further responses after the first, when several members claim to run a task.
+const LATE_RESPONSE_GRACE: Duration = Duration::from_millis(50);
 
-/// What somebody who serves says in the end; none: not now.
+/// A handler's eventual response. `None`: not served now.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Option<Bytes>> + Send>>;
-/// Serves the questions of a lane. Has to bear being asked the same twice. Runs on the mesh's thread: it must not block.
+/// Handles the requests of a lane. It must be idempotent, as a request may be delivered twice, and must not block, as it runs on the
+/// mesh's thread.
 pub type RequestHandler = dyn Fn(ProcessId, Bytes) -> ResponseFuture + Send + Sync;
-/// Takes the words of a topic, on the mesh's thread.
+/// Handles the messages of a topic, on the mesh's thread.
 pub type TopicHandler = dyn Fn(ProcessId, Bytes) + Send + Sync;
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Debug, Default)]
 pub struct Counters {
-    asked: AtomicU64,
-    heard: AtomicU64,
-    told: AtomicU64,
+    requests_sent: AtomicU64,
+    requests_received: AtomicU64,
+    messages_sent: AtomicU64,
     open: AtomicU64,
     connected: AtomicU64,
-    unreached: AtomicU64,
+    failed_connects: AtomicU64,
     replaced: AtomicU64,
 }
 
-macro_rules! counts {
+macro_rules! increments {
     ($($name:ident $field:ident),*) => {
         $(pub(crate) fn $name(&self) { self.$field.fetch_add(1, Ordering::Relaxed); })*
     };
 }
 
 impl Counters {
-    counts!(asked asked, heard heard, told told, unreached unreached, replaced replaced);
+    increments!(
+        request_sent requests_sent,
+        request_received requests_received,
+        message_sent messages_sent,
+        connect_failed failed_connects,
+        replaced replaced
+    );
 
     pub(crate) fn connected(&self) {
         self.connected.fetch_add(1, Ordering::Relaxed);
@@ -106,241 +113,252 @@
         self.open.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Connections that are open, and those that ever were.
+    /// The number of open connections, and of connections ever opened.
     pub fn connections(&self) -> [u64; 2] {
         [&self.open, &self.connected].map(|c| c.load(Ordering::Relaxed))
     }
 
-    /// Questions asked and heard, words told, words that a newer one replaced, tries that reached nobody.
+    /// Requests sent, requests received, messages sent, messages superseded before they were sent, and failed connection attempts.
     pub fn messages(&self) -> [u64; 5] {
-        [&self.asked, &self.heard, &self.told, &self.replaced, &self.unreached]
-            .map(|c| c.load(Ordering::Relaxed))
+        [
+            &self.requests_sent,
+            &self.requests_received,
+            &self.messages_sent,
+            &self.replaced,
+            &self.failed_connects,
+        ]
+        .map(|c| c.load(Ordering::Relaxed))
     }
 }
 
 pub(crate) struct Inner {
     pub own: ProcessId,
-    pub greeting: Greeting,
+    pub hello: Hello,
     pub bind: SocketAddr,
-    pub places: Arc<Semaphore>,
+    pub connection_permits: Arc<Semaphore>,
     pub runtime: Handle,
-    pub counts: Counters,
-    roster: ArcSwap<MembershipView>,
-    lines: Mutex<BTreeMap<MemberId, Arc<Line>>>,
-    serves: RwLock<BTreeMap<u8, Arc<RequestHandler>>>,
-    takes: RwLock<BTreeMap<u8, Arc<TopicHandler>>>,
+    pub counters: Counters,
+    view: ArcSwap<MembershipView>,
+    peers: Mutex<BTreeMap<MemberId, Arc<PeerHandle>>>,
+    handlers: RwLock<BTreeMap<u8, Arc<RequestHandler>>>,
+    subscribers: RwLock<BTreeMap<u8, Arc<TopicHandler>>>,
 }
 
 impl Inner {
-    /// The way to a peer's task, which is started where there is none.
-    pub(crate) fn line(mesh: &Arc<Inner>, to: MemberId) -> Arc<Line> {
-        let mut lines = mesh.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        match lines.get(&to) {
-            Some(line) if !line.asks.is_closed() => line.clone(),
+    /// The handle of a peer's task, which is started if it does not run.
+    pub(crate) fn peer(mesh: &Arc<Inner>, to: MemberId) -> Arc<PeerHandle> {
+        let mut peers = mesh.peers.lock().unwrap_or_else(PoisonError::into_inner);
+        match peers.get(&to) {
+            Some(peer) if !peer.requests.is_closed() => peer.clone(),
             _ => {
-                let line = Line::start(mesh, to);
-                lines.insert(to, line.clone());
-                line
+                let peer = PeerHandle::start(mesh, to);
+                peers.insert(to, peer.clone());
+                peer
             }
         }
     }
 
-    /// A peer's task ends.
-    pub(crate) fn forget(&self, to: MemberId, line: &Weak<Line>) {
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.get(&to).is_some_and(|l| std::ptr::eq(Arc::as_ptr(l), line.as_ptr())) {
-            lines.remove(&to);
+    /// Removes a peer's task that ends, unless another has taken its place.
+    pub(crate) fn forget(&self, to: MemberId, peer: &Weak<PeerHandle>) {
+        let mut peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
+        if peers.get(&to).is_some_and(|known| std::ptr::eq(Arc::as_ptr(known), peer.as_ptr())) {
+            peers.remove(&to);
         }
     }
 
     pub(crate) fn name(&self, id: MemberId) -> String {
-        self.roster.load().name(id)
+        self.view.load().name(id)
     }
 
     pub(crate) fn address(&self, to: MemberId) -> Option<SocketAddr> {
-        self.roster.load().members.get(&to)?.address
+        self.view.load().members.get(&to)?.address
     }
 
-    pub(crate) fn serve(&self, who: ProcessId, lane: u8, bytes: Bytes) -> ResponseFuture {
-        let serves = self.serves.read().unwrap_or_else(PoisonError::into_inner).get(&lane).cloned();
-        serves.map_or_else(|| Box::pin(async { None }) as ResponseFuture, |serve| serve(who, bytes))
+    pub(crate) fn handle_request(&self, process: ProcessId, lane: u8, bytes: Bytes) -> ResponseFuture {
+        let handler = self.handlers.read().unwrap_or_else(PoisonError::into_inner).get(&lane).cloned();
+        handler.map_or_else(|| Box::pin(async { None }) as ResponseFuture, |handler| handler(process, bytes))
     }
 
-    pub(crate) fn takes(&self, who: ProcessId, topic: u8, bytes: Bytes) {
-        let takes = self.takes.read().unwrap_or_else(PoisonError::into_inner).get(&topic).cloned();
-        takes.iter().for_each(|takes| takes(who, bytes.clone()));
+    pub(crate) fn deliver(&self, process: ProcessId, topic: u8, bytes: Bytes) {
+        let handler = self.subscribers.read().unwrap_or_else(PoisonError::into_inner).get(&topic).cloned();
+        handler.iter().for_each(|handler| handler(process, bytes.clone()));
     }
 }
 
-/// A node's place on the mesh. Its copies are the same; its thread goes with the last.
+/// A handle to a node's mesh. Clones share it, and the mesh's thread stops with the last of them.
 #[derive(Clone)]
 pub struct Mesh {
     inner: Arc<Inner>,
     address: SocketAddr,
     clock: Clock,
-    thread: Arc<Thread>,
+    thread: Arc<ThreadGuard>,
 }
 
-/// Ends the mesh's thread when it is dropped.
-struct Thread(Mutex<Option<oneshot::Sender<()>>>);
+/// Stops the mesh's thread when dropped.
+struct ThreadGuard(Mutex<Option<oneshot::Sender<()>>>);
 
-impl Thread {
-    fn end(&self) {
-        let end = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
-        let _ = end.map(|end| end.send(()));
+impl ThreadGuard {
+    fn stop(&self) {
+        let stop = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
+        let _ = stop.map(|stop| stop.send(()));
     }
 }
 
-impl Drop for Thread {
+impl Drop for ThreadGuard {
     fn drop(&mut self) {
-        self.end();
+        self.stop();
     }
 }
 
 impl Mesh {
-    /// Listens, and starts the thread on which all of it runs.
-    pub fn start(compiled: &MeshSettings, who: &Identity) -> Result<Mesh, MeshError> {
-        let bind = |source| MeshError::Bind { address: compiled.bind, source };
-        let listener = std::net::TcpListener::bind(compiled.bind).map_err(bind)?;
-        listener.set_nonblocking(true).map_err(bind)?;
-        let local = listener.local_addr().map_err(bind)?;
-        let address = compiled.advertise.unwrap_or(local);
+    /// Binds the listening socket, and starts the thread on which the mesh runs.
+    pub fn start(settings: &MeshSettings, identity: &Identity) -> Result<Mesh, MeshError> {
+        let bind_error = |source| MeshError::Bind { address: settings.bind, source };
+        let listener = std::net::TcpListener::bind(settings.bind).map_err(bind_error)?;
+        listener.set_nonblocking(true).map_err(bind_error)?;
+        let local = listener.local_addr().map_err(bind_error)?;
+        let address = settings.advertise.unwrap_or(local);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(MeshError::Thread)?;
         let inner = Arc::new(Inner {
-            own: ProcessId { id: MemberId::of(who.name), generation: who.generation },
-            greeting: Greeting::new(who.cluster, who.name, who.generation),
-            bind: compiled.bind,
-            places: Arc::new(Semaphore::new(compiled.connections)),
+            own: ProcessId { id: MemberId::of(identity.name), generation: identity.generation },
+            hello: Hello::new(identity.cluster, identity.name, identity.generation),
+            bind: settings.bind,
+            connection_permits: Arc::new(Semaphore::new(settings.connections)),
             runtime: runtime.handle().clone(),
-            counts: Counters::default(),
-            roster: ArcSwap::default(),
-            lines: Mutex::default(),
-            serves: RwLock::default(),
-            takes: RwLock::default(),
+            counters: Counters::default(),
+            view: ArcSwap::default(),
+            peers: Mutex::default(),
+            handlers: RwLock::default(),
+            subscribers: RwLock::default(),
         });
-        let (end, ended) = oneshot::channel();
-        let listening = inner.clone();
-        let serve = move || {
+        let (stop, stopped) = oneshot::channel();
+        let mesh = inner.clone();
+        let run = move || {
             runtime.block_on(async move {
                 if let Ok(listener) = TcpListener::from_std(listener) {
-                    tokio::spawn(listen::listen(listening, listener));
+                    tokio::spawn(listen::listen(mesh, listener));
                 }
-                let _ = ended.await;
+                let _ = stopped.await;
             });
-            // What blocks still, a file's writing, may come to its end by itself.
+            // Blocking work that still runs, such as a write to a file, is left to finish by itself.
             runtime.shutdown_background();
         };
-        std::thread::Builder::new().name("mesh".to_owned()).spawn(serve).map_err(MeshError::Thread)?;
+        std::thread::Builder::new().name("mesh".to_owned()).spawn(run).map_err(MeshError::Thread)?;
         tracing::info!(target: "mesh", kind = "mesh_listening", address = %local);
-        Ok(Mesh { inner, address, clock: who.clock, thread: Arc::new(Thread(Mutex::new(Some(end)))) })
+        Ok(Mesh {
+            inner,
+            address,
+            clock: identity.clock,
+            thread: Arc::new(ThreadGuard(Mutex::new(Some(stop)))),
+        })
     }
 
-    /// Ends its thread, and all tasks on it.
+    /// Stops the mesh's thread and all tasks on it.
     pub fn stop(&self) {
-        self.thread.end();
+        self.thread.stop();
     }
 
-    /// Where others connect to it.
+    /// The address at which other nodes connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Who this node is.
+    /// This process.
     pub fn own(&self) -> ProcessId {
         self.inner.own
     }
 
-    /// Its clock.
+    /// The node's clock.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Who the fleet's nodes are from now on.
-    pub fn set_membership(&self, roster: MembershipView) {
-        self.inner.roster.store(Arc::new(roster));
+    /// Replaces the view of the cluster's members.
+    pub fn set_membership(&self, view: MembershipView) {
+        self.inner.view.store(Arc::new(view));
     }
 
-    /// Who they are.
+    /// The current view of the cluster's members.
     pub fn membership(&self) -> Arc<MembershipView> {
-        self.inner.roster.load_full()
+        self.inner.view.load_full()
     }
 
-    /// Runs a task on the mesh's thread.
+    /// Spawns a task on the mesh's thread.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.inner.runtime.spawn(task);
     }
 
-    /// Questions of that lane are served so from now on.
-    pub fn serve(&self, lane: u8, serve: Arc<RequestHandler>) {
-        self.inner.serves.write().unwrap_or_else(PoisonError::into_inner).insert(lane, serve);
+    /// Sets the handler for the requests of a lane.
+    pub fn serve(&self, lane: u8, handler: Arc<RequestHandler>) {
+        self.inner.handlers.write().unwrap_or_else(PoisonError::into_inner).insert(lane, handler);
     }
 
-    /// Words of that topic are taken so from now on.
-    pub fn subscribe(&self, topic: u8, takes: Arc<TopicHandler>) {
-        self.inner.takes.write().unwrap_or_else(PoisonError::into_inner).insert(topic, takes);
+    /// Sets the handler for the messages of a topic.
+    pub fn subscribe(&self, topic: u8, handler: Arc<TopicHandler>) {
+        self.inner.subscribers.write().unwrap_or_else(PoisonError::into_inner).insert(topic, handler);
     }
 
-    /// Asks a member, this node too.
+    /// Sends a request to a member, or handles it here if the member is this node, and waits for the response.
     pub async fn request(
         &self,
         to: MemberId,
         lane: u8,
         bytes: Bytes,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Bytes, RequestError> {
-        let answer = if to == self.inner.own.id {
-            timeout(patience, self.inner.serve(self.inner.own, lane, bytes))
+        let response = if to == self.inner.own.id {
+            timeout(max_wait, self.inner.handle_request(self.inner.own, lane, bytes))
                 .await
                 .map_err(|_| RequestError::TimedOut)?
         } else {
-            let (reply, answer) = oneshot::channel();
-            let ask = Ask { lane, bytes, until: Instant::now() + patience, reply };
-            Inner::line(&self.inner, to).asks.try_send(ask).map_err(|_| RequestError::QueueFull)?;
-            let answer = timeout(patience, answer).await.map_err(|_| RequestError::TimedOut)?;
-            answer.map_err(|_| RequestError::TimedOut)?
+            let (reply, response) = oneshot::channel();
+            let request = PendingRequest { lane, bytes, deadline: Instant::now() + max_wait, reply };
+            Inner::peer(&self.inner, to).requests.try_send(request).map_err(|_| RequestError::QueueFull)?;
+            let response = timeout(max_wait, response).await.map_err(|_| RequestError::TimedOut)?;
+            response.map_err(|_| RequestError::TimedOut)?
         };
-        answer.ok_or(RequestError::NotServed)
+        response.ok_or(RequestError::NotServed)
     }
 
-    /// Asks all members that say they run a task: one, but while it changes hands. Their answers, or why there are none; whoever is
-    /// much later than the first that answers is not waited for.
+    /// Sends a request to all members that claim to run a task: one, except during a handover. Returns each response or error. After
+    /// the first response the others are waited for only briefly.
     pub async fn request_from_running(
         &self,
         task: u32,
         lane: u8,
-        question: Bytes,
-        patience: Duration,
+        request: Bytes,
+        max_wait: Duration,
     ) -> Vec<Result<Bytes, RequestError>> {
-        let runs: Vec<MemberId> = self.membership().running(task).collect();
-        let mut asked: FuturesUnordered<_> =
-            runs.iter().map(|member| self.request(*member, lane, question.clone(), patience)).collect();
-        let mut answers = Vec::new();
-        while let Some(answer) = asked.next().await {
-            let first = answer.is_ok();
-            answers.push(answer);
-            if first {
-                while let Ok(Some(answer)) = timeout(TOGETHER, asked.next()).await {
-                    answers.push(answer);
+        let running: Vec<MemberId> = self.membership().running(task).collect();
+        let mut pending: FuturesUnordered<_> =
+            running.iter().map(|member| self.request(*member, lane, request.clone(), max_wait)).collect();
+        let mut responses = Vec::new();
+        while let Some(response) = pending.next().await {
+            let answered = response.is_ok();
+            responses.push(response);
+            if answered {
+                while let Ok(Some(response)) = timeout(LATE_RESPONSE_GRACE, pending.next()).await {
+                    responses.push(response);
                 }
                 break;
             }
         }
-        answers
+        responses
     }
 
-    /// Tells a member something; an older word of the same topic that was not sent yet is dropped.
+    /// Sends a member a message. An older message of the same topic that was not sent yet is dropped.
     pub fn publish(&self, to: MemberId, topic: u8, bytes: Bytes) {
         if to == self.inner.own.id {
-            return self.inner.takes(self.inner.own, topic, bytes);
+            return self.inner.deliver(self.inner.own, topic, bytes);
         }
-        if !Inner::line(&self.inner, to).words.put(topic, bytes) {
-            self.inner.counts.replaced();
+        if !Inner::peer(&self.inner, to).messages.put(topic, bytes) {
+            self.inner.counters.replaced();
         }
     }
 
-    /// What was counted.
+    /// The mesh's counters.
     pub fn counters(&self) -> &Counters {
-        &self.inner.counts
+        &self.inner.counters
     }
 }
--- a/crates/mesh/src/reports.rs
+++ b/crates/mesh/src/reports.rs
@@ -1,4 +1,4 @@
-//! Reporting to whoever runs a task, again and again: what the node's thread says goes out, and the word that comes back goes to it.
+//! Periodic reports to the member that runs a task: the node's thread provides each report and applies the responses.
 
 use crate::{Mesh, Time};
 use bytes::Bytes;
@@ -8,49 +8,52 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{interval, MissedTickBehavior};
 
-/// What the node's thread does for it.
+/// A step that the node's thread carries out for [`report_periodically`].
 #[derive(Debug)]
-pub enum ReportStep<R, W> {
-    /// Say what is to be reported, and when that was so.
+pub enum ReportStep<R, T> {
+    /// Provide a report, and the time at which it was collected.
     Collect(oneshot::Sender<(Time, R)>),
-    /// Take up a word that was asked for then.
-    Apply(Time, W),
+    /// Apply the response to the report that was collected at that time.
+    Apply(Time, T),
 }
 
-/// To whom, and how often.
+/// Where reports go, and how often.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportSettings {
-    /// The task that its receiver runs.
+    /// The task whose runner receives the reports.
     pub task: u32,
-    /// The lane on which it serves.
+    /// The lane on which it serves them.
     pub lane: u8,
-    /// Between two reports.
+    /// Time between two reports.
     pub interval: Duration,
-    /// How long a word is waited for. What was reported in vain is lost: it would be late.
+    /// How long to wait for a response. A report without one is not sent again: it would be stale.
     pub timeout: Duration,
 }
 
-/// Reports until the node's thread is gone.
-pub async fn report_periodically<R, W>(
+/// Sends reports until the receiver of `steps` is dropped.
+pub async fn report_periodically<R, T>(
     mesh: Mesh,
-    to: ReportSettings,
-    errands: mpsc::UnboundedSender<ReportStep<R, W>>,
+    settings: ReportSettings,
+    steps: mpsc::UnboundedSender<ReportStep<R, T>>,
 ) where
     R: Serialize,
-    W: DeserializeOwned,
+    T: DeserializeOwned,
 {
-    let mut every = interval(to.interval);
-    every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(settings.interval);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        every.tick().await;
-        let (tell, told) = oneshot::channel();
-        let Ok(()) = errands.send(ReportStep::Collect(tell)) else { return };
-        let Ok((asked, report)) = told.await else { return };
-        let Ok(question) = postcard::to_stdvec(&report) else { continue };
-        for answer in mesh.request_from_running(to.task, to.lane, Bytes::from(question), to.timeout).await {
-            let Ok(answer) = answer else { continue };
-            let Ok(word) = postcard::from_bytes::<W>(&answer) else { continue };
-            let Ok(()) = errands.send(ReportStep::Apply(asked, word)) else { return };
+        ticks.tick().await;
+        let (reply, collected) = oneshot::channel();
+        let Ok(()) = steps.send(ReportStep::Collect(reply)) else { return };
+        let Ok((collected_at, report)) = collected.await else { return };
+        let Ok(request) = postcard::to_stdvec(&report) else { continue };
+        for response in mesh
+            .request_from_running(settings.task, settings.lane, Bytes::from(request), settings.timeout)
+            .await
+        {
+            let Ok(bytes) = response else { continue };
+            let Ok(response) = postcard::from_bytes::<T>(&bytes) else { continue };
+            let Ok(()) = steps.send(ReportStep::Apply(collected_at, response)) else { return };
         }
     }
 }
