--- a/crates/mesh/src/membership.rs
+++ b/crates/mesh/src/membership.rs
@@ -25,7 +25,7 @@
     pub generation: Generation,
     /// The address at which its mesh accepts connections, if it has a mesh.
     pub address: Option<SocketAddr>,
-    /// Tasks that it says it runs, as `birchswitch_lease_host::running_tasks` reads them.
+    /// Tasks that it claims to run, as `birchswitch_lease_host::running_tasks` reads them.
     pub tasks: Vec<u32>,
 }
 
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -8,7 +8,7 @@
 /// Default limit of open connections.
 const DEFAULT_CONNECTIONS: usize = 512;
 
-/// The table as it stands in the file.
+/// The table as written in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MeshTable {
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -290,7 +290,8 @@
     assert_eq!(a.request_from_running(8, ECHO, Bytes::new(), TIMEOUT).await, []);
 }
 
-/// Measures the memory and descriptors that 300 peers cost a node: `cargo test --release -p birchswitch-mesh -- --ignored --nocapture peers_cost`.
+/// Measures the memory and descriptors that 300 peers cost a node:
+/// `cargo test --release -p birchswitch-mesh -- --ignored --nocapture peers_cost`.
 #[tokio::test]
 #[ignore = "a measurement"]
 async fn three_hundred_peers_cost() {
--- a/crates/wallet/benches/allocator.rs
+++ b/crates/wallet/benches/allocator.rs
@@ -1,6 +1,6 @@
-//! What a renewal costs the leader, and what a look for expired sessions does, as nodes and accounts grow.
+//! The cost of a renewal to the leader, and of a check for expired sessions, by the number of nodes and accounts.
 //!
-//! Each node's requests go to [`ACTIVE`] accounts: one that all nodes share, and others of which each is used by few nodes. The other
+//! Each node's requests are charged to [`ACTIVE`] accounts: one that all nodes share, and others that few nodes use. The remaining
 //! accounts are idle.
 
 use birchswitch_cluster::{Generation, MemberId};
@@ -12,16 +12,16 @@
 use criterion::{criterion_group, criterion_main, Criterion};
 use std::time::Duration;
 
-/// Accounts that a node's requests are charged to.
+/// Number of accounts that a node's requests are charged to.
 const ACTIVE: usize = 20;
-const RULES: AllocatorSettings = AllocatorSettings {
+const SETTINGS: AllocatorSettings = AllocatorSettings {
     ttl: Duration::from_secs(4),
     expiry: Duration::from_secs(8),
     keep_in_doubt: true,
     unique_top_ups: true,
 };
 
-fn who(node: usize) -> ProcessId {
+fn process(node: usize) -> ProcessId {
     ProcessId { id: MemberId(node as u64), generation: Generation { started: 1, draw: 0 } }
 }
 
@@ -29,7 +29,7 @@
     format!("tenant-{account}")
 }
 
-/// A fleet that renews in turn, with what each node holds.
+/// A fleet whose nodes renew in turn, with the allotments of each node.
 struct Fleet {
     terms: Vec<AccountTerms>,
     state: LedgerState,
@@ -58,7 +58,7 @@
             state.apply(&Entry::TopUp { account: name(account), id: "first".into(), units: 1 << 40 });
         }
         let mut fleet = Fleet {
-            allocator: Allocator::new(Time::from_secs(1), &terms, RULES),
+            allocator: Allocator::new(Time::from_secs(1), &terms, SETTINGS),
             terms,
             state,
             now: Time::from_secs(1),
@@ -100,7 +100,7 @@
             demands: self.active(node).map(demand).collect(),
         };
         let (now, time) = (self.now, self.sequence);
-        let (_, grants) = self.allocator.renew(&mut self.state, (now, time), who(node), &request);
+        let (_, grants) = self.allocator.renew(&mut self.state, (now, time), process(node), &request);
         let active: Vec<usize> = self.active(node).collect();
         for (account, grant) in active.into_iter().zip(grants) {
             self.held[node].extend(grant.allotment.map(|(number, units)| (account, number, units)));
--- a/crates/wallet/src/account/allocator.rs
+++ b/crates/wallet/src/account/allocator.rs
@@ -1,6 +1,6 @@
 //! The leader's decisions on a node's renewal: which entries to append to the ledger, and what to respond once they are committed.
 //!
-//! A renewal costs what its process holds and asks for, whatever other accounts and processes there are.
+//! The cost of a renewal depends on what its process holds and demands, not on the number of other accounts and processes.
 
 mod demand;
 
@@ -12,98 +12,101 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a leader knows of the processes that renew, beside the accounts.
+/// What a leader knows of the processes that renew, besides the ledger's state.
 #[derive(Debug)]
 pub struct Allocator {
     sessions: BTreeMap<ProcessId, Session>,
-    /// What processes need of each account that any of them needs.
+    /// The processes' demand, for each account with any.
     demands: BTreeMap<String, AccountDemand>,
     /// By account.
     terms: BTreeMap<String, AccountTerms>,
-    rules: AllocatorSettings,
-    /// When its term began. A process that has not been heard since counts as heard then.
-    began: Time,
+    settings: AllocatorSettings,
+    /// When the term began. A process without a renewal in this term counts as last heard then.
+    term_start: Time,
 }
 
 /// One process that renews.
 #[derive(Debug, Default)]
 struct Session {
     last_heard: Time,
-    /// Accounts of its latest renewal's demands.
+    /// The accounts in the demands of its latest renewal.
     accounts: Vec<String>,
 }
 
-/// Times, and safeguards that tests switch off.
+/// Timeouts, and safeguards that drills switch off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AllocatorSettings {
-    /// For how long allotments may be spent from, by their nodes' clocks, from before the renewal was sent.
+    /// For how long allotments may be spent from, by their node's clock, counted from before the renewal was sent.
     pub ttl: Duration,
-    /// A process that was silent for so long spends nothing more, by the leader's clock.
+    /// A process that was silent for so long, by the leader's clock, can no longer spend.
     pub expiry: Duration,
-    /// An allotment of a process that ended stays in doubt until it is settled. Otherwise it is reclaimed.
+    /// Keeps allotments of processes that ended in doubt until an operator settles them. Otherwise they are reclaimed.
     pub keep_in_doubt: bool,
-    /// A payment is credited once by its id.
+    /// Credits each payment id only once.
     pub unique_top_ups: bool,
 }
 
 impl Allocator {
-    /// That of a leader whose term begins now.
-    pub fn new(now: Time, terms: &[AccountTerms], rules: AllocatorSettings) -> Self {
+    /// Creates the allocator of a leader whose term begins now.
+    pub fn new(now: Time, terms: &[AccountTerms], settings: AllocatorSettings) -> Self {
         Allocator {
             sessions: BTreeMap::new(),
             demands: BTreeMap::new(),
             terms: terms.iter().map(|terms| (terms.account.clone(), terms.clone())).collect(),
-            rules,
-            began: now,
+            settings,
+            term_start: now,
         }
     }
 
-    /// Forgets processes that have been silent for too long, and marks what they hold as in doubt. The entries are applied already.
+    /// Forgets processes that have been silent for too long, and marks their allotments as in doubt. The returned entries are applied
+    /// already.
     pub fn expire(&mut self, state: &mut LedgerState, now: Time) -> Vec<Entry> {
-        let expired = |who: &ProcessId| {
-            let last_heard = self.sessions.get(who).map_or(self.began, |session| session.last_heard);
-            now >= last_heard + self.rules.expiry
+        let expired = |process: &ProcessId| {
+            let last_heard = self.sessions.get(process).map_or(self.term_start, |session| session.last_heard);
+            now >= last_heard + self.settings.expiry
         };
         let mut entries = Vec::new();
-        for who in state.holders().filter(|who| expired(who)) {
-            for (name, number, _) in state.held_by(who).filter(|(_, _, allotment)| !allotment.in_doubt) {
+        for process in state.holders().filter(|process| expired(process)) {
+            for (name, number, _) in state.held_by(process).filter(|(_, _, allotment)| !allotment.in_doubt) {
                 let account = name.to_owned();
-                entries.push(match self.rules.keep_in_doubt {
+                entries.push(match self.settings.keep_in_doubt {
                     true => Entry::MarkInDoubt { account, number },
                     false => Entry::Reclaim { account, number },
                 });
             }
         }
         entries.iter().for_each(|entry| state.apply(entry));
-        let silent: Vec<ProcessId> = self.sessions.keys().filter(|who| expired(who)).copied().collect();
-        silent.iter().for_each(|who| self.forget(who));
+        let silent: Vec<ProcessId> =
+            self.sessions.keys().filter(|process| expired(process)).copied().collect();
+        silent.iter().for_each(|process| self.forget(process));
         entries
     }
 
-    fn forget(&mut self, who: &ProcessId) {
-        let accounts = self.sessions.remove(who).unwrap_or_default().accounts;
-        accounts.iter().for_each(|account| self.withdraw(account, who));
+    fn forget(&mut self, process: &ProcessId) {
+        let accounts = self.sessions.remove(process).unwrap_or_default().accounts;
+        accounts.iter().for_each(|account| self.withdraw_demand(account, process));
     }
 
-    /// Decides on a renewal that came at `now` by the leader's clock and `time` by the ledger's. The entries are applied already.
+    /// Decides on a renewal that arrived at `now` by the leader's clock and `time` by the ledger's. The returned entries are applied
+    /// already.
     pub fn renew(
         &mut self,
         state: &mut LedgerState,
         (now, time): (Time, u64),
-        who: ProcessId,
+        process: ProcessId,
         renewal: &RenewalRequest,
     ) -> (Vec<Entry>, Vec<AccountGrant>) {
-        self.note(now, who, renewal);
+        self.record_demands(now, process, renewal);
         let mut entries = Vec::new();
         let mut append = |state: &mut LedgerState, entry: Entry| {
             state.apply(&entry);
             entries.push(entry);
         };
-        if has_news(state, who, renewal) {
+        if has_news(state, process, renewal) {
             let (report, time) = (renewal.report.clone(), time.max(state.time));
-            append(state, Entry::Report { who, report, time });
+            append(state, Entry::Report { process, report, time });
         }
-        for (account, number) in never_received(state, who, renewal) {
+        for (account, number) in never_received(state, process, renewal) {
             append(state, Entry::Reclaim { account, number });
         }
         let mut grants = Vec::new();
@@ -111,36 +114,36 @@
             let Some(terms) = self.terms.get(&demand.account) else { continue };
             pause_or_resume(state, terms, &mut append);
             let Some(demands) = self.demands.get_mut(&demand.account) else { continue };
-            let grant = grant(state, (terms, &self.rules), demands, now, who);
+            let grant = grant(state, (terms, &self.settings), demands, now, process);
             if let Some((number, units)) = grant.allotment {
                 let (account, sequence) = (terms.account.clone(), renewal.sequence);
-                append(state, Entry::Allot { account, number, who, units, sequence });
+                append(state, Entry::Allot { account, number, process, units, sequence });
             }
             grants.push(grant);
         }
         (entries, grants)
     }
 
-    /// Takes a renewal's demands in the place of its process's earlier ones. Accounts without terms count for nothing.
-    fn note(&mut self, now: Time, who: ProcessId, renewal: &RenewalRequest) {
+    /// Replaces a process's demands by those of its renewal. Accounts without terms are ignored.
+    fn record_demands(&mut self, now: Time, process: ProcessId, renewal: &RenewalRequest) {
         let known: Vec<&Demand> =
             renewal.demands.iter().filter(|demand| self.terms.contains_key(&demand.account)).collect();
         let asked: BTreeSet<&str> = known.iter().map(|demand| demand.account.as_str()).collect();
-        let before = self.sessions.remove(&who).unwrap_or_default().accounts;
+        let before = self.sessions.remove(&process).unwrap_or_default().accounts;
         let dropped = before.iter().filter(|account| !asked.contains(account.as_str()));
-        dropped.for_each(|account| self.withdraw(account, &who));
+        dropped.for_each(|account| self.withdraw_demand(account, &process));
         for demand in &known {
             let all = self.demands.entry(demand.account.clone()).or_default();
-            all.note(who, now, node_demand(demand));
+            all.update(process, now, node_demand(demand));
         }
         let accounts = known.iter().map(|demand| demand.account.clone()).collect();
-        self.sessions.insert(who, Session { last_heard: now, accounts });
+        self.sessions.insert(process, Session { last_heard: now, accounts });
     }
 
-    /// A process needs nothing of an account any more.
-    fn withdraw(&mut self, account: &str, who: &ProcessId) {
+    /// Removes a process's demand for an account.
+    fn withdraw_demand(&mut self, account: &str, process: &ProcessId) {
         if let Some(demand) = self.demands.get_mut(account) {
-            demand.forget(who);
+            demand.forget(process);
             if demand.is_empty() {
                 self.demands.remove(account);
             }
@@ -148,19 +151,19 @@
     }
 }
 
-/// What a process may hold of an account, beside all others that renew.
+/// Decides how much of an account a process may hold, given the demand of all others.
 fn grant(
     state: &LedgerState,
-    (terms, rules): (&AccountTerms, &AllocatorSettings),
+    (terms, settings): (&AccountTerms, &AllocatorSettings),
     demands: &mut AccountDemand,
     now: Time,
-    who: ProcessId,
+    process: ProcessId,
 ) -> AccountGrant {
     let account = terms.account.clone();
     let free = free_units(state, terms);
-    let Share { target, demand, lacking } = demands.share(terms, free, (now, rules.ttl), &who);
+    let Share { target, demand, shortfall } = demands.share(terms, free, (now, settings.ttl), &process);
     let (paused, frozen) = state.accounts.get(&account).map_or((false, false), |a| (a.paused, a.frozen));
-    let keep = if frozen { 0 } else { units_to_keep(target, &demand, lacking > free) };
+    let keep = if frozen { 0 } else { units_to_keep(target, &demand, shortfall > free) };
     let units = target.saturating_sub(demand.holds).min(free);
     if units == 0 || paused || frozen {
         return AccountGrant { account, allotment: None, keep, paused, frozen };
@@ -176,16 +179,16 @@
     u64::try_from((balance + i128::from(terms.overdraft)).max(0)).unwrap_or(u64::MAX)
 }
 
-/// Pauses an account of which nothing is left anywhere, and resumes one that was topped up enough.
+/// Pauses an account of which no units are left on any node, and resumes one that was topped up enough.
 fn pause_or_resume(
     state: &mut LedgerState,
     terms: &AccountTerms,
     append: &mut impl FnMut(&mut LedgerState, Entry),
 ) {
-    let cheapest = terms.prices.least();
+    let cheapest = terms.prices.min_price();
     let free = free_units(state, terms);
-    // What nodes last told of their holdings leaves out allotments whose responses are on their way, and requests in hand, which
-    // may be refunded.
+    // The holdings that nodes last reported are not enough: they leave out allotments whose responses are in flight, and reservations
+    // of running requests, which may be released.
     let (paused, outstanding) =
         state.accounts.get(&terms.account).map_or((false, 0), |a| (a.paused, a.outstanding()));
     let account = || terms.account.clone();
@@ -202,9 +205,9 @@
     NodeDemand { units_per_s, largest_rejected, holds }
 }
 
-/// Whether a report says something that is not in the ledger.
-fn has_news(state: &LedgerState, who: ProcessId, renewal: &RenewalRequest) -> bool {
-    let latest = state.reports.get(&who).map_or(0, |(number, _)| *number);
+/// Whether a report contains anything that is not in the ledger.
+fn has_news(state: &LedgerState, process: ProcessId, renewal: &RenewalRequest) -> bool {
+    let latest = state.reports.get(&process).map_or(0, |(number, _)| *number);
     let keys = !renewal.report.keys.is_empty() && renewal.report.number > latest;
     let allotments = renewal.report.allotments.iter().any(|reported| {
         let account = state.accounts.get(&reported.account);
@@ -218,10 +221,11 @@
     keys || allotments
 }
 
-/// Allotments that a process never received: it renewed again after their response was sent, without them.
-fn never_received(state: &LedgerState, who: ProcessId, renewal: &RenewalRequest) -> Vec<(String, u64)> {
+/// Allotments that a process never received: it sent a later renewal that does not report them.
+fn never_received(state: &LedgerState, process: ProcessId, renewal: &RenewalRequest) -> Vec<(String, u64)> {
     let reported: BTreeSet<u64> = renewal.report.allotments.iter().map(|reported| reported.number).collect();
-    let sent_before = state.held_by(&who).filter(|(_, _, allotment)| allotment.sequence < renewal.sequence);
+    let sent_before =
+        state.held_by(&process).filter(|(_, _, allotment)| allotment.sequence < renewal.sequence);
     let lost = sent_before.filter(|(_, number, _)| !reported.contains(number));
     lost.map(|(account, number, _)| (account.to_owned(), number)).collect()
 }
--- a/crates/wallet/src/account/allocator/demand.rs
+++ b/crates/wallet/src/account/allocator/demand.rs
@@ -1,83 +1,88 @@
-//! What all processes need of one account, and the share of each, which is worked out now and then and not for every renewal.
+//! The demand of all processes for one account, and each process's share, which is cached for a short time and not computed for every
+//! renewal.
 
 use crate::account::targets::{targets, AccountTerms, NodeDemand};
 use birchswitch_mesh::{ProcessId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Shares are worked out again when they are older than this: the shortest time between two renewals of a process.
+/// Shares older than this are computed again: the shortest time between two renewals of a process.
 const MAX_AGE: Duration = Duration::from_millis(20);
 
-/// See the module's documentation.
+/// The demand for one account, and the cached shares.
 #[derive(Debug, Default)]
 pub(super) struct AccountDemand {
-    /// What each process needs, and when it told.
+    /// Each process's demand, and when it was received.
     by_process: BTreeMap<ProcessId, (Time, NodeDemand)>,
     shares: Option<Shares>,
 }
 
-/// What processes should hold.
+/// The targets of all processes at the time they were computed.
 #[derive(Debug)]
 struct Shares {
     computed: Time,
     targets: BTreeMap<ProcessId, u64>,
-    /// Units that processes lack to their targets.
-    lacking: u64,
+    /// Units that processes lack to reach their targets.
+    shortfall: u64,
 }
 
-/// What one process should hold, and what it needs.
+/// One process's target and demand.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Share {
-    /// Units that it should hold.
+    /// Units that the process should hold.
     pub target: u64,
     /// Its demand.
     pub demand: NodeDemand,
-    /// Units that all processes lack to their targets.
-    pub lacking: u64,
+    /// Units that all processes together lack to reach their targets.
+    pub shortfall: u64,
 }
 
 impl AccountDemand {
-    /// Takes what a process needs in the place of what it needed.
-    pub(super) fn note(&mut self, who: ProcessId, now: Time, demand: NodeDemand) {
-        self.by_process.insert(who, (now, demand));
+    /// Replaces a process's demand.
+    pub(super) fn update(&mut self, process: ProcessId, now: Time, demand: NodeDemand) {
+        self.by_process.insert(process, (now, demand));
     }
 
-    /// A process needs nothing any more.
-    pub(super) fn forget(&mut self, who: &ProcessId) {
-        self.by_process.remove(who);
+    /// Removes a process's demand.
+    pub(super) fn forget(&mut self, process: &ProcessId) {
+        self.by_process.remove(process);
     }
 
-    /// Whether no process needs anything.
+    /// Whether no process has any demand.
     pub(super) fn is_empty(&self) -> bool {
         self.by_process.is_empty()
     }
 
-    /// A process's share of what there is: `free` units, and those that processes hold which were heard within `ttl`.
+    /// A process's share of the pool: the `free` units, and those held by processes that were heard within `ttl`.
     pub(super) fn share(
         &mut self,
         terms: &AccountTerms,
         free: u64,
         (now, ttl): (Time, Duration),
-        who: &ProcessId,
+        process: &ProcessId,
     ) -> Share {
-        let demand = self.by_process.get(who).map_or(NodeDemand::default(), |(_, demand)| *demand);
-        let fresh = |shares: &Shares| now < shares.computed + MAX_AGE && shares.targets.contains_key(who);
+        let demand = self.by_process.get(process).map_or(NodeDemand::default(), |(_, demand)| *demand);
+        let fresh = |shares: &Shares| now < shares.computed + MAX_AGE && shares.targets.contains_key(process);
         let shares = match self.shares.take().filter(fresh) {
             Some(shares) => shares,
             None => self.compute(terms, free, (now, ttl)),
         };
         let shares = self.shares.insert(shares);
-        Share { target: shares.targets.get(who).copied().unwrap_or(0), demand, lacking: shares.lacking }
+        Share {
+            target: shares.targets.get(process).copied().unwrap_or(0),
+            demand,
+            shortfall: shares.shortfall,
+        }
     }
 
     fn compute(&self, terms: &AccountTerms, free: u64, (now, ttl): (Time, Duration)) -> Shares {
         let alive = self.by_process.iter().filter(|(_, (heard, _))| now < *heard + ttl);
         let (processes, demands): (Vec<ProcessId>, Vec<NodeDemand>) =
-            alive.map(|(who, (_, demand))| (*who, *demand)).unzip();
+            alive.map(|(process, (_, demand))| (*process, *demand)).unzip();
         let targets = targets(terms, free, &demands);
-        let lacking =
+        let shortfall =
             demands.iter().zip(&targets).map(|(demand, target)| target.saturating_sub(demand.holds));
-        let lacking = lacking.fold(0, u64::saturating_add);
-        Shares { computed: now, targets: processes.into_iter().zip(targets).collect(), lacking }
+        let shortfall = shortfall.fold(0, u64::saturating_add);
+        Shares { computed: now, targets: processes.into_iter().zip(targets).collect(), shortfall }
     }
 }
--- a/crates/wallet/src/account/allocator/tests.rs
+++ b/crates/wallet/src/account/allocator/tests.rs
@@ -3,7 +3,7 @@
 use crate::price::Prices;
 use birchswitch_cluster::{Generation, MemberId};
 
-const RULES: AllocatorSettings = AllocatorSettings {
+const SETTINGS: AllocatorSettings = AllocatorSettings {
     ttl: Duration::from_secs(2),
     expiry: Duration::from_secs(4),
     keep_in_doubt: true,
@@ -16,7 +16,7 @@
     vec![AccountTerms { account: "t".into(), prices, overdraft: 0, low: 100, resume: 10, ahead }]
 }
 
-fn who(n: u64) -> ProcessId {
+fn process(n: u64) -> ProcessId {
     ProcessId { id: MemberId(n), generation: Generation::default() }
 }
 
@@ -57,27 +57,27 @@
     n: u64,
     renewal: &RenewalRequest,
 ) -> AccountGrant {
-    let (_, grants) = allocator.renew(state, (s(now), now * 1000), who(n), renewal);
+    let (_, grants) = allocator.renew(state, (s(now), now * 1000), process(n), renewal);
     grants.into_iter().next().expect("a grant")
 }
 
 #[test]
-fn a_node_gets_what_lasts_ahead_and_what_it_never_got_is_taken_back() {
-    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), RULES), paid(1000));
+fn allotments_cover_demand_ahead_and_lost_ones_are_reclaimed() {
+    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), SETTINGS), paid(1000));
     let first = renew(&mut allocator, &mut state, 1, 1, &renewal(1, 10.0, 1, &[], &[]));
     assert_eq!(first.allotment, Some((0, 20)));
     // The response was lost: it renews again, without the allotment.
     let again = renew(&mut allocator, &mut state, 2, 1, &renewal(2, 10.0, 1, &[], &[]));
     assert_eq!(again.allotment, Some((1, 20)));
     assert_eq!(state.accounts["t"].balance(), 980);
-    // A renewal that was on its way for long is answered without taking back what came after it.
+    // A delayed renewal must not reclaim allotments that were granted after it was sent.
     renew(&mut allocator, &mut state, 2, 1, &renewal(1, 10.0, 1, &[], &[]));
     assert!(state.accounts["t"].allotments.contains_key(&1));
 }
 
 #[test]
 fn the_last_units_are_collected_from_idle_nodes_for_one_that_can_use_them() {
-    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), RULES), paid(8));
+    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), SETTINGS), paid(8));
     let idle = renew(&mut allocator, &mut state, 1, 1, &renewal(1, 4.0, 1, &[], &[]));
     let (number, units) = idle.allotment.expect("an allotment");
     assert_eq!(units, 4);
@@ -95,8 +95,8 @@
 }
 
 #[test]
-fn it_pauses_when_nothing_is_left_anywhere_and_goes_on_from_enough() {
-    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), RULES), paid(2));
+fn an_account_pauses_when_no_units_are_left_and_resumes_from_its_threshold() {
+    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), SETTINGS), paid(2));
     let (number, units) = renew(&mut allocator, &mut state, 1, 1, &renewal(1, 9.0, 1, &[], &[]))
         .allotment
         .expect("an allotment");
@@ -116,10 +116,10 @@
     assert!(!on.paused && on.allotment.is_some());
 }
 
-/// A paused account resumes only from `resume` units: whatever comes back after an early pause could not be spent.
+/// A paused account resumes only from `resume` units, so units returned after an early pause could not be spent.
 #[test]
-fn it_does_not_pause_while_the_last_units_are_on_their_way() {
-    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), RULES), paid(1));
+fn an_account_does_not_pause_while_its_last_units_are_in_flight() {
+    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), SETTINGS), paid(1));
     let lost = renew(&mut allocator, &mut state, 1, 1, &renewal(1, 9.0, 1, &[], &[]));
     assert_eq!(lost.allotment, Some((0, 1)));
     let other = renew(&mut allocator, &mut state, 1, 2, &renewal(1, 9.0, 1, &[], &[]));
@@ -132,8 +132,8 @@
 }
 
 #[test]
-fn an_allotment_whose_process_is_gone_is_in_doubt_and_not_before_its_time() {
-    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), RULES), paid(100));
+fn allotments_of_a_silent_process_become_in_doubt_after_expiry() {
+    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), SETTINGS), paid(100));
     let (_, units) = renew(&mut allocator, &mut state, 1, 1, &renewal(1, 10.0, 1, &[], &[]))
         .allotment
         .expect("an allotment");
@@ -146,25 +146,21 @@
     assert_eq!(allocator.expire(&mut state, s(9)), [], "once");
 }
 
-/// What a peer tells may be anything: sums do not overflow, and nothing is granted that is not there.
+/// A peer's message may contain anything: sums must not overflow, and no more may be granted than there is.
 #[test]
-fn absurd_holdings_are_borne() {
-    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), RULES), paid(100));
+fn absurd_holdings_do_not_overflow() {
+    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), SETTINGS), paid(100));
     let absurd = renewal(1, f32::MAX, u64::MAX, &[(1, u64::MAX), (2, u64::MAX)], &[]);
-    assert_eq!(
-        renew(&mut allocator, &mut state, 1, 1, &absurd).allotment,
-        None,
-        "it says that it holds enough"
-    );
+    assert_eq!(renew(&mut allocator, &mut state, 1, 1, &absurd).allotment, None, "it claims to hold enough");
     let wants = renewal(1, f32::MAX, u64::MAX, &[], &[]);
     let got = renew(&mut allocator, &mut state, 1, 2, &wants).allotment.map_or(0, |(_, units)| units);
     assert!(got <= 100, "{got}");
 }
 
-/// What a process told is forgotten with it: others get what it would have got.
+/// The demand of an expired process is dropped, so that others get its share.
 #[test]
-fn a_process_that_is_forgotten_asks_for_nothing() {
-    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), RULES), paid(40));
+fn an_expired_process_has_no_demand() {
+    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), SETTINGS), paid(40));
     for n in 1..=2 {
         renew(&mut allocator, &mut state, 1, n, &renewal(1, 1000.0, 0, &[], &[]));
     }
@@ -176,13 +172,13 @@
     assert_eq!(i128::from(alone.allotment.expect("an allotment").1), free / 2);
 }
 
-/// An account that no settings name has no place in what a leader keeps.
+/// Demands for accounts that are not in the settings must not accumulate in the leader's memory.
 #[test]
-fn an_unknown_account_is_granted_nothing_and_not_kept() {
-    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), RULES), paid(40));
+fn an_unknown_account_is_granted_nothing_and_not_stored() {
+    let (mut allocator, mut state) = (Allocator::new(s(0), &terms(), SETTINGS), paid(40));
     let mut unknown = renewal(1, 5.0, 1, &[], &[]);
     unknown.demands[0].account = "unknown".into();
-    let (entries, grants) = allocator.renew(&mut state, (s(1), 1000), who(1), &unknown);
+    let (entries, grants) = allocator.renew(&mut state, (s(1), 1000), process(1), &unknown);
     assert_eq!((entries, grants), (Vec::new(), Vec::new()));
     assert!(allocator.demands.is_empty());
 }
--- a/crates/wallet/src/account/apply.rs
+++ b/crates/wallet/src/account/apply.rs
@@ -1,14 +1,14 @@
-//! What each entry does to the state.
+//! Applies entries to the state.
 
 use super::{Account, Allotment, AllotmentReport, Entry, KeyDebit, LedgerState, Report};
 use super::{MAX_KEYS, MAX_TOP_UP_IDS};
 use birchswitch_mesh::ProcessId;
 
-/// Every time that so many keys have come, those whose windows are over are forgotten.
+/// Expired keys are removed each time that their number reaches a multiple of this.
 const PRUNE_KEYS_EVERY: usize = 4096;
-/// With more processes than this, reports older than [`REPORT_RETENTION_MS`] are forgotten.
+/// With more processes than this, reports older than [`REPORT_RETENTION_MS`] are removed.
 const MAX_REPORTS: usize = 4096;
-/// In milliseconds of the ledger's time.
+/// How long reports are kept, in milliseconds of the ledger's time.
 const REPORT_RETENTION_MS: u64 = 24 * 3600 * 1000;
 
 impl LedgerState {
@@ -19,15 +19,16 @@
             Entry::TopUp { account, id, units } => self.account(account).top_up(id, *units),
             Entry::Freeze { account, frozen } => self.account(account).frozen = *frozen,
             Entry::Pause { account, paused } => self.account(account).paused = *paused,
-            Entry::Allot { account, number, who, units, sequence } => {
+            Entry::Allot { account, number, process, units, sequence } => {
                 self.next_allotment = self.next_allotment.max(number + 1);
-                let (who, units, sequence) = (*who, *units, *sequence);
-                let allotment = Allotment { who, units, spent: 0, returned: 0, sequence, in_doubt: false };
+                let (process, units, sequence) = (*process, *units, *sequence);
+                let allotment =
+                    Allotment { process, units, spent: 0, returned: 0, sequence, in_doubt: false };
                 self.remove(account, *number);
                 self.account(account).insert(*number, allotment);
-                self.held_by.entry(who).or_default().insert((account.clone(), *number));
+                self.held_by.entry(process).or_default().insert((account.clone(), *number));
             }
-            Entry::Report { who, report, time } => self.report(*who, report, *time),
+            Entry::Report { process, report, time } => self.report(*process, report, *time),
             Entry::Reclaim { account, number } => {
                 self.remove(account, *number);
             }
@@ -43,13 +44,13 @@
         }
     }
 
-    /// Takes out an allotment, and returns it as it was.
+    /// Removes an allotment and returns it.
     fn remove(&mut self, account: &str, number: u64) -> Option<Allotment> {
         let allotment = self.account(account).remove(number)?;
-        if let Some(held) = self.held_by.get_mut(&allotment.who) {
+        if let Some(held) = self.held_by.get_mut(&allotment.process) {
             held.remove(&(account.to_owned(), number));
             if held.is_empty() {
-                self.held_by.remove(&allotment.who);
+                self.held_by.remove(&allotment.process);
             }
         }
         Some(allotment)
@@ -59,16 +60,16 @@
         self.accounts.entry(name.to_owned()).or_default()
     }
 
-    fn report(&mut self, who: ProcessId, report: &Report, time: u64) {
+    fn report(&mut self, process: ProcessId, report: &Report, time: u64) {
         self.time = self.time.max(time);
         let now = self.time;
         for allotment in &report.allotments {
-            let closed = self.account(&allotment.account).report(who, allotment);
+            let closed = self.account(&allotment.account).report(process, allotment);
             if closed {
                 self.remove(&allotment.account, allotment.number);
             }
         }
-        let latest = self.reports.entry(who).or_default();
+        let latest = self.reports.entry(process).or_default();
         if report.number > latest.0 {
             *latest = (report.number, now);
             for key in &report.keys {
@@ -117,10 +118,11 @@
         }
     }
 
-    /// Applies a process's report of its own allotment, whose figures only rise, and never beyond the allotment. Whether it is closed.
-    fn report(&mut self, who: ProcessId, report: &AllotmentReport) -> bool {
+    /// Applies a process's report of its own allotment and returns whether it is closed. The figures never decrease, nor exceed the
+    /// allotment.
+    fn report(&mut self, process: ProcessId, report: &AllotmentReport) -> bool {
         let Some(allotment) = self.allotments.get(&report.number) else { return false };
-        if allotment.who != who {
+        if allotment.process != process {
             return false;
         }
         let spent = report.spent.clamp(allotment.spent, allotment.units - allotment.returned);
--- a/crates/wallet/src/account/entry.rs
+++ b/crates/wallet/src/account/entry.rs
@@ -3,7 +3,7 @@
 use birchswitch_mesh::ProcessId;
 use serde::{Deserialize, Serialize};
 
-/// What became of an allotment so far. The figures are totals, so that applying a report twice changes nothing.
+/// The use of an allotment so far. The figures are cumulative, so applying a report twice has no further effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllotmentReport {
     /// The account.
@@ -14,7 +14,7 @@
     pub spent: u64,
     /// Units returned so far.
     pub returned: u64,
-    /// Nothing more is spent from it: the rest is returned.
+    /// Nothing more will be spent from it: the rest is returned.
     pub closed: bool,
 }
 
@@ -31,18 +31,18 @@
     pub window: u64,
 }
 
-/// What a process reports of its allotments.
+/// A process's report on its allotments.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Counts up within a process; the same number is the same report.
     pub number: u64,
     /// Its allotments.
     pub allotments: Vec<AllotmentReport>,
-    /// Debits for keys since the report before.
+    /// Debits for keys since the previous report.
     pub keys: Vec<KeyDebit>,
 }
 
-/// One entry.
+/// One entry. The order of the variants and fields is part of the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// A leader's first entry of its term.
@@ -51,33 +51,33 @@
     TopUp {
         /// The account.
         account: String,
-        /// The payment's id: a second entry with it is ignored.
+        /// The payment's id. Further entries with the same id are ignored.
         id: String,
         /// Units credited.
         units: u64,
     },
-    /// An operator stopped an account, or let it go on.
+    /// An operator froze an account or released it.
     Freeze {
         /// The account.
         account: String,
-        /// Whether it is stopped.
+        /// Whether it is frozen.
         frozen: bool,
     },
-    /// The balance ran out, or was topped up enough.
+    /// The account was paused because its balance ran out, or resumed.
     Pause {
         /// The account.
         account: String,
-        /// Whether it ran out.
+        /// Whether it is paused.
         paused: bool,
     },
-    /// A process gets an allotment.
+    /// A process is granted an allotment.
     Allot {
         /// The account.
         account: String,
         /// The allotment's number.
         number: u64,
         /// The process.
-        who: ProcessId,
+        process: ProcessId,
         /// Its units.
         units: u64,
         /// Sequence number of the renewal that it answers.
@@ -86,20 +86,20 @@
     /// A process's report.
     Report {
         /// The process.
-        who: ProcessId,
+        process: ProcessId,
         /// The report.
         report: Report,
         /// The ledger's time in milliseconds.
         time: u64,
     },
-    /// An allotment whose response was lost: its process renewed without it.
+    /// An allotment is taken back because the response with it was lost: its process renewed without it.
     Reclaim {
         /// The account.
         account: String,
         /// The allotment.
         number: u64,
     },
-    /// An allotment whose process ended, or was silent for too long, without a last report.
+    /// An allotment's process ended or was silent for too long without a final report.
     MarkInDoubt {
         /// The account.
         account: String,
@@ -112,7 +112,7 @@
         account: String,
         /// The allotment.
         number: u64,
-        /// Units spent of it, in all.
+        /// All units spent of it.
         spent: u64,
     },
 }
--- a/crates/wallet/src/account/mod.rs
+++ b/crates/wallet/src/account/mod.rs
@@ -1,4 +1,4 @@
-//! Accounts as the ledger has them, and what each entry does to them: plain functions, deterministic wherever entries are replayed.
+//! The ledger's accounts and the effect of each entry on them. Applying entries is deterministic, so that all replicas agree.
 
 pub(crate) mod allocator;
 mod apply;
@@ -14,25 +14,25 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use totals::Totals;
 
-/// Payment ids that are remembered for each account.
+/// Most payment ids remembered per account.
 pub(crate) const MAX_TOP_UP_IDS: usize = 100_000;
-/// Idempotency keys that are remembered for each account.
+/// Most idempotency keys remembered per account.
 pub(crate) const MAX_KEYS: usize = 1_000_000;
 
 /// Units of an account that one process may spend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allotment {
     /// The process.
-    pub who: ProcessId,
-    /// Its units at first.
+    pub process: ProcessId,
+    /// Units granted.
     pub units: u64,
-    /// Units debited, as far as reported.
+    /// Units reported as debited.
     pub spent: u64,
-    /// Units returned, as far as reported.
+    /// Units reported as returned.
     pub returned: u64,
     /// Sequence number of the renewal that it answered.
     pub sequence: u64,
-    /// Its process ended, or was silent for too long, without a last report.
+    /// Its process ended or went silent without a final report.
     pub in_doubt: bool,
 }
 
@@ -48,27 +48,27 @@
 pub struct Account {
     /// Units ever paid in.
     pub topped_up: u64,
-    /// Units debited, less what was refunded.
+    /// Units debited, net of refunds.
     pub spent: u64,
-    /// Units that were debited a second time for a key, and refunded.
+    /// Units refunded because they were debited twice for one key.
     pub refunded: u64,
-    /// Allotments that are out, by number.
+    /// Open allotments, by number.
     allotments: BTreeMap<u64, Allotment>,
-    /// Ids of payments, the latest last.
+    /// Ids of credited payments, the latest last.
     pub(crate) top_up_ids: VecDeque<String>,
-    /// Hashes of keys that were debited, and until when they count, in milliseconds of the ledger's time.
+    /// Hashes of debited keys, and the end of their windows in milliseconds of the ledger's time.
     pub(crate) keys: BTreeMap<u64, u64>,
-    /// An operator stopped it.
+    /// An operator has frozen the account.
     pub frozen: bool,
-    /// It ran out, and was not topped up enough since.
+    /// The balance ran out and was not topped up enough since.
     pub paused: bool,
-    /// Sums over its allotments. Not stored: [`LedgerState::from_snapshot`] works them out.
+    /// Sums over the allotments. Not stored: [`LedgerState::from_snapshot`] computes them.
     #[serde(skip)]
     totals: Totals,
 }
 
 impl Account {
-    /// Allotments that are out, by number.
+    /// Open allotments, by number.
     pub fn allotments(&self) -> &BTreeMap<u64, Allotment> {
         &self.allotments
     }
@@ -86,13 +86,13 @@
         self.totals.outstanding()
     }
 
-    /// Units that processes may have spent which did not report.
+    /// Units of allotments in doubt, which may or may not have been spent.
     pub fn in_doubt(&self) -> u64 {
         self.totals.in_doubt()
     }
 }
 
-/// The state that the ledger's entries add up to.
+/// The state that results from the ledger's entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerState {
     /// Accounts by tenant.
@@ -101,21 +101,21 @@
     pub next_allotment: u64,
     /// Number of each process's latest report, and the ledger's time of it.
     pub(crate) reports: BTreeMap<ProcessId, (u64, u64)>,
-    /// The ledger's time: milliseconds that never go back.
+    /// The ledger's time in milliseconds, which never goes back.
     pub time: u64,
-    /// The accounts and numbers of each process's allotments. Not stored: [`LedgerState::from_snapshot`] works it out.
+    /// The accounts and numbers of each process's allotments. Not stored: [`LedgerState::from_snapshot`] computes it.
     #[serde(skip)]
     held_by: BTreeMap<ProcessId, BTreeSet<(String, u64)>>,
 }
 
 impl LedgerState {
-    /// Decodes a snapshot: the bytes that postcard makes of a state.
+    /// Decodes a snapshot: a state in postcard's encoding.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, postcard::Error> {
         let mut state: LedgerState = postcard::from_bytes(bytes)?;
         for (name, account) in &mut state.accounts {
             for (number, allotment) in &account.allotments {
                 account.totals.add(allotment);
-                state.held_by.entry(allotment.who).or_default().insert((name.clone(), *number));
+                state.held_by.entry(allotment.process).or_default().insert((name.clone(), *number));
             }
         }
         Ok(state)
@@ -127,8 +127,8 @@
     }
 
     /// The accounts, numbers and allotments that a process holds, in doubt or not.
-    pub(crate) fn held_by(&self, who: &ProcessId) -> impl Iterator<Item = (&str, u64, &Allotment)> {
-        self.held_by.get(who).into_iter().flatten().filter_map(|(name, number)| {
+    pub(crate) fn held_by(&self, process: &ProcessId) -> impl Iterator<Item = (&str, u64, &Allotment)> {
+        self.held_by.get(process).into_iter().flatten().filter_map(|(name, number)| {
             let allotment = self.accounts.get(name)?.allotments.get(number)?;
             Some((name.as_str(), *number, allotment))
         })
--- a/crates/wallet/src/account/targets/tests.rs
+++ b/crates/wallet/src/account/targets/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_last_units_go_to_whoever_can_use_them_whole() {
+fn the_last_units_go_whole_to_nodes_that_can_use_them() {
     let wants = demand(5.0, 1, 0);
     assert_eq!(targets(&terms(), 3, &[wants; 12]).iter().sum::<u64>(), 3);
     assert_eq!(targets(&terms(), 0, &[demand(5.0, 5, 0), demand(5.0, 1, 4)]), [1, 1]);
@@ -36,7 +36,7 @@
 
 proptest! {
     #[test]
-    fn never_more_than_there_is(
+    fn targets_never_exceed_the_pool(
         free in 0u64..1000,
         nodes in prop::collection::vec((0.0..50.0f64, 0u64..6, 0u64..100), 1..15),
     ) {
@@ -44,7 +44,7 @@
         let pool = free + nodes.iter().map(|n| n.holds).sum::<u64>();
         let targets = targets(&terms(), free, &nodes);
         prop_assert!(targets.iter().sum::<u64>() <= pool);
-        // Where there is enough for one of somebody's requests, somebody gets one.
+        // If half the pool covers a rejected request, some node gets enough for one.
         let fits = nodes.iter().any(|n| n.largest_rejected > 0 && n.largest_rejected <= pool / 2);
         prop_assert!(!fits || nodes.iter().zip(&targets).any(|(n, t)| n.largest_rejected > 0 && *t >= n.largest_rejected));
     }
--- a/crates/wallet/src/account/totals.rs
+++ b/crates/wallet/src/account/totals.rs
@@ -1,8 +1,8 @@
-//! Sums over an account's allotments, kept up to date as they change: an account may have one for each node.
+//! Sums over an account's allotments, updated with each change because an account may have an allotment for every node.
 
 use super::Allotment;
 
-/// Units of allotments that are out.
+/// Units of open allotments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Totals {
     outstanding: u128,
@@ -10,12 +10,12 @@
 }
 
 impl Totals {
-    /// Counts an allotment.
+    /// Adds an allotment to the sums.
     pub(super) fn add(&mut self, allotment: &Allotment) {
         *self.total_of(allotment) += u128::from(allotment.remaining());
     }
 
-    /// Counts an allotment no longer, which has to be as it was when it was added.
+    /// Subtracts an allotment, which must be unchanged since it was added.
     pub(super) fn remove(&mut self, allotment: &Allotment) {
         *self.total_of(allotment) -= u128::from(allotment.remaining());
     }
@@ -25,7 +25,7 @@
         u64::try_from(self.outstanding).unwrap_or(u64::MAX)
     }
 
-    /// Units that processes may have spent which did not report.
+    /// Units of allotments in doubt, which may or may not have been spent.
     pub(super) fn in_doubt(self) -> u64 {
         u64::try_from(self.in_doubt).unwrap_or(u64::MAX)
     }
--- a/crates/wallet/src/client/allotments.rs
+++ b/crates/wallet/src/client/allotments.rs
@@ -1,4 +1,4 @@
-//! What a node may spend of each account, and what its requests spent. Used by the node's own thread alone.
+//! The allotments that a node holds of each account, and the debits of its requests. Used only by the node's own thread.
 
 use crate::account::targets::AccountTerms;
 use crate::account::{AllotmentReport, KeyDebit, Report};
@@ -7,29 +7,29 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Debits for keys that wait to be reported; with more, requests with keys are rejected.
+/// Most debits for keys that wait to be reported. Beyond it, requests with keys are rejected.
 const MAX_UNREPORTED_KEYS: usize = 50_000;
 /// Most debits for keys in one report.
 const MAX_REPORTED_KEYS: usize = 4_000;
-/// Seconds over which the rate of demand is smoothed.
+/// Time constant in seconds over which the demand rate is smoothed.
 const SMOOTHING_S: f64 = 1.0;
-/// A lower rate counts as none, in units a second.
-const LEAST_RATE: f64 = 0.01;
-/// Taken for the time before the first renewal, in seconds.
+/// A demand rate below this counts as zero, in units a second.
+const MIN_RATE: f64 = 0.01;
+/// The time that the first renewal's demand is assumed to cover, in seconds.
 const FIRST_INTERVAL_S: f64 = 0.25;
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The balance ran out.
+    /// The balance has run out.
     Paused,
-    /// An operator stopped the account.
+    /// An operator has frozen the account.
     Frozen,
-    /// This node holds too few units of the balance now.
+    /// This node holds too few units at present.
     NoAllotment,
 }
 
-/// Units that a request reserved, to be settled when it ends.
+/// Units reserved for a request, to be settled when it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation {
     account: usize,
@@ -47,7 +47,7 @@
     returned: u64,
     reserved: u64,
     until: Time,
-    /// Requests may reserve from it.
+    /// Whether requests may reserve from it.
     open: bool,
 }
 
@@ -65,12 +65,12 @@
 #[derive(Clone, Debug)]
 struct LocalAccount {
     terms: AccountTerms,
-    /// For how long each class's keys count, in milliseconds.
+    /// The window of each class's idempotency keys, in milliseconds.
     windows: Vec<u64>,
     allotments: Vec<HeldAllotment>,
-    /// Units that requests asked for since the last renewal.
+    /// Units that requests demanded since the last renewal.
     demanded: u64,
-    /// The same a second, smoothed.
+    /// Smoothed demand in units a second.
     units_per_s: f64,
     largest_rejected: u64,
     paused: bool,
@@ -89,21 +89,22 @@
     sequence: u64,
     highest_token: u64,
     prepared_at: Option<Time>,
-    /// The latest report of keys, as long as the ledger may not hold it, and the debits that wait for the next.
+    /// Number and debits of the latest key report. The debits are kept until the ledger has the report; new ones wait in
+    /// `unreported_keys`.
     reporting: (u64, Vec<KeyDebit>),
     unreported_keys: VecDeque<KeyDebit>,
-    /// Allotments that the renewal under way reports as closed.
+    /// Allotments that the current renewal reports as closed.
     closing: Vec<u64>,
-    /// Nothing more is reserved: what is still granted is returned.
+    /// Nothing more is reserved, and new grants are returned.
     closed: bool,
-    /// Sequence number when it closed. A later renewal reclaims what was granted to one whose response was lost.
+    /// Sequence number at the close. A later renewal reclaims what was granted to an earlier one whose response was lost.
     sequence_at_close: u64,
-    /// A renewal from after the close was answered.
+    /// Whether a renewal that was prepared after the close was answered.
     renewed_since_close: bool,
 }
 
 impl LocalAllotments {
-    /// Holds nothing yet. `tenants` are the settings' names, `windows` the classes' windows for keys.
+    /// Creates an empty set of allotments. `tenants` are the names in the settings, `windows` the classes' windows for keys.
     pub fn new(terms: &[AccountTerms], tenants: &[String], windows: &[Duration], ttl: Duration) -> Self {
         let account_of = |tenant: &String| terms.iter().position(|terms| terms.account == *tenant);
         LocalAllotments {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Reserves a request's price; none: it costs nothing.
+    /// Reserves a request's price. `None`: the request is free.
     pub fn reserve(
         &mut self,
         now: Time,
@@ -135,7 +136,7 @@
         let unreported = self.unreported_keys.len() + self.reporting.1.len();
         let keys_full = key.is_some() && unreported >= MAX_UNREPORTED_KEYS;
         let local = &mut self.accounts[account];
-        let price = local.terms.prices.of(class, work);
+        let price = local.terms.prices.price_of(class, work);
         if price == 0 {
             return Ok(None);
         }
@@ -150,7 +151,8 @@
         Ok(Some(Reservation { account, units, key }))
     }
 
-    /// Settles a reservation when its request has ended: debits it if the request ran, or may have, and else releases it.
+    /// Settles the reservation of a request that has ended: debits it if the request was or may have been carried out, and otherwise
+    /// releases it.
     pub fn settle(&mut self, reservation: Reservation, ran: bool) {
         let local = &mut self.accounts[reservation.account];
         for (number, units) in reservation.units {
@@ -166,7 +168,7 @@
         self.unreported_keys.extend(reservation.key.filter(|_| ran));
     }
 
-    /// Debits a reservation once more. Only a planted mistake does, for each attempt beyond the first.
+    /// Debits a reservation again. Used only by a fault that tests inject, for each attempt after the first.
     pub fn debit_again(&mut self, reservation: &Reservation) {
         let local = &mut self.accounts[reservation.account];
         for (number, units) in &reservation.units {
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Prepares a renewal; none: no account has traffic, and there is nothing to report.
+    /// Prepares a renewal. `None`: no account has traffic, and there is nothing to report.
     pub fn prepare_renewal(&mut self, now: Time) -> Option<RenewalRequest> {
         let since = self.prepared_at.map(|at| now.saturating_sub(at).as_secs_f64());
         let seconds = since.unwrap_or(FIRST_INTERVAL_S).max(1e-3);
@@ -204,7 +206,7 @@
         Some(RenewalRequest { sequence, highest_token, report, demands })
     }
 
-    /// Applies the response to a renewal that was prepared at that time. Responses to earlier renewals, and of lower tokens, are
+    /// Applies the response to the renewal that was prepared at that time. Responses to earlier renewals or with a lower token are
     /// ignored.
     pub fn apply(&mut self, prepared_at: Time, request: &RenewalRequest, response: &RenewalResponse) {
         if request.sequence != self.sequence || response.token < self.highest_token {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Reserves nothing more: all that is not spent is returned.
+    /// Stops reservations. All unspent units are returned with the next renewals.
     pub fn close(&mut self) {
         self.closed = true;
         self.sequence_at_close = self.sequence;
@@ -233,24 +235,24 @@
         held.for_each(|allotment| allotment.open = false);
     }
 
-    /// Whether there are allotments or debits of which the ledger does not know what became.
+    /// Whether the ledger does not know yet what became of some allotments or debits.
     pub fn is_unsettled(&self) -> bool {
         let debits = !self.unreported_keys.is_empty() || !self.reporting.1.is_empty();
         let held = self.accounts.iter().any(|local| !local.allotments.is_empty());
         debits || held || self.awaits_last_renewal()
     }
 
-    /// Whether a renewal from before the close may have been granted units whose response was lost.
+    /// Whether a renewal from before the close may have been granted units in a response that was lost.
     fn awaits_last_renewal(&self) -> bool {
         self.closed && self.sequence_at_close > 0 && !self.renewed_since_close
     }
 
-    /// Whether a request was rejected for want of units since the last renewal: there is reason to renew at once.
+    /// Whether a request was rejected for lack of units since the last renewal, which is a reason to renew at once.
     pub fn is_short(&self) -> bool {
         self.accounts.iter().any(|local| local.largest_rejected > 0 && !local.paused && !local.frozen)
     }
 
-    /// Each account's name, units held and not spent, units spent here, and requests rejected here.
+    /// Each account's name, available units, units spent here, and requests rejected here.
     pub fn totals(&self) -> impl Iterator<Item = (String, u64, u64, u64)> + '_ {
         self.accounts.iter().map(|local| {
             let open = local.allotments.iter().filter(|held| held.open);
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Reserves a price that is available, from as many allotments as it takes.
+    /// Reserves a price, which has to be available, from as many allotments as needed.
     fn take(&mut self, now: Time, price: u64) -> Vec<(u64, u64)> {
         let (mut taken, mut rest) = (Vec::new(), price);
         for allotment in self.open(now) {
@@ -314,12 +316,12 @@
         }
         let rate = std::mem::take(&mut self.demanded) as f64 / seconds;
         self.units_per_s += (rate - self.units_per_s) * (1.0 - (-seconds / SMOOTHING_S).exp());
-        if self.units_per_s < LEAST_RATE {
+        if self.units_per_s < MIN_RATE {
             self.units_per_s = 0.0;
         }
     }
 
-    /// What became of each allotment. Those that are over are closed, and noted in `closing`.
+    /// Reports the use of each allotment. Those that are used up or expired are closed and added to `closing`.
     fn report(&mut self, now: Time, closing: &mut Vec<u64>) -> Vec<AllotmentReport> {
         let mut reports = Vec::new();
         for held in &mut self.allotments {
@@ -336,7 +338,7 @@
         reports
     }
 
-    /// What it needs; none: it has no traffic and holds nothing.
+    /// The account's demand. `None`: it has no traffic and holds nothing.
     fn demand(&mut self) -> Option<Demand> {
         let largest_rejected = std::mem::take(&mut self.largest_rejected);
         if self.units_per_s <= 0.0 && largest_rejected == 0 && self.allotments.is_empty() {
@@ -348,7 +350,7 @@
         Some(Demand { account, units_per_s: self.units_per_s as f32, largest_rejected, holds })
     }
 
-    /// Takes what is granted, and marks as returned what it holds beyond what it may keep.
+    /// Adds the granted allotment, and marks units beyond `keep` as returned.
     fn apply(&mut self, grant: &AccountGrant, until: Time, open: bool) {
         (self.paused, self.frozen) = (grant.paused, grant.frozen);
         for held in self.allotments.iter_mut().filter(|held| held.open) {
--- a/crates/wallet/src/client/mod.rs
+++ b/crates/wallet/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! A node's side of the accounts: what its requests may spend, and the task that renews it.
+//! A node's side of the accounts: its allotments, and the task that renews them.
 
 pub mod allotments;
 pub mod renewal;
--- a/crates/wallet/src/client/renewal.rs
+++ b/crates/wallet/src/client/renewal.rs
@@ -10,22 +10,22 @@
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::time::{interval, timeout, MissedTickBehavior};
 
-/// What the node's own thread, which holds the allotments, does for this task.
+/// A step that the node's own thread, which owns the allotments, carries out for [`renew_allotments`].
 #[derive(Debug)]
 pub enum RenewalStep {
-    /// Prepare a renewal; none: there is nothing to renew.
+    /// Prepare a renewal. `None`: there is nothing to renew.
     Prepare(oneshot::Sender<Option<(Time, RenewalRequest)>>),
     /// Apply the response to the renewal that was prepared at that time.
     Apply(Time, RenewalRequest, RenewalResponse),
 }
 
-/// The least time between two renewals, however short of units a node is.
+/// The shortest time between two renewals, even if the node is out of units.
 const MIN_INTERVAL: Duration = Duration::from_millis(20);
-/// For an operator's command.
+/// Timeout of an operator's command.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Renews until the node's thread is gone: every `renew`, and at once where `short` tells that requests are rejected for want of
-/// units.
+/// Renews until the receiver of `steps` is dropped: every `renew`, and at once when `short` signals that requests are rejected for
+/// lack of units.
 pub async fn renew_allotments(
     mesh: Mesh,
     (renew, ttl): (Duration, Duration),
@@ -35,12 +35,12 @@
     let mut every = interval(renew);
     every.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        // Whether it was notified or not, a renewal is due.
+        // Notified or timed out: a renewal is due in both cases.
         let _ = timeout(renew, short.notified()).await;
         tokio::time::sleep(MIN_INTERVAL).await;
-        let (tell, told) = oneshot::channel();
-        let Ok(()) = steps.send(RenewalStep::Prepare(tell)) else { return };
-        let Ok(prepared) = told.await else { return };
+        let (reply, prepared) = oneshot::channel();
+        let Ok(()) = steps.send(RenewalStep::Prepare(reply)) else { return };
+        let Ok(prepared) = prepared.await else { return };
         let Some((prepared_at, request)) = prepared else { continue };
         if let Some(response) = send(&mesh, &request, ttl / 2).await {
             let Ok(()) = steps.send(RenewalStep::Apply(prepared_at, request, response)) else { return };
@@ -48,10 +48,10 @@
     }
 }
 
-/// Sends a renewal to whoever claims to lead. The response with the highest token counts.
-async fn send(mesh: &Mesh, request: &RenewalRequest, patience: Duration) -> Option<RenewalResponse> {
+/// Sends a renewal to all nodes that claim to lead. The response with the highest token counts.
+async fn send(mesh: &Mesh, request: &RenewalRequest, max_wait: Duration) -> Option<RenewalResponse> {
     let request: Bytes = postcard::to_stdvec(&Request::Renew(request.clone())).ok()?.into();
-    let answers = mesh.request_from_running(task_id(TASK), LANE, request, patience).await;
+    let answers = mesh.request_from_running(task_id(TASK), LANE, request, max_wait).await;
     let responses = answers.into_iter().filter_map(|answer| match postcard::from_bytes(&answer.ok()?) {
         Ok(Response::Renewed(response)) => Some(response),
         _ => None,
@@ -59,7 +59,7 @@
     responses.max_by_key(|response| response.token)
 }
 
-/// Has the leader carry out an operator's command.
+/// Sends an operator's command to the leader and returns its reply.
 pub async fn send_command(mesh: &Mesh, command: AdminCommand) -> Result<String, String> {
     let request = postcard::to_stdvec(&Request::Admin(command)).map_err(|e| e.to_string())?;
     let request = Bytes::from(request);
--- a/crates/wallet/src/leader/admin.rs
+++ b/crates/wallet/src/leader/admin.rs
@@ -1,9 +1,10 @@
-//! Operators' commands to the leader, and the lines that they get back.
+//! Operators' commands to the leader, and the text of their replies.
 
 use crate::account::{Account, AccountTerms, Entry, LedgerState};
 use crate::message::AdminCommand;
 
-/// Carries out a command. Entries are applied, and added to those that are to be written. An error says why it is rejected.
+/// Executes a command. New entries are applied to the state and added to `entries`, which are still to be written. An error says why
+/// the command was rejected.
 pub(super) fn execute(
     terms: &[AccountTerms],
     unique_top_ups: bool,
@@ -95,7 +96,7 @@
     for (name, account) in &state.accounts {
         for (number, allotment) in account.allotments().iter().filter(|(_, a)| a.in_doubt) {
             let (units, spent) = (allotment.units, allotment.spent);
-            let (member, started) = (allotment.who.id.0, allotment.who.generation.started);
+            let (member, started) = (allotment.process.id.0, allotment.process.generation.started);
             text += &format!("{name} {number} {units} {spent} {member:x} {started}\n");
         }
     }
--- a/crates/wallet/src/leader/mod.rs
+++ b/crates/wallet/src/leader/mod.rs
@@ -1,4 +1,5 @@
-//! The leader: the node that holds the wallet's lease. It writes the ledger, and responds once what it says is on a majority's disks.
+//! The leader: the node that holds the wallet's lease. It writes the ledger, and responds to a request once the request's entries are
+//! on the disks of a majority.
 
 mod admin;
 
@@ -14,18 +15,18 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{interval, sleep};
 
-/// The mesh's lane for the wallet.
+/// The mesh's lane for requests to the leader.
 pub const LANE: u8 = 2;
 /// The name of the task, and of its lease.
 pub const TASK: &str = "wallet";
-/// Most requests that wait for the leader.
+/// Most requests that are queued for the leader.
 const MAX_PENDING: usize = 1024;
-/// Most requests whose entries are written together.
+/// Most requests whose entries are written in one batch.
 const MAX_BATCH: usize = 256;
-/// Between checks for expired sessions, and between attempts to begin a term.
+/// Time between checks for expired sessions, and between attempts to begin a term.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A time for which this node leads.
+/// A term in which this node leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeadershipTerm {
     /// The lease's fencing token.
@@ -37,36 +38,36 @@
 pub struct LeaderSettings {
     /// For how long allotments may be spent from.
     pub ttl: Duration,
-    /// The longest that a request may run.
+    /// The longest time that a client's request may run.
     pub longest_request: Duration,
-    /// An allotment of a process that ended stays in doubt until it is settled. Otherwise it is reclaimed.
+    /// Keeps allotments of processes that ended in doubt until an operator settles them. Otherwise they are reclaimed.
     pub keep_in_doubt: bool,
-    /// A payment is credited once by its id.
+    /// Credits each payment id only once.
     pub unique_top_ups: bool,
 }
 
 struct PendingRequest {
-    who: ProcessId,
+    process: ProcessId,
     request: Request,
     respond: oneshot::Sender<Response>,
 }
 
-/// This node's part in leading: it serves requests whenever it is told that it leads.
+/// This node's leader task: it serves requests while the node has a leadership term.
 pub struct Leader {
     term: watch::Sender<Option<LeadershipTerm>>,
 }
 
-/// What a leader needs in every term.
+/// What a leader uses in every term.
 struct Context {
     mesh: Mesh,
     terms: Vec<AccountTerms>,
-    rules: AllocatorSettings,
-    /// The nodes that hold the ledger.
+    allocator_settings: AllocatorSettings,
+    /// The ledger's replicas.
     nodes: Vec<MemberId>,
 }
 
 impl Leader {
-    /// Serves on the mesh from now on, whenever it leads. `nodes` hold the ledger.
+    /// Serves the wallet's lane of the mesh whenever this node leads. `nodes` are the ledger's replicas.
     pub fn serve(
         mesh: &Mesh,
         terms: Vec<AccountTerms>,
@@ -76,31 +77,31 @@
         let (term, terms_of_leadership) = watch::channel(None);
         let (pending, requests) = mpsc::channel::<PendingRequest>(MAX_PENDING);
         let current = terms_of_leadership.clone();
-        let serve = move |who: ProcessId, bytes: Bytes| {
+        let handle = move |process: ProcessId, bytes: Bytes| {
             let (pending, current) = (pending.clone(), current.clone());
             Box::pin(async move {
-                let leads = current.borrow().is_some();
-                if leads {
-                    enqueue(&pending, who, &bytes).await
+                let is_leader = current.borrow().is_some();
+                if is_leader {
+                    enqueue(&pending, process, &bytes).await
                 } else {
                     None
                 }
             }) as ResponseFuture
         };
-        mesh.serve(LANE, Arc::new(serve));
+        mesh.serve(LANE, Arc::new(handle));
         let clock = mesh.clock();
-        let rules = AllocatorSettings {
+        let allocator_settings = AllocatorSettings {
             ttl: settings.ttl,
             expiry: clock.max_elapsed(settings.ttl) + clock.max_elapsed(settings.longest_request),
             keep_in_doubt: settings.keep_in_doubt,
             unique_top_ups: settings.unique_top_ups,
         };
-        let context = Context { mesh: mesh.clone(), terms, rules, nodes };
-        mesh.spawn(lead_whenever_told(context, terms_of_leadership, requests));
+        let context = Context { mesh: mesh.clone(), terms, allocator_settings, nodes };
+        mesh.spawn(run_terms(context, terms_of_leadership, requests));
         Arc::new(Leader { term })
     }
 
-    /// This node leads from now on, or does not.
+    /// Sets the term in which this node leads. `None`: it does not lead.
     pub fn set_term(&self, term: Option<LeadershipTerm>) {
         self.term.send_if_modified(|current| {
             let changed = *current != term;
@@ -110,18 +111,19 @@
     }
 }
 
-/// Has a request answered by the task that leads; none: it is invalid, there are too many, or the term ends.
-async fn enqueue(pending: &mpsc::Sender<PendingRequest>, who: ProcessId, bytes: &[u8]) -> Option<Bytes> {
+/// Queues a request for the leader task and waits for its response. `None`: the request is invalid, the queue is full, or the term
+/// has ended.
+async fn enqueue(pending: &mpsc::Sender<PendingRequest>, process: ProcessId, bytes: &[u8]) -> Option<Bytes> {
     let request: Request = postcard::from_bytes(bytes).ok()?;
     if matches!(&request, Request::Renew(renewal) if !renewal.is_valid()) {
         return None;
     }
     let (respond, response) = oneshot::channel();
-    pending.try_send(PendingRequest { who, request, respond }).ok()?;
+    pending.try_send(PendingRequest { process, request, respond }).ok()?;
     Some(postcard::to_stdvec(&response.await.ok()?).ok()?.into())
 }
 
-async fn lead_whenever_told(
+async fn run_terms(
     context: Context,
     mut terms: watch::Receiver<Option<LeadershipTerm>>,
     mut requests: mpsc::Receiver<PendingRequest>,
@@ -142,19 +144,20 @@
                 tracing::info!(target: "wallet", kind = "ends", token = term.token);
             }
         }
-        // Those that wait renew again, with whoever leads then.
+        // Drop queued requests: their senders renew again with the next leader.
         while requests.try_recv().is_ok() {}
     }
 }
 
-/// Leads for a term, until the ledger can't be written any more. Returns why.
+/// Leads for a term until the ledger can no longer be written, and returns the reason.
 async fn lead(context: &Context, token: u64, requests: &mut mpsc::Receiver<PendingRequest>) -> String {
     let (mut writer, mut state) = match Writer::begin(&context.mesh, &context.nodes, token).await {
         Ok(begun) => begun,
         Err(error) => return error.to_string(),
     };
     tracing::info!(target: "wallet", kind = "wallet_kept", token);
-    let mut allocator = Allocator::new(context.mesh.clock().now(), &context.terms, context.rules);
+    let mut allocator =
+        Allocator::new(context.mesh.clock().now(), &context.terms, context.allocator_settings);
     let mut check = interval(CHECK_INTERVAL);
     loop {
         let (mut batch, mut entries) = (Vec::new(), Vec::new());
@@ -168,22 +171,22 @@
         }
         let now = context.mesh.clock().now();
         let mut responses = Vec::new();
-        for PendingRequest { who, request, respond } in batch {
+        for PendingRequest { process, request, respond } in batch {
             let response = match request {
                 Request::Renew(renewal) => {
                     let times = (now, unix_time_ms());
-                    let (new, accounts) = allocator.renew(&mut state, times, who, &renewal);
+                    let (new, accounts) = allocator.renew(&mut state, times, process, &renewal);
                     entries.extend(new);
                     Response::Renewed(RenewalResponse { token, report: renewal.report.number, accounts })
                 }
                 Request::Admin(command) => {
-                    let (terms, unique) = (&context.terms, context.rules.unique_top_ups);
+                    let (terms, unique) = (&context.terms, context.allocator_settings.unique_top_ups);
                     Response::Admin(admin::execute(terms, unique, &mut state, &command, &mut entries))
                 }
             };
             responses.push((respond, response));
         }
-        log(&entries, &state);
+        log_entries(&entries, &state);
         if !entries.is_empty() {
             if let Err(error) = writer.write(entries).await {
                 return error.to_string();
@@ -191,7 +194,7 @@
             writer.compact(&state);
         }
         for (respond, response) in responses {
-            // Whoever asked may have given up.
+            // The sender may have stopped waiting.
             let _ = respond.send(response);
         }
     }
@@ -201,8 +204,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Logs what operators want to know of.
-fn log(entries: &[Entry], state: &LedgerState) {
+/// Logs the entries that operators should know of.
+fn log_entries(entries: &[Entry], state: &LedgerState) {
     for entry in entries {
         match entry {
             Entry::Pause { account, paused: true } => {
--- a/crates/wallet/src/ledger/mod.rs
+++ b/crates/wallet/src/ledger/mod.rs
@@ -1,15 +1,15 @@
-//! The ledger: a log of entries on the disks of 3 or 5 nodes, written by one at a time.
+//! The ledger: a log of entries that is replicated to the disks of 3 or 5 nodes, with a single writer.
 //!
-//! Who writes holds a lease; its token is the number under which it writes, so no election is needed here. A writer begins by having a
-//! majority promise its token, for good, takes up the furthest log among them (the highest token of a last record, then the highest
-//! index), and writes a record of its own after it. What a majority holds up to that record, or any later one, is committed: no later
-//! writer can miss it. This is the log of Viewstamped Replication (Liskov and Cowling 2012) with views by lease, and its rule on
-//! records of earlier views is Raft's (Ongaro and Ousterhout 2014, section 5.4.2).
+//! The writer holds a lease and writes under the lease's fencing token, so the ledger needs no election of its own. A writer begins by
+//! making a majority of replicas promise its token durably. It recovers the most up-to-date log among them (the highest token of a last
+//! record, then the highest index) and appends a record of its own. Once a majority stores that record or a later one, all records up
+//! to it are committed: no later writer can miss them. This is the log of Viewstamped Replication (Liskov and Cowling 2012) with views
+//! given by the lease, and its rule on records of earlier views is Raft's (Ongaro and Ousterhout 2014, section 5.4.2).
 
 mod recover;
 pub mod replica;
 mod replication;
-// Its errors are the library's, which are large and rare.
+// The errors contain those of redb, which are large but rare.
 #[allow(clippy::result_large_err)]
 pub mod store;
 mod writer;
@@ -19,7 +19,7 @@
 use crate::account::Entry;
 use serde::{Deserialize, Serialize};
 
-/// The mesh's lane for ledgers.
+/// The mesh's lane for requests to replicas.
 pub const LEDGER_LANE: u8 = 3;
 
 /// One record of the log.
@@ -27,20 +27,20 @@
 pub struct Record {
     /// Counted from 1.
     pub index: u64,
-    /// Its writer's.
+    /// The fencing token of its writer.
     pub token: u64,
-    /// What it says.
+    /// Its entry.
     pub entry: Entry,
 }
 
 /// A writer's request to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ReplicaRequest {
-    /// Reject lower tokens from now on, and tell how far the log goes.
+    /// Reject lower tokens from now on, and return the head of the log.
     Promise { token: u64 },
-    /// Append these records after the one of that index and token, in the place of whatever follows it.
+    /// Append these records after the one with that index and token, replacing any that follow it.
     Append { token: u64, previous: (u64, u64), records: Vec<Record> },
-    /// Replace all records up to that token and index by a snapshot: a chunk of it, and its size.
+    /// Replace all records up to that token and index by a snapshot, of which this is a chunk. `total` is the snapshot's size.
     InstallSnapshot { token: u64, up_to: (u64, u64), offset: u64, total: u64, bytes: Vec<u8> },
     /// Read a chunk of the snapshot.
     ReadSnapshot { token: u64, offset: u64 },
@@ -51,17 +51,17 @@
 /// A replica's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ReplicaResponse {
-    /// It promised a higher token.
+    /// The replica has promised a higher token.
     StaleToken { promised: u64 },
-    /// It promised; its log goes so far.
+    /// The replica has promised the token. The head of its log.
     Promised(store::Head),
-    /// All records up to that index are on its disk.
+    /// All records up to that index are on the replica's disk.
     Stored(u64),
-    /// It does not hold the previous record.
+    /// The replica does not have the previous record. The head of its log.
     Mismatch(store::Head),
-    /// A chunk of its snapshot, and the snapshot's size.
+    /// A chunk of the replica's snapshot, and the snapshot's size.
     SnapshotChunk { total: u64, bytes: Vec<u8> },
-    /// Records.
+    /// The records that were read.
     Records(Vec<Record>),
 }
 
--- a/crates/wallet/src/ledger/recover.rs
+++ b/crates/wallet/src/ledger/recover.rs
@@ -1,4 +1,4 @@
-//! How a writer begins: a majority promises, and the furthest log among them is recovered up.
+//! Recovery at the start of a writer's term: a majority promises the token, and the most up-to-date log among them is read.
 
 use super::store::Head;
 use super::{Record, ReplicaRequest, ReplicaResponse, LEDGER_LANE};
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use std::time::Duration;
 
-/// For one response.
+/// Timeout of a request to a replica.
 pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Why a writer could not begin, or has to stop.
@@ -24,10 +24,10 @@
     DataLoss,
 }
 
-/// The log and its state as they were recovered.
+/// The recovered log and the state that results from it.
 pub(crate) struct Recovered {
     pub state: LedgerState,
-    /// Its snapshot, and the index and token that it stands for.
+    /// Index and token of the last record that the snapshot covers.
     pub base: (u64, u64),
     pub snapshot: Vec<u8>,
     pub records: Vec<Record>,
@@ -39,18 +39,18 @@
     postcard::from_bytes(&answer).ok()
 }
 
-/// Of the replicas that promised, the one whose log goes furthest; none: no replica holds anything. A replica that is empty may have
-/// lost what it promised, and counts only where all are empty.
-pub(crate) fn furthest(
+/// The replica with the most up-to-date log among those that promised. `None`: all replicas are empty. An empty replica may have lost
+/// its data, and so counts only if all replicas are empty.
+pub(crate) fn most_up_to_date(
     heads: &[(MemberId, Head)],
     all: usize,
 ) -> Result<Option<(MemberId, Head)>, WriterError> {
-    let full: Vec<_> = heads.iter().filter(|h| !h.1.empty).collect();
-    if full.is_empty() {
+    let non_empty: Vec<_> = heads.iter().filter(|h| !h.1.empty).collect();
+    if non_empty.is_empty() {
         return if heads.len() == all { Ok(None) } else { Err(WriterError::NoMajority) };
     }
-    match (full.len() > all / 2, heads.len() > all / 2) {
-        (true, _) => Ok(full.into_iter().max_by_key(|h| h.1.last).copied()),
+    match (non_empty.len() > all / 2, heads.len() > all / 2) {
+        (true, _) => Ok(non_empty.into_iter().max_by_key(|h| h.1.last).copied()),
         (false, true) => Err(WriterError::DataLoss),
         (false, false) => Err(WriterError::NoMajority),
     }
@@ -58,23 +58,23 @@
 
 /// Recovers the ledger under a token.
 pub(crate) async fn recover(mesh: &Mesh, nodes: &[MemberId], token: u64) -> Result<Recovered, WriterError> {
-    let asked = nodes.iter().map(|node| {
+    let pending = nodes.iter().map(|node| {
         let (mesh, node) = (mesh.clone(), *node);
         tokio::spawn(async move { (node, send(&mesh, node, &ReplicaRequest::Promise { token }).await) })
     });
-    let asked: Vec<_> = asked.collect();
+    let pending: Vec<_> = pending.collect();
     let mut heads = Vec::new();
-    for answer in asked {
+    for answer in pending {
         match answer.await {
             Ok((node, Some(ReplicaResponse::Promised(head)))) => heads.push((node, head)),
             Ok((_, Some(ReplicaResponse::StaleToken { .. }))) => return Err(WriterError::Superseded),
             _ => {}
         }
     }
-    let nothing =
+    let empty =
         Recovered { state: LedgerState::default(), base: (0, 0), snapshot: Vec::new(), records: Vec::new() };
-    let Some((from, head)) = furthest(&heads, nodes.len())? else { return Ok(nothing) };
-    let mut recovered = nothing;
+    let Some((from, head)) = most_up_to_date(&heads, nodes.len())? else { return Ok(empty) };
+    let mut recovered = empty;
     if head.base.1 > 0 {
         recovered.snapshot = snapshot(mesh, from, token).await?;
         recovered.state =
@@ -128,17 +128,25 @@
     }
 
     #[test]
-    fn the_furthest_log_is_taken_up_and_a_replica_that_forgot_counts_for_nothing() {
+    fn the_most_up_to_date_log_wins_and_an_empty_replica_does_not_count() {
         let id = MemberId;
         let all = [(id(1), head(3, 9)), (id(2), head(4, 7)), (id(3), head(3, 12))];
-        assert_eq!(furthest(&all, 3), Ok(Some(all[1])), "a later token counts before a higher index");
-        assert_eq!(furthest(&all[..1], 3), Err(WriterError::NoMajority));
+        assert_eq!(
+            most_up_to_date(&all, 3),
+            Ok(Some(all[1])),
+            "a higher token takes precedence over a higher index"
+        );
+        assert_eq!(most_up_to_date(&all[..1], 3), Err(WriterError::NoMajority));
         let forgot = [(id(1), head(3, 9)), (id(2), head(0, 0))];
-        assert_eq!(furthest(&forgot, 3), Err(WriterError::DataLoss));
+        assert_eq!(most_up_to_date(&forgot, 3), Err(WriterError::DataLoss));
         let fresh = [(id(1), head(0, 0)), (id(2), head(0, 0)), (id(3), head(0, 0))];
-        assert_eq!(furthest(&fresh, 3), Ok(None));
-        assert_eq!(furthest(&fresh[..2], 3), Err(WriterError::NoMajority), "the third may hold all");
+        assert_eq!(most_up_to_date(&fresh, 3), Ok(None));
+        assert_eq!(
+            most_up_to_date(&fresh[..2], 3),
+            Err(WriterError::NoMajority),
+            "the third replica may have records"
+        );
         let one_new = [all[0], all[1], (id(3), head(0, 0))];
-        assert_eq!(furthest(&one_new, 3), Ok(Some(all[1])));
+        assert_eq!(most_up_to_date(&one_new, 3), Ok(Some(all[1])));
     }
 }
--- a/crates/wallet/src/ledger/replica.rs
+++ b/crates/wallet/src/ledger/replica.rs
@@ -1,4 +1,4 @@
-//! A node that stores the ledger on its disk. It rejects tokens below the highest that it has seen.
+//! A replica: a node that stores the ledger on its disk. It rejects requests with tokens below the highest that it has promised.
 
 use super::store::{Store, StoreError};
 use super::{ReplicaRequest, ReplicaResponse, LEDGER_LANE, MAX_CHUNK};
@@ -10,45 +10,45 @@
 /// Most records in one response.
 const MAX_RECORDS: usize = 256;
 
-/// See the module's documentation.
+/// A replica of the ledger.
 pub struct Replica {
     folder: PathBuf,
-    most: u64,
+    max_bytes: u64,
     state: Mutex<State>,
 }
 
 struct State {
     store: Option<Store>,
-    /// A snapshot that is being received: up to which record, and the bytes so far.
+    /// The snapshot that is being received: token and index of the last record that it covers, and the bytes so far.
     incoming_snapshot: ((u64, u64), Vec<u8>),
 }
 
-/// Leadership the ledger in a folder from now on, for whoever writes. An error: it can't be read. The node serves on without it.
-pub fn serve_replica(mesh: &Mesh, folder: PathBuf, most: u64) -> Result<Arc<Replica>, StoreError> {
-    let store = Store::open(&folder, most)?;
+/// Opens the replica in a folder and serves it on the mesh. On an error the replica is not served, and the node can run without it.
+pub fn serve_replica(mesh: &Mesh, folder: PathBuf, max_bytes: u64) -> Result<Arc<Replica>, StoreError> {
+    let store = Store::open(&folder, max_bytes)?;
     let (promised, head) = (store.promised(), store.head());
     tracing::info!(target: "wallet", kind = "ledger_opened", promised, last = head.last.1, token = head.last.0);
     let state = Mutex::new(State { store: Some(store), incoming_snapshot: Default::default() });
-    let replica = Arc::new(Replica { folder, most, state });
-    let serves = replica.clone();
-    let answer = move |_: ProcessId, bytes: Bytes| {
-        let replica = serves.clone();
+    let replica = Arc::new(Replica { folder, max_bytes, state });
+    let handler_replica = replica.clone();
+    let handle = move |_: ProcessId, bytes: Bytes| {
+        let replica = handler_replica.clone();
         Box::pin(async move {
-            // The disk may be slow.
-            tokio::task::spawn_blocking(move || replica.answer(&bytes)).await.ok().flatten()
+            // Disk access blocks.
+            tokio::task::spawn_blocking(move || replica.handle(&bytes)).await.ok().flatten()
         }) as ResponseFuture
     };
-    mesh.serve(LEDGER_LANE, Arc::new(answer));
+    mesh.serve(LEDGER_LANE, Arc::new(handle));
     Ok(replica)
 }
 
 impl Replica {
-    fn answer(&self, bytes: &[u8]) -> Option<Bytes> {
+    fn handle(&self, bytes: &[u8]) -> Option<Bytes> {
         let request: ReplicaRequest = postcard::from_bytes(bytes).ok()?;
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if state.store.is_none() {
-            // After an error nothing in memory is trusted: the state is read from the disk again.
-            state.store = Store::open(&self.folder, self.most).ok();
+            // After an error the state in memory is not trusted, so the store is opened again.
+            state.store = Store::open(&self.folder, self.max_bytes).ok();
         }
         match state.execute(request) {
             Ok(response) => Some(postcard::to_stdvec(&response?).ok()?.into()),
@@ -85,7 +85,7 @@
                 if index < store.head().base.1 || store.token_at(index)? != Some(of) {
                     return Ok(Some(ReplicaResponse::Mismatch(store.head())));
                 }
-                // Records that it holds already are not written again.
+                // Skip records that are stored already.
                 let held = |r: &super::Record| Ok::<_, StoreError>(store.token_at(r.index)? == Some(r.token));
                 let mut new = records.as_slice();
                 while let [first, rest @ ..] = new {
@@ -118,8 +118,8 @@
             ReplicaRequest::ReadSnapshot { offset, .. } => {
                 let bytes = store.snapshot()?;
                 let from = (offset as usize).min(bytes.len());
-                let piece = &bytes[from..(from + MAX_CHUNK).min(bytes.len())];
-                ReplicaResponse::SnapshotChunk { total: bytes.len() as u64, bytes: piece.to_vec() }
+                let chunk = &bytes[from..(from + MAX_CHUNK).min(bytes.len())];
+                ReplicaResponse::SnapshotChunk { total: bytes.len() as u64, bytes: chunk.to_vec() }
             }
             ReplicaRequest::ReadRecords { from, .. } => {
                 let mut records = store.records(from, MAX_RECORDS)?;
--- a/crates/wallet/src/ledger/replication.rs
+++ b/crates/wallet/src/ledger/replication.rs
@@ -1,4 +1,4 @@
-//! A writer's task for each replica: it sends the records that the replica lacks, and tells how far the replica has come.
+//! The writer's task for each replica: sends the records that the replica lacks, and publishes its progress.
 
 use super::recover::send;
 use super::writer::Log;
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Before the next attempt after one that failed.
+/// Delay before the next attempt after a failed one.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// A replica whose snapshot is more records behind than this gets a newer one.
+/// A replica whose snapshot is more than so many records behind is sent a newer one.
 const MAX_SNAPSHOT_LAG: u64 = 1000;
 
 /// What to send next.
@@ -21,8 +21,8 @@
     Nothing,
 }
 
-/// Replicates to one replica until the writer is gone. `stored` tells up to which index the replica holds all records, `superseded`
-/// that a later writer has begun.
+/// Replicates to one replica until the writer is dropped. `stored` publishes the index up to which the replica has all records, and
+/// `superseded` that a later writer has begun.
 pub(super) async fn replicate(
     (mesh, to, token): (Mesh, MemberId, u64),
     (log, first): (Arc<Mutex<Log>>, u64),
@@ -30,7 +30,7 @@
     stored: watch::Sender<u64>,
     superseded: watch::Sender<bool>,
 ) {
-    // How far it is gets known by trying, from the last recovered record on.
+    // The replica's position is found by trial, starting after the last recovered record.
     let (mut from, mut base) = (first, 0);
     loop {
         let next = log.lock().unwrap_or_else(PoisonError::into_inner).next_after(from, base);
@@ -53,9 +53,9 @@
                     base = base.max(now);
                 }
                 stored.send_if_modified(|s| {
-                    let more = index > *s;
+                    let advanced = index > *s;
                     *s = index.max(*s);
-                    more
+                    advanced
                 });
             }
             Some(ReplicaResponse::Mismatch(head)) => {
@@ -101,7 +101,7 @@
 }
 
 impl Log {
-    /// What follows the record before `from`, for a replica whose snapshot stands for all up to `base`.
+    /// What to send from index `from` on, to a replica whose snapshot covers all records up to `base`.
     fn next_after(&self, from: u64, base: u64) -> Next {
         if from <= self.base.0 || self.base.0 > base + MAX_SNAPSHOT_LAG {
             return Next::Snapshot { up_to: self.base, bytes: self.snapshot.clone() };
@@ -118,14 +118,14 @@
         };
         let records: Vec<Record> = self.records.iter().skip(at).take_while(fits).cloned().collect();
         match (records.is_empty(), self.records.get(at)) {
-            // One that is larger than a chunk goes alone.
+            // A record larger than a chunk is sent alone.
             (true, Some(record)) => Next::Records { previous, records: vec![record.clone()] },
             (true, None) => Next::Nothing,
             (false, _) => Next::Records { previous, records },
         }
     }
 
-    /// The snapshot's index, if a replica that holds all up to `index` was sent the snapshot.
+    /// The snapshot's index, if `index` shows that the replica has stored the snapshot.
     fn base_if(&self, index: u64) -> Option<u64> {
         (index == self.base.0).then_some(index)
     }
--- a/crates/wallet/src/ledger/store.rs
+++ b/crates/wallet/src/ledger/store.rs
@@ -1,4 +1,4 @@
-//! What a replica has on its disk: an embedded store (redb), every change one durable transaction.
+//! A replica's storage: an embedded database (redb). Every change is one durable transaction.
 
 use super::Record;
 use redb::{Database, ReadableTable, TableDefinition};
@@ -10,82 +10,82 @@
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const SNAPSHOT: TableDefinition<&str, &[u8]> = TableDefinition::new("snapshot");
 
-/// How far a replica's log goes.
+/// The position of a replica's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// Token and index of its last record.
     pub last: (u64, u64),
-    /// Token and index of the last record that its snapshot stands for.
+    /// Token and index of the last record that its snapshot covers.
     pub base: (u64, u64),
-    /// It has never held anything.
+    /// The replica has never stored a record.
     pub empty: bool,
 }
 
-/// Why the disk could not be had or written.
+/// Why the storage could not be opened, read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The store says so.
+    /// An error of the database.
     #[error("ledger {path}: {source}")]
     Store {
         /// The file.
         path: String,
-        /// What it says.
+        /// The database's error.
         source: Box<redb::Error>,
     },
-    /// The file is damaged, or a record in it.
+    /// The file or a record in it is corrupt.
     #[error("ledger {0}: it is damaged")]
     Corrupt(String),
-    /// The file is as large as it may be.
-    #[error("ledger {path}: {size} bytes, and no more than {most} may be taken")]
+    /// The file has reached its size limit.
+    #[error("ledger {path}: {size} bytes, and no more than {max_bytes} may be taken")]
     Full {
         /// The file.
         path: String,
         /// Its size.
         size: u64,
-        /// The most.
-        most: u64,
+        /// The limit.
+        max_bytes: u64,
     },
-    /// The folder can't be had.
+    /// The folder could not be created.
     #[error("ledger {path}: {source}")]
     Folder {
         /// The folder.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
 }
 
-/// See the module's words. Its calls block.
+/// A replica's storage. All calls block.
 pub struct Store {
     path: PathBuf,
-    most: u64,
+    max_bytes: u64,
     database: Database,
     head: Head,
     promised: u64,
 }
 
 impl Store {
-    /// Opens the file in a folder, or makes it. It takes no more than `most` bytes.
-    pub fn open(folder: &Path, most: u64) -> Result<Store, StoreError> {
-        let named = |source| StoreError::Folder { path: folder.display().to_string(), source };
-        std::fs::create_dir_all(folder).map_err(named)?;
+    /// Opens or creates the file in a folder. Writes fail once it is larger than `max_bytes`.
+    pub fn open(folder: &Path, max_bytes: u64) -> Result<Store, StoreError> {
+        let folder_error = |source| StoreError::Folder { path: folder.display().to_string(), source };
+        std::fs::create_dir_all(folder).map_err(folder_error)?;
         let path = folder.join("ledger.redb");
-        // The library asserts some of what it finds in a file that was cut short.
+        // redb panics on some truncated files.
         let opened = catch_unwind(AssertUnwindSafe(|| Database::create(&path)));
         let damaged = |_| StoreError::Corrupt(path.display().to_string());
-        let database = opened.map_err(damaged)?.map_err(|e| wrong(&path, e))?;
-        let mut store = Store { path, most, database, head: Head::default(), promised: 0 };
+        let database = opened.map_err(damaged)?.map_err(|e| store_error(&path, e))?;
+        let mut store = Store { path, max_bytes, database, head: Head::default(), promised: 0 };
         store.write(|_, _, _| Ok(()))?;
-        store.look()?;
+        store.load_head()?;
         Ok(store)
     }
 
-    /// How far it goes.
+    /// The position of the log.
     pub fn head(&self) -> Head {
         self.head
     }
 
-    /// The highest token that it promised.
+    /// The highest token that the replica has promised.
     pub fn promised(&self) -> u64 {
         self.promised
     }
@@ -99,9 +99,9 @@
         ) -> Result<(), redb::Error>,
     ) -> Result<(), StoreError> {
         let size = std::fs::metadata(&self.path).map_or(0, |m| m.len());
-        if size > self.most {
+        if size > self.max_bytes {
             let path = self.path.display().to_string();
-            return Err(StoreError::Full { path, size, most: self.most });
+            return Err(StoreError::Full { path, size, max_bytes: self.max_bytes });
         }
         let write = || -> Result<(), redb::Error> {
             let transaction = self.database.begin_write()?;
@@ -113,11 +113,11 @@
             }
             Ok(transaction.commit()?)
         };
-        write().map_err(|e| wrong(&self.path, e))
+        write().map_err(|e| store_error(&self.path, e))
     }
 
-    /// Reads how far it goes.
-    fn look(&mut self) -> Result<(), StoreError> {
+    /// Loads the promised token and the log's position from the database.
+    fn load_head(&mut self) -> Result<(), StoreError> {
         let read = || -> Result<_, redb::Error> {
             let transaction = self.database.begin_read()?;
             let meta = transaction.open_table(META)?;
@@ -126,7 +126,7 @@
             let last = log.last()?.map(|(index, bytes)| (index.value(), bytes.value().to_vec()));
             Ok((get("promised")?, (get("base")?, get("base_token")?), last))
         };
-        let (promised, (base, base_token), last) = read().map_err(|e| wrong(&self.path, e))?;
+        let (promised, (base, base_token), last) = read().map_err(|e| store_error(&self.path, e))?;
         let last = match last {
             None => (base_token, base),
             Some((index, bytes)) => (self.record(&bytes)?.token, index),
@@ -140,7 +140,7 @@
         postcard::from_bytes(bytes).map_err(|_| StoreError::Corrupt(self.path.display().to_string()))
     }
 
-    /// Promises a token, for good.
+    /// Promises a token durably.
     pub fn promise(&mut self, token: u64) -> Result<(), StoreError> {
         self.write(|meta, _, _| {
             meta.insert("promised", token)?;
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    /// The token of the record of that index; none: it is not there.
+    /// The token of the record at an index. `None`: there is no such record.
     pub fn token_at(&self, index: u64) -> Result<Option<u64>, StoreError> {
         for (token, at) in [self.head.last, self.head.base] {
             if index == at {
@@ -160,7 +160,7 @@
         Ok(self.records(index, 1)?.first().filter(|r| r.index == index).map(|r| r.token))
     }
 
-    /// Holds these, and none else after the first of them.
+    /// Appends records, removing all stored records from the first one's index on.
     pub fn append(&mut self, token: u64, records: &[Record]) -> Result<(), StoreError> {
         let Some(first) = records.first().map(|r| r.index) else { return Ok(()) };
         let encoded: Result<Vec<(u64, Vec<u8>)>, _> =
@@ -186,10 +186,10 @@
         Ok(())
     }
 
-    /// Holds a snapshot in the place of all up to that token and index, and what comes after it where it held that record.
+    /// Replaces all records up to that token and index by a snapshot. Later records are kept if the log contained that record.
     pub fn install(&mut self, token: u64, up_to: (u64, u64), bytes: &[u8]) -> Result<(), StoreError> {
-        let (last, keeps) = (self.head.last.1, self.token_at(up_to.1)? == Some(up_to.0));
-        let end = if keeps { up_to.1 } else { last };
+        let (last, holds_record) = (self.head.last.1, self.token_at(up_to.1)? == Some(up_to.0));
+        let end = if holds_record { up_to.1 } else { last };
         let from = self.head.base.1;
         self.write(|meta, log, snapshot| {
             meta.insert("promised", token)?;
@@ -202,10 +202,10 @@
             Ok(())
         })?;
         self.promised = token;
-        self.look()
+        self.load_head()
     }
 
-    /// Its snapshot.
+    /// The stored snapshot.
     pub fn snapshot(&self) -> Result<Vec<u8>, StoreError> {
         let read = || -> Result<_, redb::Error> {
             let transaction = self.database.begin_read()?;
@@ -213,22 +213,22 @@
             let bytes = table.get("state")?.map(|b| b.value().to_vec());
             Ok(bytes.unwrap_or_default())
         };
-        read().map_err(|e| wrong(&self.path, e))
+        read().map_err(|e| store_error(&self.path, e))
     }
 
-    /// Records from an index on, at most so many.
-    pub fn records(&self, from: u64, most: usize) -> Result<Vec<Record>, StoreError> {
+    /// Up to `limit` records from an index on.
+    pub fn records(&self, from: u64, limit: usize) -> Result<Vec<Record>, StoreError> {
         let read = || -> Result<Vec<Vec<u8>>, redb::Error> {
             let transaction = self.database.begin_read()?;
             let log = transaction.open_table(LOG)?;
-            let range = log.range(from..)?.take(most);
+            let range = log.range(from..)?.take(limit);
             range.map(|r| Ok(r?.1.value().to_vec())).collect()
         };
-        let bytes = read().map_err(|e| wrong(&self.path, e))?;
+        let bytes = read().map_err(|e| store_error(&self.path, e))?;
         bytes.iter().map(|b| self.record(b)).collect()
     }
 }
 
-fn wrong(path: &Path, source: impl Into<redb::Error>) -> StoreError {
+fn store_error(path: &Path, source: impl Into<redb::Error>) -> StoreError {
     StoreError::Store { path: path.display().to_string(), source: Box::new(source.into()) }
 }
--- a/crates/wallet/src/ledger/writer.rs
+++ b/crates/wallet/src/ledger/writer.rs
@@ -1,4 +1,4 @@
-//! The ledger's one writer: it holds the log in memory, and tells when entries are on a majority's disks.
+//! The ledger's single writer: it keeps the log in memory, and waits until entries are on the disks of a majority.
 
 use super::recover::{recover, WriterError};
 use super::replication::replicate;
@@ -10,12 +10,12 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Records after which a new snapshot takes their place.
+/// With so many records the log is compacted into a snapshot.
 const SNAPSHOT_AFTER: usize = 2000;
 
 /// The log from its snapshot on.
 pub(super) struct Log {
-    /// Index and token of the last record that the snapshot stands for.
+    /// Index and token of the last record that the snapshot covers.
     pub base: (u64, u64),
     pub snapshot: Arc<Vec<u8>>,
     pub records: Vec<Record>,
@@ -28,7 +28,7 @@
     }
 }
 
-/// See the module's documentation. Its tasks end with it.
+/// The ledger's writer. Its replication tasks stop when it is dropped.
 pub(crate) struct Writer {
     token: u64,
     majority: usize,
@@ -40,7 +40,7 @@
 }
 
 impl Writer {
-    /// Recovers the ledger of these nodes under a token, and commits a first record. Returns the state after it.
+    /// Recovers the ledger of these replicas under a token, and commits a first record. Returns the writer and the state after it.
     pub(crate) async fn begin(
         mesh: &Mesh,
         nodes: &[MemberId],
@@ -51,7 +51,7 @@
             Log { base: recovered.base, snapshot: Arc::new(recovered.snapshot), records: recovered.records };
         let log = Arc::new(Mutex::new(log));
         let (written, replication) = (watch::Sender::new(0), JoinSet::new());
-        let (tell_superseded, superseded) = watch::channel(false);
+        let (superseded_sender, superseded) = watch::channel(false);
         let mut writer = Writer {
             token,
             majority: nodes.len() / 2 + 1,
@@ -63,14 +63,14 @@
         };
         let first = writer.log.lock().unwrap_or_else(PoisonError::into_inner).last().0 + 1;
         for node in nodes {
-            let (tell, stored) = watch::channel(0);
+            let (sender, stored) = watch::channel(0);
             let (log, written) = ((writer.log.clone(), first), writer.written.subscribe());
             writer._replication.spawn(replicate(
                 (mesh.clone(), *node, token),
                 log,
                 written,
-                tell,
-                tell_superseded.clone(),
+                sender,
+                superseded_sender.clone(),
             ));
             writer.stored.push(stored);
         }
@@ -79,7 +79,7 @@
         Ok((writer, state))
     }
 
-    /// Applies entries, and waits until they are on a majority's disks.
+    /// Applies entries to the state, and waits until they are on the disks of a majority.
     pub(crate) async fn commit(
         &mut self,
         state: &mut LedgerState,
@@ -89,7 +89,7 @@
         self.write(entries).await
     }
 
-    /// Appends entries that are applied already, and waits until they are on a majority's disks.
+    /// Appends entries that are applied already, and waits until they are on the disks of a majority.
     pub(crate) async fn write(&mut self, entries: Vec<Entry>) -> Result<(), WriterError> {
         let last = {
             let mut log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
@@ -104,32 +104,32 @@
             if *self.superseded.borrow() {
                 return Err(WriterError::Superseded);
             }
-            let holds = self.stored.iter().filter(|s| *s.borrow() >= last).count();
-            if holds >= self.majority {
+            let stored_by = self.stored.iter().filter(|s| *s.borrow() >= last).count();
+            if stored_by >= self.majority {
                 return Ok(());
             }
-            let mut waits = JoinSet::new();
+            let mut waiting = JoinSet::new();
             for stored in &self.stored {
                 let mut stored = stored.clone();
-                waits.spawn(async move { stored.wait_for(|s| *s >= last).await.is_ok() });
+                waiting.spawn(async move { stored.wait_for(|s| *s >= last).await.is_ok() });
             }
             let mut superseded = self.superseded.clone();
-            let mut got = 0;
-            while got < self.majority {
+            let mut count = 0;
+            while count < self.majority {
                 tokio::select! {
-                    done = waits.join_next() => match done {
-                        Some(Ok(true)) => got += 1,
+                    result = waiting.join_next() => match result {
+                        Some(Ok(true)) => count += 1,
                         Some(_) => {}
-                        // All replicas' tasks are gone: a later writer has begun.
+                        // All replication tasks have ended: a later writer has begun.
                         None => return Err(WriterError::Superseded),
                     },
-                    _ = superseded.wait_for(|l| *l) => return Err(WriterError::Superseded),
+                    _ = superseded.wait_for(|superseded| *superseded) => return Err(WriterError::Superseded),
                 }
             }
         }
     }
 
-    /// Puts a snapshot of the accounts in the place of all that is committed, where that is much.
+    /// Replaces the records, all of which are committed, by a snapshot once there are [`SNAPSHOT_AFTER`].
     pub(crate) fn compact(&mut self, state: &LedgerState) {
         let mut log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         if log.records.len() < SNAPSHOT_AFTER {
--- a/crates/wallet/src/lib.rs
+++ b/crates/wallet/src/lib.rs
@@ -1,4 +1,4 @@
-//! Prepaid accounts of a fleet: each tenant's balance is debited by all nodes, and its traffic pauses when it runs out.
+//! Prepaid accounts of a fleet: all nodes debit a tenant's balance, and the tenant's traffic pauses when the balance runs out.
 //!
 //! ```text
 //!   a request ── reserve, settle ── LocalAllotments: the node's thread (client/allotments.rs)
@@ -8,17 +8,18 @@
 //!                                                   ledger: a log on the disks of 3 or 5 nodes, one writer by lease and token
 //! ```
 //!
-//! Guarantees, whatever fails:
+//! Guarantees, which hold under any failure:
 //!
-//! - **Never is more spent than was prepaid and agreed as overdraft.** A node spends from allotments that were committed to a majority's
-//!   disks before, and an allotment counts against the balance until its node has reported what became of it, or an operator has
-//!   settled it.
+//! - **No more is spent than the prepaid balance and the agreed overdraft.** A node spends only from allotments that were committed to
+//!   the disks of a majority before, and an allotment counts against the balance until its node has reported its use, or an operator
+//!   has settled it.
 //! - **A request is debited once**, however many attempts it takes. A request with an idempotency key is debited once within its
-//!   window, also if its client sent it to two nodes: reports carry the keys' hashes, and the ledger refunds the second debit.
-//! - **A payment is credited once**, however often it is sent.
-//! - **At every moment** topped up = balance + outstanding + spent + in doubt, by construction ([`Account::balance`]).
+//!   window, even if its client sent it to two nodes: reports carry the keys' hashes, and the ledger refunds the second debit.
+//! - **A payment is credited once**, however often it is submitted.
+//! - **The accounts always balance:** topped up = balance + outstanding + spent + in doubt, by construction ([`Account::balance`]).
 //!
-//! `docs/design/wallet.md` derives how soon all nodes pause and resume. `tests/` check the ledger, the node's tests processes.
+//! `docs/design/wallet.md` derives how soon all nodes pause and resume. The tests in `tests/` cover the ledger, and the node's tests
+//! whole processes.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/wallet/src/message.rs
+++ b/crates/wallet/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes and the ledger's leader, in postcard's encoding (`tests/encoding.rs` holds their bytes).
+//! Messages between nodes and the ledger's leader, in postcard's encoding (`tests/encoding.rs` checks the bytes).
 
 use crate::account::Report;
 use serde::{Deserialize, Serialize};
@@ -8,24 +8,24 @@
 pub struct Demand {
     /// The account.
     pub account: String,
-    /// Units a second that requests ask for, smoothed.
+    /// The demand of requests in units a second, smoothed.
     pub units_per_s: f32,
-    /// The price of the dearest request that was rejected for want of units since the last renewal.
+    /// The highest price of a request that was rejected for lack of units since the last renewal.
     pub largest_rejected: u64,
-    /// Allotments that may be spent from: their numbers, and units neither spent nor reserved.
+    /// Open allotments: their numbers, and their units neither spent nor reserved.
     pub holds: Vec<(u64, u64)>,
 }
 
-/// A node's renewal: what became of its allotments, and what it needs.
+/// A node's renewal: the use of its allotments, and its demand.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RenewalRequest {
     /// Counts up within a process, which ignores responses to earlier requests.
     pub sequence: u64,
     /// The highest fencing token that the process has seen.
     pub highest_token: u64,
-    /// What became of its allotments.
+    /// The use of its allotments.
     pub report: Report,
-    /// What it needs.
+    /// Its demand, by account.
     pub demands: Vec<Demand>,
 }
 
@@ -38,9 +38,9 @@
     pub allotment: Option<(u64, u64)>,
     /// The node returns what it holds beyond this many units.
     pub keep: u64,
-    /// The balance ran out.
+    /// The balance has run out.
     pub paused: bool,
-    /// An operator stopped the account.
+    /// An operator has frozen the account.
     pub frozen: bool,
 }
 
@@ -49,7 +49,7 @@
 pub struct RenewalResponse {
     /// The leader's fencing token.
     pub token: u64,
-    /// Number of the latest report of this process that the ledger holds.
+    /// Number of the process's latest report that is in the ledger.
     pub report: u64,
     /// One for each account of the request's demands.
     pub accounts: Vec<AccountGrant>,
@@ -64,7 +64,7 @@
     InDoubt,
     /// Credit a payment: account, the payment's id, units.
     TopUp(String, String, u64),
-    /// Stop an account (`true`) or let it go on.
+    /// Freeze an account (`true`) or release it.
     Freeze(String, bool),
     /// Settle an allotment in doubt: account, allotment, units spent.
     Settle(String, u64, u64),
@@ -89,7 +89,7 @@
 }
 
 impl RenewalRequest {
-    /// Whether all numbers are in range. A peer's message may hold anything.
+    /// Whether all numbers are in range. A peer's message may contain anything.
     pub fn is_valid(&self) -> bool {
         self.demands.iter().all(|demand| demand.units_per_s.is_finite() && demand.units_per_s >= 0.0)
     }
--- a/crates/wallet/tests/encoding.rs
+++ b/crates/wallet/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The bytes of messages between nodes and of what lies on disk, against samples from 0.1.0: nodes of two builds meet in a
-//! roll-out, and a ledger outlives its build.
+//! Checks the encoding of messages between nodes and of stored data against samples from 0.1.0: nodes of different builds talk to each
+//! other during a roll-out, and later builds read existing ledgers.
 
 use birchswitch_cluster::{Generation, MemberId};
 use birchswitch_mesh::ProcessId;
@@ -14,7 +14,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn who() -> ProcessId {
+fn process() -> ProcessId {
     ProcessId { id: MemberId(77), generation: Generation { started: 1_700_000, draw: 5 } }
 }
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn messages_between_nodes_keep_their_bytes() {
+fn messages_between_nodes_keep_their_encoding() {
     let demand = Demand { account: "t".into(), units_per_s: 1.5, largest_rejected: 5, holds: vec![(3, 9)] };
     let renewal = RenewalRequest { sequence: 7, highest_token: 11, report: report(), demands: vec![demand] };
     assert_eq!(hex(&Request::Renew(renewal)), "00070b0601017403040501010174e70702904e0101740000c03f05010309");
@@ -46,17 +46,17 @@
 }
 
 #[test]
-fn what_lies_on_disk_keeps_its_bytes() {
+fn stored_data_keeps_its_encoding() {
     let account = || "t".to_owned();
     let entries = [
         Entry::TermBegan,
         Entry::TopUp { account: account(), id: "p".into(), units: 300 },
         Entry::Freeze { account: account(), frozen: true },
         Entry::Pause { account: account(), paused: true },
-        Entry::Allot { account: account(), number: 3, who: who(), units: 20, sequence: 7 },
-        Entry::Allot { account: account(), number: 4, who: who(), units: 10, sequence: 8 },
-        Entry::Allot { account: account(), number: 5, who: who(), units: 10, sequence: 9 },
-        Entry::Report { who: who(), report: report(), time: 123_456 },
+        Entry::Allot { account: account(), number: 3, process: process(), units: 20, sequence: 7 },
+        Entry::Allot { account: account(), number: 4, process: process(), units: 10, sequence: 8 },
+        Entry::Allot { account: account(), number: 5, process: process(), units: 10, sequence: 9 },
+        Entry::Report { process: process(), report: report(), time: 123_456 },
         Entry::Reclaim { account: account(), number: 4 },
         Entry::MarkInDoubt { account: account(), number: 5 },
         Entry::Settle { account: account(), number: 6, spent: 1 },
--- a/crates/wallet/tests/nodes/mod.rs
+++ b/crates/wallet/tests/nodes/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes of one process that hold a ledger, for tests and the bench.
+//! Three nodes in one process with replicas of a ledger, for tests and benchmarks.
 
 use birchswitch_cluster::{Generation, MemberId};
 use birchswitch_mesh::{Clock, Identity, Member, MembershipView, Mesh, MeshSettings, ProcessId};
@@ -11,9 +11,9 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-pub const MOST: u64 = 64 << 20;
+pub const MAX_BYTES: u64 = 64 << 20;
 
-/// Nodes of one process that hold a ledger, each on a folder of its own.
+/// Nodes in one process, each with a replica of the ledger in a folder of its own.
 pub struct Nodes {
     pub meshes: Vec<Mesh>,
     pub leaders: Vec<Arc<Leader>>,
@@ -26,15 +26,15 @@
     vec![AccountTerms { account: "t".into(), prices, overdraft: 0, low: 1, resume: 1, ahead }]
 }
 
-/// Starts them on these folders; `without` is one that does not come up.
+/// Starts nodes with their replicas in these folders. `without` is the index of a node that does not come up.
 pub fn start(folders: Vec<TempDir>, without: Option<usize>) -> Nodes {
     let names = ["a", "b", "c"];
     let generation = Generation { started: 1, draw: 0 };
     let mut meshes = Vec::new();
     for name in names {
-        let compiled = MeshSettings { bind: ([127, 0, 0, 1], 0).into(), advertise: None, connections: 16 };
-        let who = Identity { cluster: "c", name, generation, clock: Clock::new(1000, 50) };
-        meshes.push(Mesh::start(&compiled, &who).expect("a mesh"));
+        let settings = MeshSettings { bind: ([127, 0, 0, 1], 0).into(), advertise: None, connections: 16 };
+        let identity = Identity { cluster: "c", name, generation, clock: Clock::new(1000, 50) };
+        meshes.push(Mesh::start(&settings, &identity).expect("a mesh"));
     }
     let member = |(n, mesh): (usize, &Mesh)| {
         let (name, zone) = (names[n].to_owned(), String::new());
@@ -53,14 +53,14 @@
     let mut leaders = Vec::new();
     for (n, mesh) in meshes.iter().enumerate() {
         if Some(n) != without {
-            serve_replica(mesh, folders[n].path().into(), MOST).expect("a replica");
+            serve_replica(mesh, folders[n].path().into(), MAX_BYTES).expect("a replica");
         }
         leaders.push(Leader::serve(mesh, terms(), settings, ids.clone()));
     }
     Nodes { meshes, leaders, folders }
 }
 
-pub fn fresh() -> Vec<TempDir> {
+pub fn empty_folders() -> Vec<TempDir> {
     (0..3).map(|_| tempfile::tempdir().expect("a folder")).collect()
 }
 
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Calls until it is answered: a writer may be about to begin.
-    pub async fn calls(&self, at: usize, call: AdminCommand) -> String {
+    /// Repeats a command until it is answered: the writer may still be recovering.
+    pub async fn call_until_answered(&self, at: usize, call: AdminCommand) -> String {
         for _ in 0..50 {
             if let Some(response) = self.call(at, call.clone()).await {
                 return response.expect("carried out");
