--- a/crates/quota/benches/limiter.rs
+++ b/crates/quota/benches/limiter.rs
@@ -1,4 +1,4 @@
-//! What a request pays at the door: two of four limits count for it, with and without room.
+//! The cost of a limiter's check, where two of four limits count the request: admitted, rejected, and counted by none.
 
 use birchswitch_mesh::Clock;
 use birchswitch_quota::{
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 fn limiter(c: &mut Criterion) {
-    let terms = QuotaTiming {
+    let timing = QuotaTiming {
         renew: Duration::from_millis(400),
         ttl: Duration::from_secs(3600),
         transit: Duration::from_millis(50),
@@ -32,10 +32,10 @@
         limit(3, Some(7), None, rate),
     ];
     let clock = Clock::new(1000, 50);
-    let limiter = Limiter::new(&limits, terms, &[1.0, 2.0], clock);
-    let (applied, _applied) = oneshot::channel();
-    let until = clock.now() + terms.ttl;
-    let grants = (0..3).map(|n| (n, Allocation { rate: 1e9, capacity: 1e6 }, until)).collect();
+    let limiter = Limiter::new(&limits, timing, &[1.0, 2.0], clock);
+    let (applied, _when_applied) = oneshot::channel();
+    let expires = clock.now() + timing.ttl;
+    let grants = (0..3).map(|n| (n, Allocation { rate: 1e9, capacity: 1e6 }, expires)).collect();
     limiter.apply_grants(GrantUpdate { grants, applied });
     c.bench_function("let in by two limits", |b| b.iter(|| limiter.admit(0, 1)));
     c.bench_function("turned away", |b| b.iter(|| limiter.admit(7, 0)));
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -1,47 +1,47 @@
-//! A rate and a capacity: what a limit is, and what each grant of it is a part of.
+//! A rate with a capacity: what a limit allows, and what each grant allows of it.
 
 use serde::{Deserialize, Serialize};
 
-/// Requests a second, and requests at once. A number in flight has no rate.
+/// Requests a second with a burst, or a number of requests in flight, which has no rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Allocation {
     /// Requests a second.
     pub rate: f64,
-    /// A burst, or a number in flight; whole.
+    /// The burst, or the number in flight; a whole number.
     pub capacity: f64,
 }
 
 impl Allocation {
-    /// Nothing.
+    /// Allows no request.
     pub const NONE: Allocation = Allocation { rate: 0.0, capacity: 0.0 };
 
-    fn each(self, other: Allocation, with: impl Fn(f64, f64) -> f64) -> Allocation {
-        Allocation { rate: with(self.rate, other.rate), capacity: with(self.capacity, other.capacity) }
+    fn zip_with(self, other: Allocation, combine: impl Fn(f64, f64) -> f64) -> Allocation {
+        Allocation { rate: combine(self.rate, other.rate), capacity: combine(self.capacity, other.capacity) }
     }
 
-    /// Both together.
+    /// The sum of both.
     pub fn plus(self, other: Allocation) -> Allocation {
-        self.each(other, |a, b| a + b)
+        self.zip_with(other, |a, b| a + b)
     }
 
-    /// What is left of it without another.
-    pub fn less(self, other: Allocation) -> Allocation {
-        self.each(other, |a, b| (a - b).max(0.0))
+    /// The difference, each part at least 0.
+    pub fn saturating_sub(self, other: Allocation) -> Allocation {
+        self.zip_with(other, |a, b| (a - b).max(0.0))
     }
 
-    /// The lesser of each.
+    /// The lower rate and the lower capacity.
     pub fn min(self, other: Allocation) -> Allocation {
-        self.each(other, f64::min)
+        self.zip_with(other, f64::min)
     }
 
-    /// The greater of each.
+    /// The higher rate and the higher capacity.
     pub fn max(self, other: Allocation) -> Allocation {
-        self.each(other, f64::max)
+        self.zip_with(other, f64::max)
     }
 
-    /// Whether it is one that a peer may have meant.
+    /// Whether both values are in the range that a peer may send.
     pub fn is_valid(self) -> bool {
-        let is_valid = |v: f64| v.is_finite() && (0.0..1e12).contains(&v);
-        is_valid(self.rate) && is_valid(self.capacity)
+        let in_range = |v: f64| v.is_finite() && (0.0..1e12).contains(&v);
+        in_range(self.rate) && in_range(self.capacity)
     }
 }
--- a/crates/quota/src/bound.rs
+++ b/crates/quota/src/bound.rs
@@ -1,13 +1,14 @@
-//! What is claimed of a rate, as a count over every window.
+//! The bound on a rate limit, as a check over every window of a sequence of requests.
 
-/// By how many requests the worst window W holds more than `per_s`·W + `burst`, of these in order, in seconds; nothing or less: none does.
-pub fn max_excess(at: impl IntoIterator<Item = f64>, per_s: f64, burst: f64) -> f64 {
+/// By how many requests the worst window of length W exceeds `per_s`·W + `burst`; at most 0: no window does. `times` are in seconds, in
+/// ascending order.
+pub fn max_excess(times: impl IntoIterator<Item = f64>, per_s: f64, burst: f64) -> f64 {
     let (mut least, mut worst) = (f64::INFINITY, f64::NEG_INFINITY);
-    for (n, at) in at.into_iter().enumerate() {
-        let filled = per_s * at;
-        // Of those from the k-th to this one: n + 1 - k.
-        least = least.min(n as f64 - filled);
-        worst = worst.max((n + 1) as f64 - filled - least - burst);
+    for (n, time) in times.into_iter().enumerate() {
+        let allowed = per_s * time;
+        // The window from request k to this one, the n-th from 0, holds n + 1 - k requests.
+        least = least.min(n as f64 - allowed);
+        worst = worst.max((n + 1) as f64 - allowed - least - burst);
     }
     worst
 }
--- a/crates/quota/src/fair_share/apportion.rs
+++ b/crates/quota/src/fair_share/apportion.rs
@@ -1,28 +1,28 @@
-//! Whole units by shares: one for each that has a share, then by largest remainders.
+//! Whole units by shares: one for each node that has a share, and the rest by the largest-remainder method.
 
 use super::RotationPriority;
 
-/// Parts so many units. Where they do not reach for one each, those whose turn it is come first, then the greater shares.
-pub fn apportion(whole: u32, shares: &[f64], turns: &[RotationPriority]) -> Vec<u32> {
+/// Apportions `total` units. Where there are fewer units than nodes with a share, the order is by priority, then by the greater share.
+pub fn apportion(total: u32, shares: &[f64], priorities: &[RotationPriority]) -> Vec<u32> {
     let mut order: Vec<usize> = (0..shares.len()).filter(|n| shares[*n] > 0.0).collect();
-    order.sort_by(|a, b| turns[*a].cmp(&turns[*b]).then(shares[*b].total_cmp(&shares[*a])));
+    order.sort_by(|a, b| priorities[*a].cmp(&priorities[*b]).then(shares[*b].total_cmp(&shares[*a])));
     let mut units = vec![0; shares.len()];
-    let first = order.len().min(whole as usize);
+    let first = order.len().min(total as usize);
     order[..first].iter().for_each(|n| units[*n] = 1);
-    let left = whole as usize - first;
+    let left = total as usize - first;
     let sum: f64 = shares.iter().sum();
     if left == 0 || sum <= 0.0 {
         return units;
     }
     let exact = |n: usize| shares[n] / sum * left as f64;
-    let mut over = left;
+    let mut remaining = left;
     for n in &order {
         let more = exact(*n).floor() as usize;
         units[*n] += more as u32;
-        over -= more.min(over);
+        remaining -= more.min(remaining);
     }
     order.sort_by(|a, b| exact(*b).fract().total_cmp(&exact(*a).fract()).then(a.cmp(b)));
-    order.iter().take(over).for_each(|n| units[*n] += 1);
+    order.iter().take(remaining).for_each(|n| units[*n] += 1);
     units
 }
 
@@ -41,12 +41,12 @@
 
     proptest! {
         #[test]
-        fn all_are_given_where_any_wants_them(
-            whole in 0u32..500, shares in prop::collection::vec(0.0..10.0f64, 1..30),
+        fn all_units_are_given_if_any_node_has_a_share(
+            total in 0u32..500, shares in prop::collection::vec(0.0..10.0f64, 1..30),
         ) {
-            let given: u32 = apportion(whole, &shares, &vec![RotationPriority::Normal; shares.len()]).iter().sum();
-            let wanted = shares.iter().any(|s| *s > 0.0);
-            prop_assert_eq!(given, if wanted { whole } else { 0 });
+            let given: u32 = apportion(total, &shares, &vec![RotationPriority::Normal; shares.len()]).iter().sum();
+            let any = shares.iter().any(|s| *s > 0.0);
+            prop_assert_eq!(given, if any { total } else { 0 });
         }
     }
 }
--- a/crates/quota/src/fair_share/max_min.rs
+++ b/crates/quota/src/fair_share/max_min.rs
@@ -1,38 +1,39 @@
-//! Max-min fairness by water-filling (Bertsekas and Gallager 1992, section 6.5.2), worth first.
+//! Max-min fairness by water-filling (Bertsekas and Gallager 1992, section 6.5.2), the higher worth first.
 
 use crate::DemandAtWorth;
 
-/// The max-min fair parts of a whole: whoever wants less than an even part gets what it wants, the others even parts of what is left.
-pub fn max_min_fair(whole: f64, wanted: &[f64]) -> Vec<f64> {
-    let mut order: Vec<usize> = (0..wanted.len()).collect();
-    order.sort_by(|a, b| wanted[*a].total_cmp(&wanted[*b]));
-    let (mut left, mut parts) = (whole, vec![0.0; wanted.len()]);
-    for (n, at) in order.iter().enumerate() {
-        parts[*at] = wanted[*at].min(left / (order.len() - n) as f64).max(0.0);
-        left -= parts[*at];
+/// Max-min fair shares: a node that demands less than an equal share gets its demand, and the others divide what is left equally.
+pub fn max_min_fair(total: f64, demands: &[f64]) -> Vec<f64> {
+    let mut order: Vec<usize> = (0..demands.len()).collect();
+    order.sort_by(|a, b| demands[*a].total_cmp(&demands[*b]));
+    let (mut left, mut shares) = (total, vec![0.0; demands.len()]);
+    for (n, node) in order.iter().enumerate() {
+        shares[*node] = demands[*node].min(left / (order.len() - n) as f64).max(0.0);
+        left -= shares[*node];
     }
-    parts
+    shares
 }
 
-/// The same for the requests of most worth first, then for the next; what nobody wants is parted evenly, for what may come.
-pub fn max_min_fair_by_worth(whole: f64, wants: &[&[DemandAtWorth]]) -> Vec<f64> {
-    let mut worths: Vec<f32> = wants.iter().flat_map(|w| w.iter().map(|w| w.worth)).collect();
+/// Max-min fair shares of the demand of the highest worth, then of the next, and so on. What remains is divided equally, for requests to
+/// come.
+pub fn max_min_fair_by_worth(total: f64, demands: &[&[DemandAtWorth]]) -> Vec<f64> {
+    let mut worths: Vec<f32> = demands.iter().flat_map(|w| w.iter().map(|w| w.worth)).collect();
     worths.sort_by(|a, b| b.total_cmp(a));
     worths.dedup();
-    let mut parts = vec![0.0; wants.len()];
-    let mut left = whole;
+    let mut shares = vec![0.0; demands.len()];
+    let mut left = total;
     for worth in worths {
-        let at =
+        let amount =
             |w: &&[DemandAtWorth]| w.iter().filter(|w| w.worth == worth).map(|w| f64::from(w.amount)).sum();
-        let wanted: Vec<f64> = wants.iter().map(at).collect();
-        for (part, more) in parts.iter_mut().zip(max_min_fair(left, &wanted)) {
-            *part += more;
+        let amounts: Vec<f64> = demands.iter().map(amount).collect();
+        for (share, more) in shares.iter_mut().zip(max_min_fair(left, &amounts)) {
+            *share += more;
             left -= more;
         }
     }
-    let even = left.max(0.0) / wants.len().max(1) as f64;
-    parts.iter_mut().for_each(|p| *p += even);
-    parts
+    let equal = left.max(0.0) / demands.len().max(1) as f64;
+    shares.iter_mut().for_each(|p| *p += equal);
+    shares
 }
 
 #[cfg(test)]
@@ -41,7 +42,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn who_wants_little_gets_it_and_the_rest_is_even() {
+    fn a_small_demand_is_met_and_the_rest_is_divided_equally() {
         assert_eq!(max_min_fair(10.0, &[1.0, 20.0, 20.0]), [1.0, 4.5, 4.5]);
         assert_eq!(max_min_fair(10.0, &[1.0, 2.0]), [1.0, 2.0]);
         assert_eq!(max_min_fair(0.0, &[1.0]), [0.0]);
@@ -49,27 +50,27 @@
     }
 
     #[test]
-    fn worth_comes_first_when_short() {
-        let want = |worth, amount| DemandAtWorth { worth, amount };
-        let (one, other) = ([want(4.0, 6.0), want(1.0, 10.0)], [want(1.0, 10.0)]);
+    fn the_higher_worth_comes_first() {
+        let demand = |worth, amount| DemandAtWorth { worth, amount };
+        let (one, other) = ([demand(4.0, 6.0), demand(1.0, 10.0)], [demand(1.0, 10.0)]);
         assert_eq!(max_min_fair_by_worth(10.0, &[&one, &other]), [8.0, 2.0]);
-        assert_eq!(max_min_fair_by_worth(30.0, &[&one, &other]), [18.0, 12.0], "what is left over is even");
+        assert_eq!(max_min_fair_by_worth(30.0, &[&one, &other]), [18.0, 12.0], "the rest is divided equally");
     }
 
     proptest! {
         #[test]
-        fn nobody_could_have_more_but_from_one_that_has_no_more(
-            whole in 0.0..100.0f64, wanted in prop::collection::vec(0.0..50.0f64, 1..12),
+        fn no_share_can_grow_but_at_the_cost_of_one_that_is_no_larger(
+            total in 0.0..100.0f64, demands in prop::collection::vec(0.0..50.0f64, 1..12),
         ) {
-            let parts = max_min_fair(whole, &wanted);
-            let sum: f64 = parts.iter().sum();
-            prop_assert!(sum <= whole + 1e-9);
-            let most = parts.iter().copied().fold(0.0, f64::max);
-            for (part, wanted) in parts.iter().zip(&wanted) {
-                prop_assert!(*part <= *wanted);
-                prop_assert!(*part >= *wanted - 1e-9 || *part >= most - 1e-9);
+            let shares = max_min_fair(total, &demands);
+            let sum: f64 = shares.iter().sum();
+            prop_assert!(sum <= total + 1e-9);
+            let most = shares.iter().copied().fold(0.0, f64::max);
+            for (share, demand) in shares.iter().zip(&demands) {
+                prop_assert!(*share <= *demand);
+                prop_assert!(*share >= *demand - 1e-9 || *share >= most - 1e-9);
             }
-            prop_assert!(sum >= whole.min(wanted.iter().sum()) - 1e-9);
+            prop_assert!(sum >= total.min(demands.iter().sum()) - 1e-9);
         }
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,21 +1,23 @@
-//! Limits that hold for a whole fleet.
+//! Rate limits and concurrency limits that hold for a whole fleet.
 //!
 //! ```text
-//!   a request    door ── allowance (one each limit) ──────────── the node's thread
-//!                  │ counts          ▲ grants
-//!   asker     ─────┴── needs ──> keeper ── books ── fair_share      tasks on the mesh
-//!   (each node)     <── word ──  (one node: a lease, number = token)
+//!   a request      limiter ── local quota (one for each limit) ─── the node's thread
+//!                  │ counters        ▲ grants
+//!   renewal   ─────┴─ request ──> leader ── allocator ── fair share    tasks on the mesh
+//!   (each node)    <─ response ── (one node: a lease and its token)
 //! ```
 //!
-//! Each limit is a rate and a capacity ([`Allocation`]): a rate with its burst, or a number in flight. The keeper parts it into grants; a grant
-//! ends by its node's own clock, counted from before it asked, and counts as held at the keeper for as long as the slowest clock may take
-//! to that. Who has no grant does as the limit's `when_cut` says.
+//! Each limit is a rate with a burst, or a number of requests in flight ([`Allocation`]). The leader divides it into grants. A grant expires by
+//! its node's clock, counted from before the node sent its request, and the leader counts it as held for as long as the slowest clock may take
+//! to get there. A node without a grant does what the limit's `when_cut` says.
 //!
-//! It claims for `strict`, whatever fails: **in no window W do servers get more than L·W + B** (in flight: never more than N), as long as
-//! clocks are right to the drift, and a request is on its way to its server for no longer than `transit`. `docs/design/limits.md` derives
-//! it; `tests/bound.rs` checks it on the plain functions in virtual time, the node's tests on processes, at the servers.
+//! The guarantee of a `strict` limit, whatever fails: **in no window of length W do servers receive more than L·W + B requests** (in flight:
+//! never more than N), as long as clocks are right to within the drift and a request takes no longer than `transit` to reach its server.
+//! `docs/design/limits.md` derives it. `tests/bound.rs` checks it on the plain functions in virtual time, and the node's tests check it on
+//! processes, by what the servers receive.
 //!
-//! What decides is plain functions ([`fair_share`], [`Allocator`], [`LocalQuota`], [`fallback`]); what talks is `keeper.rs` and `asker.rs`.
+//! The decisions are functions without I/O ([`fair_share`], [`Allocator`], [`LocalQuota`], [`fallback`]). `leader.rs` and `renewal.rs` do the
+//! I/O.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -1,44 +1,45 @@
-//! What an operator limits, and what holds where no grant can be had.
+//! Limits as an operator configures them.
 
-/// How a limit counts.
+/// How a limit counts requests. The `Debug` text, with its variants and fields, is hashed into the limit's id, which nodes compare:
+/// renaming any of them would stop nodes of different versions from granting each other anything.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Measure {
-    /// Requests a second, and so many at once after a while without any.
+    /// A rate with a burst.
     Rate {
-        /// Requests a second, for the fleet.
+        /// Requests a second of the whole fleet.
         per_s: f64,
-        /// At once, for the fleet.
+        /// Requests at once of the whole fleet, after an idle period.
         burst: f64,
     },
     /// Requests that have not ended.
     InFlight {
-        /// For the fleet.
+        /// The greatest number for the whole fleet.
         most: u32,
     },
 }
 
-/// What a node does without a grant.
+/// What a node does while it has no grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenCut {
-    /// It lets nothing in.
+    /// It rejects all requests.
     Strict,
-    /// It uses its part of the fleet as last agreed.
+    /// It uses an equal share of the limit, for the fleet size last agreed.
     Share,
-    /// It lets everything in.
+    /// It admits all requests.
     Open,
 }
 
-/// Whose requests are counted.
+/// Which requests a limit counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scope {
-    /// One tenant's, by its place among the settings' tenants; all where there is none.
+    /// Index of the tenant in the site's settings; none: all tenants.
     pub tenant: Option<u16>,
-    /// One class's, likewise.
+    /// Index of the class in the site's settings; none: all classes.
     pub class: Option<u8>,
 }
 
 impl Scope {
-    /// Whether a request counts.
+    /// Whether the limit counts requests of this tenant and class.
     pub fn matches(&self, tenant: u16, class: u8) -> bool {
         self.tenant.is_none_or(|t| t == tenant) && self.class.is_none_or(|c| c == class)
     }
@@ -47,14 +48,14 @@
 /// One limit of the whole fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
-    /// What operators call it.
+    /// The operator's name for it.
     pub name: String,
-    /// Whose requests are counted.
+    /// Which requests it counts.
     pub scope: Scope,
-    /// How.
+    /// How it counts them.
     pub measure: Measure,
-    /// What holds without a grant.
+    /// What a node does while it has no grant.
     pub when_cut: WhenCut,
-    /// Over its name and all that has to be the same on every node.
+    /// A hash of the name and of every setting that must be the same on all nodes.
     pub id: u64,
 }
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -1,4 +1,4 @@
-//! The door of a node: what each request takes of the limits that it counts for, by the node's own thread alone.
+//! A node's limiter: checks each request against the limits that count it. Used by the node's thread alone.
 
 use crate::fallback::fallback_grant;
 use crate::renewal::GrantUpdate;
@@ -9,65 +9,68 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request is turned away.
+/// A request exceeds a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// By which limit.
+    /// Index of the limit.
     pub limit: usize,
-    /// When it may be worth coming again.
+    /// When a retry may succeed.
     pub retry_after: Duration,
 }
 
-struct Place {
+struct LimitState {
     limit: Limit,
-    allowance: RefCell<LocalQuota>,
-    counts: Arc<Counters>,
-    /// It uses what holds without a grant.
-    alone: Cell<bool>,
+    quota: RefCell<LocalQuota>,
+    counters: Arc<Counters>,
+    /// The current grant is the fallback's, not the leader's.
+    on_fallback: Cell<bool>,
 }
 
-impl Place {
+impl LimitState {
     fn in_flight(&self) -> bool {
         matches!(self.limit.measure, Measure::InFlight { .. })
     }
 
-    fn open(&self, now: Time) -> bool {
-        self.limit.when_cut == WhenCut::Open && self.allowance.borrow().allocation(now).is_none()
+    /// Whether all requests are admitted now, for want of a grant.
+    fn is_open(&self, now: Time) -> bool {
+        self.limit.when_cut == WhenCut::Open && self.quota.borrow().allocation(now).is_none()
     }
 }
 
-/// See the module's words. Its limits are fixed at the start.
+/// Admits requests under a fixed set of limits.
 pub struct Limiter {
     clock: Clock,
-    terms: QuotaTiming,
-    places: Vec<Place>,
+    timing: QuotaTiming,
+    limits: Vec<LimitState>,
+    /// The worth of a request of each class.
     worths: Vec<f64>,
-    /// The fleet as last agreed; 0: not known.
+    /// The fleet size last agreed; 0: unknown.
     nodes: Cell<u32>,
 }
 
-/// What a request took, to be given back when it has ended.
+/// What an admitted request holds of its limits. Dropped when the request has ended.
 pub struct Permit {
-    door: Rc<Limiter>,
+    limiter: Rc<Limiter>,
     limits: Vec<usize>,
-    /// When it was let in, or last counted as if.
-    at: Cell<Time>,
+    /// When the request last took tokens.
+    admitted_at: Cell<Time>,
     sent: Cell<bool>,
 }
 
 impl Permit {
-    /// Whether it may go to a server now: one that was let in longer ago than `transit` counts anew, as if it came now.
+    /// Checks whether the request may be sent to a server now. One that was admitted longer than `transit` ago takes tokens again, since the
+    /// bound covers only requests that reach a server within `transit`.
     pub fn recheck(&self) -> Result<(), Rejection> {
-        let now = self.door.clock.now();
-        if self.sent.get() || now <= self.at.get() + self.door.terms.transit {
+        let now = self.limiter.clock.now();
+        if self.sent.get() || now <= self.admitted_at.get() + self.limiter.timing.transit {
             return Ok(());
         }
-        self.door.again(&self.limits, now)?;
-        self.at.set(now);
+        self.limiter.readmit(&self.limits, now)?;
+        self.admitted_at.set(now);
         Ok(())
     }
 
-    /// It has gone to a server: what is sent of it again is the same request.
+    /// The request was sent to a server. Further attempts count as the same request.
     pub fn mark_sent(&self) {
         self.sent.set(true);
     }
@@ -76,142 +79,147 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         for n in &self.limits {
-            let place = &self.door.places[*n];
-            place.allowance.borrow_mut().release();
-            place.counts.set_in_flight(place.allowance.borrow().in_flight());
+            let state = &self.limiter.limits[*n];
+            state.quota.borrow_mut().release();
+            state.counters.set_in_flight(state.quota.borrow().in_flight());
         }
     }
 }
 
 impl Limiter {
-    /// A door with these limits; `worths` are the classes'.
-    pub fn new(limits: &[Limit], terms: QuotaTiming, worths: &[f64], clock: Clock) -> Rc<Self> {
-        let place = |limit: &Limit| {
+    /// A limiter without grants. `worths` holds the worth of a request of each class.
+    pub fn new(limits: &[Limit], timing: QuotaTiming, worths: &[f64], clock: Clock) -> Rc<Self> {
+        let state = |limit: &Limit| {
             let counted = worths.iter().enumerate();
             let counted =
                 counted.filter(|(class, _)| limit.scope.class.is_none_or(|c| usize::from(c) == *class));
             let counted: Vec<f64> = counted.map(|(_, worth)| *worth).collect();
-            Place {
+            LimitState {
                 limit: limit.clone(),
-                allowance: RefCell::default(),
-                counts: Arc::new(Counters::new(&counted)),
-                alone: Cell::new(false),
+                quota: RefCell::default(),
+                counters: Arc::new(Counters::new(&counted)),
+                on_fallback: Cell::new(false),
             }
         };
-        let places = limits.iter().map(place).collect();
-        Rc::new(Limiter { clock, terms, places, worths: worths.to_vec(), nodes: Cell::new(0) })
+        let limits = limits.iter().map(state).collect();
+        Rc::new(Limiter { clock, timing, limits, worths: worths.to_vec(), nodes: Cell::new(0) })
     }
 
-    /// Each limit's counts.
+    /// Each limit's counters.
     pub fn counters(&self) -> Vec<Arc<Counters>> {
-        self.places.iter().map(|p| p.counts.clone()).collect()
+        self.limits.iter().map(|p| p.counters.clone()).collect()
     }
 
-    /// The fleet as last agreed, for limits that are shared without a grant; 0: not known.
+    /// Sets the fleet size last agreed, from which shares without a grant are computed; 0: unknown.
     pub fn set_fleet_size(&self, nodes: u32) {
         self.nodes.set(nodes);
     }
 
-    /// Takes up grants. What they are the answer to may be told then.
-    pub fn apply_grants(&self, apply: GrantUpdate) {
+    /// Applies renewed grants, and notifies the renewal task.
+    pub fn apply_grants(&self, update: GrantUpdate) {
         let now = self.clock.now();
-        for (n, allocation, expires) in &apply.grants {
-            let Some(place) = self.places.get(*n) else { continue };
-            place.alone.set(false);
-            let expires = self.terms.safeguards.expiry.then_some(*expires);
-            place.allowance.borrow_mut().set_grant(now, Some(Grant { allocation: *allocation, expires }));
+        for (n, allocation, expires) in &update.grants {
+            let Some(state) = self.limits.get(*n) else { continue };
+            state.on_fallback.set(false);
+            let expires = self.timing.safeguards.expiry.then_some(*expires);
+            state.quota.borrow_mut().set_grant(now, Some(Grant { allocation: *allocation, expires }));
         }
-        // Whoever asked is gone with the mesh.
-        let _ = apply.applied.send(());
+        // The renewal task may have ended with the mesh.
+        let _ = update.applied.send(());
     }
 
-    /// Lets a request in, or turns it away. What is returned is dropped when the request has ended.
+    /// Admits or rejects a request; none: no limit counts it.
     pub fn admit(self: &Rc<Self>, tenant: u16, class: u8) -> Result<Option<Permit>, Rejection> {
         let mut limits = Vec::new();
         let now = self.clock.now();
         let worth = self.worths.get(usize::from(class)).copied().unwrap_or_default();
-        let mut turned = None;
-        for (n, place) in self.places.iter().enumerate() {
-            if !place.limit.scope.matches(tenant, class) {
+        let mut rejection = None;
+        for (n, state) in self.limits.iter().enumerate() {
+            if !state.limit.scope.matches(tenant, class) {
                 continue;
             }
             limits.push(n);
-            if place.open(now) {
+            if state.is_open(now) {
                 continue;
             }
-            self.fall_back(place, now);
-            if let Err(wait) = place.allowance.borrow_mut().check(now, place.in_flight()) {
-                turned = Some(Rejection { limit: n, retry_after: wait.unwrap_or(self.terms.renew) });
+            self.fall_back(state, now);
+            if let Err(wait) = state.quota.borrow_mut().check(now, state.in_flight()) {
+                rejection = Some(Rejection { limit: n, retry_after: wait.unwrap_or(self.timing.renew) });
                 break;
             }
         }
-        if let Some(turned) = turned {
-            let place = &self.places[turned.limit];
-            place.counts.record(worth, false);
-            return Err(turned);
+        if let Some(rejection) = rejection {
+            let state = &self.limits[rejection.limit];
+            state.counters.record(worth, false);
+            return Err(rejection);
         }
         for n in &limits {
-            let place = &self.places[*n];
-            place.allowance.borrow_mut().admit();
-            place.counts.record(worth, true);
-            place.counts.set_in_flight(place.allowance.borrow().in_flight());
+            let state = &self.limits[*n];
+            state.quota.borrow_mut().admit();
+            state.counters.record(worth, true);
+            state.counters.set_in_flight(state.quota.borrow().in_flight());
         }
-        let (at, sent) = (Cell::new(now), Cell::new(false));
-        Ok((!limits.is_empty()).then(|| Permit { door: self.clone(), limits, at, sent }))
+        let (admitted_at, sent) = (Cell::new(now), Cell::new(false));
+        Ok((!limits.is_empty()).then(|| Permit { limiter: self.clone(), limits, admitted_at, sent }))
     }
 
-    /// One that is in takes from its rates again.
-    fn again(&self, limits: &[usize], now: Time) -> Result<(), Rejection> {
-        let rates = || limits.iter().filter(|n| !self.places[**n].in_flight() && !self.places[**n].open(now));
+    /// Takes tokens of the rate limits again for a request that was admitted before.
+    fn readmit(&self, limits: &[usize], now: Time) -> Result<(), Rejection> {
+        let rates =
+            || limits.iter().filter(|n| !self.limits[**n].in_flight() && !self.limits[**n].is_open(now));
         for n in rates() {
-            let place = &self.places[*n];
-            self.fall_back(place, now);
-            let may = place.allowance.borrow_mut().check(now, false);
-            may.map_err(|wait| Rejection { limit: *n, retry_after: wait.unwrap_or(self.terms.renew) })?;
+            let state = &self.limits[*n];
+            self.fall_back(state, now);
+            let allowed = state.quota.borrow_mut().check(now, false);
+            allowed
+                .map_err(|wait| Rejection { limit: *n, retry_after: wait.unwrap_or(self.timing.renew) })?;
         }
-        rates().for_each(|n| self.places[*n].allowance.borrow_mut().consume());
+        rates().for_each(|n| self.limits[*n].quota.borrow_mut().consume());
         Ok(())
     }
 
-    /// A node whose grant has ended uses what is its own by the settings.
-    fn fall_back(&self, place: &Place, now: Time) {
-        let mut allowance = place.allowance.borrow_mut();
-        if place.limit.when_cut == WhenCut::Share && allowance.allocation(now).is_none() {
-            let own = fallback_grant(place.limit.when_cut, self.terms.whole(&place.limit), self.nodes.get());
-            allowance.set_grant(now, own);
-            place.alone.set(true);
+    /// Gives a `share` limit whose grant has expired the node's share of it.
+    fn fall_back(&self, state: &LimitState, now: Time) {
+        let mut quota = state.quota.borrow_mut();
+        if state.limit.when_cut == WhenCut::Share && quota.allocation(now).is_none() {
+            let share =
+                fallback_grant(state.limit.when_cut, self.timing.allocatable(&state.limit), self.nodes.get());
+            quota.set_grant(now, share);
+            state.on_fallback.set(true);
         }
     }
 
-    /// A line each: name, what holds now, requests a second and at once, let in, turned away, out.
+    /// The operators' table: a line for each limit with its name, which kind of grant is in effect, requests a second and at once, and
+    /// requests admitted, rejected and in flight.
     pub fn status_table(&self) -> String {
         let now = self.clock.now();
         let mut text = String::from("# limit holds per_s at_once let_in turned_away out\n");
-        for place in &self.places {
-            let part = place.allowance.borrow().allocation(now);
-            let holds = match (part, place.alone.get()) {
+        for state in &self.limits {
+            let allocation = state.quota.borrow().allocation(now);
+            let holds = match (allocation, state.on_fallback.get()) {
                 (Some(_), false) => "grant",
                 (Some(_), true) => "share",
-                (None, _) if place.limit.when_cut == WhenCut::Open => "open",
+                (None, _) if state.limit.when_cut == WhenCut::Open => "open",
                 (None, _) => "nothing",
             };
-            let (part, [let_in, turned, out]) = (part.unwrap_or_default(), place.counts.totals());
+            let (allocation, [admitted, rejected, in_flight]) =
+                (allocation.unwrap_or_default(), state.counters.totals());
             text += &format!(
-                "{} {holds} {:.3} {} {let_in} {turned} {out}\n",
-                place.limit.name, part.rate, part.capacity
+                "{} {holds} {:.3} {} {admitted} {rejected} {in_flight}\n",
+                state.limit.name, allocation.rate, allocation.capacity
             );
         }
         text
     }
 
-    /// Requests a second that this node holds of each.
+    /// The rate in effect of each limit, in requests a second.
     pub fn granted_rates(&self) -> Vec<f64> {
         let now = self.clock.now();
-        self.places.iter().map(|p| p.allowance.borrow().allocation(now).unwrap_or_default().rate).collect()
+        self.limits.iter().map(|p| p.quota.borrow().allocation(now).unwrap_or_default().rate).collect()
     }
 
     /// The limits.
     pub fn limits(&self) -> impl Iterator<Item = &Limit> {
-        self.places.iter().map(|p| &p.limit)
+        self.limits.iter().map(|p| &p.limit)
     }
 }
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,72 +1,72 @@
-//! What nodes and the keeper say to each other, in postcard's encoding.
+//! Messages between nodes and the leader, in postcard's encoding.
 
 use crate::Allocation;
 use serde::{Deserialize, Serialize};
 
-/// So much at one worth.
+/// Demand for requests of one worth.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DemandAtWorth {
-    /// Of one request.
+    /// The worth of one request.
     pub worth: f32,
-    /// Requests a second, or at once.
+    /// Requests a second, or in flight.
     pub amount: f32,
 }
 
 /// A grant that a node holds, or held last.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldGrant {
-    /// Its keeper's.
+    /// The fencing token of the leader that issued it.
     pub token: u64,
-    /// Which of that keeper's.
+    /// Its number among that leader's grants.
     pub number: u64,
-    /// How much.
+    /// What it allows.
     pub allocation: Allocation,
 }
 
-/// What a node needs of one limit.
+/// What a node requests of one limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitRequest {
     /// The limit's id.
     pub limit: u64,
-    /// By worth.
+    /// Demand by worth.
     pub demand: Vec<DemandAtWorth>,
-    /// What it may be using now; none: nothing.
+    /// The grant that the node may be using now.
     pub held: Option<HeldGrant>,
-    /// Requests that it has let in and that have not ended.
+    /// Requests that it has admitted and that have not ended.
     pub in_flight: u32,
 }
 
-/// A node's question.
+/// A node's renewal of all its grants.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RenewalRequest {
-    /// The highest token that it has heard.
+    /// The highest fencing token that the node has seen.
     pub highest_token: u64,
-    /// One each limit.
+    /// One for each limit.
     pub limits: Vec<LimitRequest>,
 }
 
-/// One grant.
+/// A grant as the leader issues it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IssuedGrant {
     /// The limit's id.
     pub limit: u64,
-    /// Which of this keeper's.
+    /// Its number among this leader's grants.
     pub number: u64,
-    /// How much.
+    /// What it allows.
     pub allocation: Allocation,
 }
 
-/// The keeper's answer.
+/// The leader's response to a renewal.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RenewalResponse {
-    /// The keeper's.
+    /// The leader's fencing token.
     pub token: u64,
-    /// At most one each limit.
+    /// At most one for each limit.
     pub grants: Vec<IssuedGrant>,
 }
 
 impl RenewalRequest {
-    /// Whether a peer may have meant it.
+    /// Whether all numbers are in the range that a peer may send.
     pub fn is_valid(&self) -> bool {
         self.limits.iter().all(|l| {
             let demand_valid = l
--- a/crates/quota/src/renewal.rs
+++ b/crates/quota/src/renewal.rs
@@ -1,4 +1,4 @@
-//! A node's side: it asks whoever says that it keeps the limits, again and again, and hands what it gets to the node's thread.
+//! The task that renews a node's grants: it asks the leader at a fixed interval and passes the grants to the node's thread.
 
 use crate::demand::DemandEstimator;
 use crate::{
@@ -14,77 +14,82 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// Grants for the node's thread: which limit, how much, and until when by its clock.
+/// Renewed grants for the node's thread.
 #[derive(Debug)]
 pub struct GrantUpdate {
-    /// By the limits' places.
+    /// Index of the limit, its allocation, and when the grant expires by the node's clock.
     pub grants: Vec<(usize, Allocation, Time)>,
-    /// Told once they hold.
+    /// Notified once the grants are in effect.
     pub applied: oneshot::Sender<()>,
 }
 
-/// Asks for good. What the node may be using is told only once its thread has taken it up.
+/// Renews grants until the node's thread ends. A grant is reported to the leader as held only after that thread has applied it.
 pub async fn renew_grants(
     mesh: Mesh,
     limits: Vec<Limit>,
-    terms: QuotaTiming,
-    counts: Vec<Arc<Counters>>,
-    apply: mpsc::UnboundedSender<GrantUpdate>,
+    timing: QuotaTiming,
+    counters: Vec<Arc<Counters>>,
+    updates: mpsc::UnboundedSender<GrantUpdate>,
 ) {
-    let mut demands: Vec<DemandEstimator> = counts.iter().map(|c| DemandEstimator::new(c)).collect();
-    let places: BTreeMap<u64, usize> = limits.iter().enumerate().map(|(n, limit)| (limit.id, n)).collect();
+    let mut demands: Vec<DemandEstimator> = counters.iter().map(|c| DemandEstimator::new(c)).collect();
+    let indexes: BTreeMap<u64, usize> = limits.iter().enumerate().map(|(n, limit)| (limit.id, n)).collect();
     let mut held: Vec<Option<(HeldGrant, Time)>> = vec![None; limits.len()];
-    let (mut highest_token, mut looked) = (0, Instant::now());
-    let mut every = interval(terms.renew);
-    every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let (mut highest_token, mut sampled_at) = (0, Instant::now());
+    let mut ticks = interval(timing.renew);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        every.tick().await;
-        let seconds = looked.elapsed().as_secs_f64();
-        looked = Instant::now();
-        let asked = mesh.clock().now();
-        let need = limits.iter().enumerate().map(|(n, limit)| LimitRequest {
+        ticks.tick().await;
+        let seconds = sampled_at.elapsed().as_secs_f64();
+        sampled_at = Instant::now();
+        let requested_at = mesh.clock().now();
+        let requests = limits.iter().enumerate().map(|(n, limit)| LimitRequest {
             limit: limit.id,
-            demand: demands[n].update(&counts[n], seconds, matches!(limit.measure, Measure::InFlight { .. })),
-            // One that has ended may be another's by now.
-            held: held[n].filter(|(_, until)| asked < *until).map(|(held, _)| held),
-            in_flight: counts[n].totals()[2] as u32,
+            demand: demands[n].update(
+                &counters[n],
+                seconds,
+                matches!(limit.measure, Measure::InFlight { .. }),
+            ),
+            // The leader may have given an expired grant to another node.
+            held: held[n].filter(|(_, expires)| requested_at < *expires).map(|(held, _)| held),
+            in_flight: counters[n].totals()[2] as u32,
         });
-        let need = RenewalRequest { highest_token, limits: need.collect() };
-        let Some(word) = best(&mesh, &need, terms.ttl / 2).await else { continue };
-        if word.token < highest_token && terms.safeguards.reject_stale {
-            tracing::warn!(target: "quota", kind = "lower", token = word.token, heard = highest_token);
+        let request = RenewalRequest { highest_token, limits: requests.collect() };
+        let Some(response) = send(&mesh, &request, timing.ttl / 2).await else { continue };
+        if response.token < highest_token && timing.safeguards.reject_stale {
+            tracing::warn!(target: "quota", kind = "lower", token = response.token, heard = highest_token);
             continue;
         }
-        if word.token > highest_token {
-            // A later keeper takes up what is held once it is known to have been heard.
-            every.reset_immediately();
+        if response.token > highest_token {
+            // A new leader takes over the grants that this node holds once a request carries the new token.
+            ticks.reset_immediately();
         }
-        highest_token = highest_token.max(word.token);
-        let until = asked + terms.ttl;
+        highest_token = highest_token.max(response.token);
+        let expires = requested_at + timing.ttl;
         let mut grants = Vec::new();
-        let mut now_held = held.clone();
-        for issue in &word.grants {
-            let Some(&n) = places.get(&issue.limit) else { continue };
-            if issue.allocation.is_valid() {
-                grants.push((n, issue.allocation, until));
+        let mut renewed = held.clone();
+        for grant in &response.grants {
+            let Some(&n) = indexes.get(&grant.limit) else { continue };
+            if grant.allocation.is_valid() {
+                grants.push((n, grant.allocation, expires));
                 let held =
-                    HeldGrant { token: word.token, number: issue.number, allocation: issue.allocation };
-                now_held[n] = Some((held, until));
+                    HeldGrant { token: response.token, number: grant.number, allocation: grant.allocation };
+                renewed[n] = Some((held, expires));
             }
         }
-        let (applied, taken_up) = oneshot::channel();
-        if apply.send(GrantUpdate { grants, applied }).is_err() || taken_up.await.is_err() {
-            // The node's thread is gone: so is the node.
+        let (applied, when_applied) = oneshot::channel();
+        if updates.send(GrantUpdate { grants, applied }).is_err() || when_applied.await.is_err() {
+            // The node's thread has ended, and the process ends with it.
             return;
         }
-        held = now_held;
+        held = renewed;
     }
 }
 
-/// The word of whoever keeps the limits; of two, while they change hands, the later one's.
-async fn best(mesh: &Mesh, need: &RenewalRequest, patience: Duration) -> Option<RenewalResponse> {
-    let question: Bytes = postcard::to_stdvec(need).ok()?.into();
-    let answers = mesh.request_from_running(task_id(TASK), LANE, question, patience).await;
-    let words = answers.into_iter().filter_map(|a| postcard::from_bytes::<RenewalResponse>(&a.ok()?).ok());
-    words.max_by_key(|word| word.token)
+/// Asks every node that claims to lead. While leadership moves two of them may answer: the response with the highest token counts.
+async fn send(mesh: &Mesh, request: &RenewalRequest, timeout: Duration) -> Option<RenewalResponse> {
+    let request: Bytes = postcard::to_stdvec(request).ok()?.into();
+    let answers = mesh.request_from_running(task_id(TASK), LANE, request, timeout).await;
+    let responses =
+        answers.into_iter().filter_map(|a| postcard::from_bytes::<RenewalResponse>(&a.ok()?).ok());
+    responses.max_by_key(|response| response.token)
 }
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -1,4 +1,4 @@
-//! The `[[limits]]` tables of an operator's file, and `[quota]` beside them.
+//! The `[[limits]]` tables of the operator's file, and its `[quota]` table.
 
 use crate::{Limit, Measure, QuotaTiming, Safeguards, Scope, WhenCut};
 use birchswitch_cluster_host::{Drill, HumanDuration, SettingError, SettingSpans};
@@ -8,10 +8,10 @@
 use toml::Spanned;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Most limits of one fleet.
-const MOST: usize = 64;
+/// The most limits that a fleet may have.
+const MAX_LIMITS: usize = 64;
 
-/// One limit as it is written.
+/// A `[[limits]]` table as parsed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitTable {
@@ -21,78 +21,82 @@
     per_s: Option<Spanned<f64>>,
     burst: Option<Spanned<f64>>,
     in_flight: Option<Spanned<u32>>,
-    when_cut: Option<Spanned<Cut>>,
+    when_cut: Option<Spanned<WhenCutSetting>>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Cut {
+enum WhenCutSetting {
     Strict,
     Share,
     Open,
 }
 
-/// `[quota]` as it is written.
+/// The `[quota]` table as parsed.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaTable {
     renew: Option<Spanned<HumanDuration>>,
     ttl: Option<Spanned<HumanDuration>>,
     transit: Option<Spanned<HumanDuration>>,
-    drill: Option<Drill<Without>>,
+    drill: Option<Drill<DisabledSafeguard>>,
 }
 
-/// What tests take away.
+/// Safeguards that tests turn off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Without {
+enum DisabledSafeguard {
     Ends,
     Quarantine,
     Numbers,
 }
 
-/// All of it, checked.
+/// The validated limits and their timing.
 #[derive(Clone, Debug)]
 pub struct QuotaSettings {
     /// The limits.
     pub limits: Vec<Limit>,
-    /// How long grants last.
+    /// How long grants last, and with which margins.
     pub timing: QuotaTiming,
 }
 
 impl QuotaSettings {
-    /// Checks the tables beside the site's names; `longest_request` is the longest deadline of any class, `lease` and `drift` are the leases'.
+    /// Validates the tables against the names in the site's settings. `longest_request` is the longest deadline of any class; `lease` and
+    /// `drift` are the ttl and the drift of the `[lease]` table.
     pub fn new(
         limits: &[Spanned<LimitTable>],
         table: Option<&Spanned<QuotaTable>>,
         names: &Names,
         (longest_request, lease, drift): (Duration, Duration, u32),
     ) -> Result<QuotaSettings, SettingError> {
-        let terms = terms(table, longest_request, lease, drift)?;
-        if let Some(more) = limits.get(MOST) {
-            return Err(SettingError { span: more.span(), problem: format!("more than {MOST} limits") });
+        let timing = timing(table, longest_request, lease, drift)?;
+        if let Some(more) = limits.get(MAX_LIMITS) {
+            return Err(SettingError {
+                span: more.span(),
+                problem: format!("more than {MAX_LIMITS} limits"),
+            });
         }
         let mut all: Vec<Limit> = Vec::new();
         for written in limits {
-            let limit = one(written, &terms, names)?;
+            let limit = limit(written, &timing, names)?;
             if all.iter().any(|l| l.name == limit.name) {
                 let problem = format!("two limits are called {:?}", limit.name);
                 return Err(SettingError { span: written.get_ref().name.span(), problem });
             }
             all.push(limit);
         }
-        Ok(QuotaSettings { limits: all, timing: terms })
+        Ok(QuotaSettings { limits: all, timing })
     }
 }
 
-fn terms(
+fn timing(
     table: Option<&Spanned<QuotaTable>>,
     longest_request: Duration,
     lease: Duration,
     drift: u32,
 ) -> Result<QuotaTiming, SettingError> {
-    // So long that grants outlive the time in which a keeper's death leaves the fleet without one.
-    let mut terms = QuotaTiming {
+    // Long enough that grants outlive the gap between a leader's death and its successor's term.
+    let mut timing = QuotaTiming {
         renew: Duration::from_millis(400),
         ttl: (lease * 3 / 2).max(Duration::from_secs(2)),
         transit: Duration::from_millis(50),
@@ -100,38 +104,38 @@
         drift,
         safeguards: Safeguards::ALL,
     };
-    let Some(table) = table else { return Ok(terms) };
-    let (mut places, given) = (SettingSpans::new("quota", table), table.get_ref());
-    places.apply_duration("renew", &given.renew, &mut terms.renew);
-    places.apply_duration("ttl", &given.ttl, &mut terms.ttl);
-    places.apply_duration("transit", &given.transit, &mut terms.transit);
-    if !(Duration::from_millis(50)..=Duration::from_secs(30)).contains(&terms.renew) {
-        return Err(places.error_at("renew", "`renew` has to be 50ms to 30s"));
+    let Some(table) = table else { return Ok(timing) };
+    let (mut spans, given) = (SettingSpans::new("quota", table), table.get_ref());
+    spans.apply_duration("renew", &given.renew, &mut timing.renew);
+    spans.apply_duration("ttl", &given.ttl, &mut timing.ttl);
+    spans.apply_duration("transit", &given.transit, &mut timing.transit);
+    if !(Duration::from_millis(50)..=Duration::from_secs(30)).contains(&timing.renew) {
+        return Err(spans.error_at("renew", "`renew` has to be 50ms to 30s"));
     }
-    if terms.ttl < terms.renew * 4 || terms.ttl > Duration::from_secs(300) {
-        return Err(places.error_at("ttl", "`ttl` has to be at least four times `renew`, and at most 5m"));
+    if timing.ttl < timing.renew * 4 || timing.ttl > Duration::from_secs(300) {
+        return Err(spans.error_at("ttl", "`ttl` has to be at least four times `renew`, and at most 5m"));
     }
-    if terms.transit > Duration::from_secs(5) {
-        return Err(places.error_at("transit", "`transit` has to be at most 5s"));
+    if timing.transit > Duration::from_secs(5) {
+        return Err(spans.error_at("transit", "`transit` has to be at most 5s"));
     }
     let on = |w| Drill::enabled(&given.drill, w);
-    terms.safeguards = Safeguards {
-        expiry: on(Without::Ends),
-        quarantine: on(Without::Quarantine),
-        reject_stale: on(Without::Numbers),
+    timing.safeguards = Safeguards {
+        expiry: on(DisabledSafeguard::Ends),
+        quarantine: on(DisabledSafeguard::Quarantine),
+        reject_stale: on(DisabledSafeguard::Numbers),
     };
-    Ok(terms)
+    Ok(timing)
 }
 
-fn one(written: &Spanned<LimitTable>, terms: &QuotaTiming, names: &Names) -> Result<Limit, SettingError> {
+fn limit(written: &Spanned<LimitTable>, timing: &QuotaTiming, names: &Names) -> Result<Limit, SettingError> {
     let table = written.get_ref();
-    let mut places = SettingSpans::new("limits", written);
+    let mut spans = SettingSpans::new("limits", written);
     let name = table.name.get_ref();
     if !(1..=64).contains(&name.len()) || !name.bytes().all(|b| b.is_ascii_graphic()) {
         let problem = "`name` has to be 1 to 64 visible ASCII characters".to_owned();
         return Err(SettingError { span: table.name.span(), problem });
     }
-    let place = |given: &Option<Spanned<String>>, known: &[String], what: &str| match given {
+    let index = |given: &Option<Spanned<String>>, known: &[String], what: &str| match given {
         None => Ok(None),
         Some(given) => match known.iter().position(|k| k == given.get_ref()) {
             Some(at) => Ok(Some(at)),
@@ -141,58 +145,59 @@
             }
         },
     };
-    let tenant = place(&table.tenant, &names.tenants, "tenant")?.map(|at| at as u16);
-    let class = place(&table.class, &names.classes, "class")?.map(|at| at as u8);
+    let tenant = index(&table.tenant, &names.tenants, "tenant")?.map(|at| at as u16);
+    let class = index(&table.class, &names.classes, "class")?.map(|at| at as u8);
     if tenant.is_none() && class.is_none() {
-        return Err(places.error_at("limits", "a limit is for a `tenant`, a `class`, or both"));
+        return Err(spans.error_at("limits", "a limit is for a `tenant`, a `class`, or both"));
     }
-    let per_s = places.record("per_s", &table.per_s).copied();
-    let burst = places.record("burst", &table.burst).copied();
-    let in_flight = places.record("in_flight", &table.in_flight).copied();
+    let per_s = spans.record("per_s", &table.per_s).copied();
+    let burst = spans.record("burst", &table.burst).copied();
+    let in_flight = spans.record("in_flight", &table.in_flight).copied();
     let measure = match (per_s, in_flight) {
         (Some(per_s), None) => {
             if !(1e-3..=1e7).contains(&per_s) {
-                return Err(places.error_at("per_s", "`per_s` has to be 0.001 to 10000000"));
+                return Err(spans.error_at("per_s", "`per_s` has to be 0.001 to 10000000"));
             }
-            let least = per_s * terms.transit.as_secs_f64() + 1.0;
-            let burst = burst.unwrap_or(least.max(per_s));
-            if !(least..=1e9).contains(&burst) {
+            let min_burst = per_s * timing.transit.as_secs_f64() + 1.0;
+            let burst = burst.unwrap_or(min_burst.max(per_s));
+            if !(min_burst..=1e9).contains(&burst) {
                 let problem = format!(
-                    "`burst` has to be at least {least:.3}: one request, and what may be on its way within `transit`"
+                    "`burst` has to be at least {min_burst:.3}: one request, and what may be on its way within `transit`"
                 );
-                return Err(places.error_at("burst", problem));
+                return Err(spans.error_at("burst", problem));
             }
             Measure::Rate { per_s, burst }
         }
         (None, Some(most)) if most > 0 && burst.is_none() => Measure::InFlight { most },
-        (None, Some(0)) => return Err(places.error_at("in_flight", "`in_flight` has to be at least 1")),
+        (None, Some(0)) => return Err(spans.error_at("in_flight", "`in_flight` has to be at least 1")),
         _ => {
             let problem = "a limit is either `per_s`, with a `burst` if wanted, or `in_flight`";
-            return Err(places.error_at("limits", problem));
+            return Err(spans.error_at("limits", problem));
         }
     };
-    let when_cut = match places.record("when_cut", &table.when_cut) {
-        None | Some(Cut::Share) => WhenCut::Share,
-        Some(Cut::Strict) => WhenCut::Strict,
-        Some(Cut::Open) => WhenCut::Open,
+    let when_cut = match spans.record("when_cut", &table.when_cut) {
+        None | Some(WhenCutSetting::Share) => WhenCut::Share,
+        Some(WhenCutSetting::Strict) => WhenCut::Strict,
+        Some(WhenCutSetting::Open) => WhenCut::Open,
     };
     let scope = Scope { tenant, class };
-    let id = id(table, &measure, terms);
+    let id = limit_id(table, &measure, timing);
     Ok(Limit { name: name.clone(), scope, measure, when_cut, id })
 }
 
-/// Over all that has to be the same on every node: others are not granted anything, rather than something else.
-fn id(table: &LimitTable, measure: &Measure, terms: &QuotaTiming) -> u64 {
+/// A hash of the limit's name and of every setting that must be the same on all nodes. A node with other settings requests another id, and
+/// gets no grant. The `Debug` text of `measure` is part of it.
+fn limit_id(table: &LimitTable, measure: &Measure, timing: &QuotaTiming) -> u64 {
     let name = |given: &Option<Spanned<String>>| given.as_ref().map(|g| g.get_ref().clone());
     let mut hash = Xxh3::new();
-    let times = (terms.ttl, terms.transit, terms.longest_request, terms.drift);
-    let all = format!(
+    let times = (timing.ttl, timing.transit, timing.longest_request, timing.drift);
+    let text = format!(
         "{:?} {:?} {:?} {measure:?} {times:?}",
         table.name.get_ref(),
         name(&table.tenant),
         name(&table.class)
     );
-    hash.update(all.as_bytes());
+    hash.update(text.as_bytes());
     hash.digest()
 }
 
@@ -207,8 +212,8 @@
         quota: Option<Spanned<QuotaTable>>,
     }
 
-    fn compiled(text: &str) -> Result<QuotaSettings, String> {
-        let file: File = toml::from_str(text).expect("its form is right");
+    fn parse(text: &str) -> Result<QuotaSettings, String> {
+        let file: File = toml::from_str(text).expect("valid TOML");
         let names = Names { classes: vec!["buy".into()], tenants: vec!["t".into()], ..Names::default() };
         let times = (Duration::from_secs(2), Duration::from_secs(2), 50);
         QuotaSettings::new(&file.limits, file.quota.as_ref(), &names, times)
@@ -216,12 +221,12 @@
     }
 
     #[test]
-    fn defaults_and_given_settings_are_taken() {
-        let c = compiled("[[limits]]\nname = \"a\"\ntenant = \"t\"\nper_s = 100.0\n").expect("it is right");
+    fn defaults_and_explicit_settings_apply() {
+        let c = parse("[[limits]]\nname = \"a\"\ntenant = \"t\"\nper_s = 100.0\n").expect("valid settings");
         assert_eq!(c.limits[0].measure, Measure::Rate { per_s: 100.0, burst: 100.0 });
         assert_eq!(c.limits[0].when_cut, WhenCut::Share);
         let text = "[quota]\nttl = \"4s\"\n[[limits]]\nname = \"b\"\nclass = \"buy\"\nin_flight = 5\nwhen_cut = \"strict\"";
-        let c = compiled(text).expect("it is right");
+        let c = parse(text).expect("valid settings");
         assert_eq!(
             (c.limits[0].measure, c.timing.ttl),
             (Measure::InFlight { most: 5 }, Duration::from_secs(4))
@@ -230,7 +235,7 @@
     }
 
     #[test]
-    fn mistakes_are_told_where_they_are() {
+    fn errors_point_at_the_setting() {
         let limit = |lines: &str| format!("[[limits]]\nname = \"a\"\n{lines}");
         for (text, place, problem) in [
             (limit("tenant = \"x\"\nper_s = 1.0"), "\"\\\"x\\\"\"", "no tenant"),
@@ -244,11 +249,11 @@
             ("[quota]\nttl = \"1s\"".to_owned(), "\"\\\"1s\\\"\"", "four times"),
             ("[quota]\nrenew = \"1ms\"".to_owned(), "\"\\\"1ms\\\"\"", "`renew`"),
         ] {
-            let wrong = compiled(&text).expect_err(&text);
-            assert!(wrong.starts_with(place) && wrong.contains(problem), "{wrong}");
+            let error = parse(&text).expect_err(&text);
+            assert!(error.starts_with(place) && error.contains(problem), "{error}");
         }
         let twice = limit("class = \"buy\"\nper_s = 1.0\nburst = 2.0\n");
-        let wrong = compiled(&(twice.clone() + &twice)).expect_err("twice");
-        assert!(wrong.contains("two limits"), "{wrong}");
+        let error = parse(&(twice.clone() + &twice)).expect_err("twice");
+        assert!(error.contains("two limits"), "{error}");
     }
 }
--- a/crates/quota/src/timing.rs
+++ b/crates/quota/src/timing.rs
@@ -1,45 +1,46 @@
-//! How long grants last, and what of a limit is parted so that clocks and ways may be off.
+//! How long grants last, and the margins that a limit keeps for clock drift and network delay.
 
 use crate::{Allocation, Limit, Measure};
 use birchswitch_mesh::Clock;
 use std::time::Duration;
 
-/// The same on all nodes; it goes into every limit's id.
+/// Times and margins. They must be the same on all nodes, and are part of every limit's id.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTiming {
-    /// Between two asks of a node.
+    /// The interval between a node's renewals.
     pub renew: Duration,
-    /// For how long a grant holds, by its node's clock, from before that asked.
+    /// How long a grant is valid by its node's clock, counted from before the node sent its request.
     pub ttl: Duration,
-    /// Longest time from a request's admission to its server.
+    /// The longest time from a request's admission until a server receives it.
     pub transit: Duration,
-    /// For how long a server may work on a request after it was sent, at the most.
+    /// The longest time that a server may work on a request after it was sent.
     pub longest_request: Duration,
-    /// Thousandths by which clocks may be off.
+    /// The largest clock error, in thousandths.
     pub drift: u32,
-    /// All on but in tests that show what each is for.
+    /// All are on except in tests that show what each is for.
     pub safeguards: Safeguards,
 }
 
-/// What the bound rests on, each to be taken away by tests alone.
+/// The rules on which the bound rests. Only tests turn them off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
-    /// Grants end.
+    /// Grants expire.
     pub expiry: bool,
-    /// A new keeper waits for the last one's grants.
+    /// A new leader waits until grants of the previous one have expired.
     pub quarantine: bool,
-    /// Lower numbers than the highest heard are refused.
+    /// Nodes reject responses with a lower token than the highest that they have seen.
     pub reject_stale: bool,
 }
 
 impl Safeguards {
-    /// All of them.
+    /// All safeguards on.
     pub const ALL: Safeguards = Safeguards { expiry: true, quarantine: true, reject_stale: true };
 }
 
 impl QuotaTiming {
-    /// What of a limit is parted: a fast clock makes more of a rate, and what was on its way may come together.
-    pub fn whole(&self, limit: &Limit) -> Allocation {
+    /// What the leader may allocate of a limit. A fast clock refills a bucket faster than its rate, and requests admitted over `transit`
+    /// may reach the servers together: both are subtracted from what the operator allows.
+    pub fn allocatable(&self, limit: &Limit) -> Allocation {
         match limit.measure {
             Measure::Rate { per_s, burst } => {
                 let drift = f64::from(self.drift) / 1000.0;
@@ -50,13 +51,13 @@
         }
     }
 
-    /// For how long the keeper counts a grant as held after it gave it.
-    pub fn held(&self, limit: &Limit, clock: &Clock) -> Duration {
-        let use_ends = clock.max_elapsed(self.ttl);
+    /// How long the leader counts a grant as held after it issued it.
+    pub fn hold_time(&self, limit: &Limit, clock: &Clock) -> Duration {
+        let until_expiry = clock.max_elapsed(self.ttl);
         match limit.measure {
-            Measure::Rate { .. } => use_ends,
-            // What was let in at the last moment still runs.
-            Measure::InFlight { .. } => use_ends + clock.max_elapsed(self.longest_request),
+            Measure::Rate { .. } => until_expiry,
+            // Requests admitted just before the grant expired may still be running.
+            Measure::InFlight { .. } => until_expiry + clock.max_elapsed(self.longest_request),
         }
     }
 }
