--- a/crates/verdict/src/leader.rs
+++ b/crates/verdict/src/leader.rs
@@ -1,4 +1,4 @@
-//! The judge's side: while this node holds its zone's lease, whoever reports is told how open each server stays.
+//! The leader's side: while this node holds its zone's lease, it answers reports with the list of ejected servers.
 
 use crate::detection::VerdictSettings;
 use crate::detector::Detector;
@@ -9,18 +9,18 @@
 /// The mesh's lane for verdicts.
 pub const LANE: u8 = 4;
 
-/// A judge, under one token.
+/// The zone's outlier detection during one leadership term.
 pub struct Leader {
-    terms: VerdictSettings,
-    session: Detector<ProcessId>,
+    settings: VerdictSettings,
+    detector: Detector<ProcessId>,
 }
 
 impl Leader {
-    /// Serves on the mesh from now on, whenever it is judge.
-    pub fn serve(mesh: &Mesh, terms: VerdictSettings) -> Arc<LeasedService<Leader>> {
+    /// Registers the service on the mesh. It answers whenever this node holds the zone's lease.
+    pub fn serve(mesh: &Mesh, settings: VerdictSettings) -> Arc<LeasedService<Leader>> {
         LeasedService::serve(mesh, LANE, move |token, _| {
             tracing::info!(target: "verdict", kind = "judges", token);
-            Leader { terms, session: Detector::new(token) }
+            Leader { settings, detector: Detector::new(token) }
         })
     }
 }
@@ -33,11 +33,11 @@
         Some(report.known_version.0)
     }
 
-    fn handle(&mut self, now: Time, who: ProcessId, report: Report) -> EjectionList {
-        let (word, condemned) = self.session.receive(&self.terms, now, who, report);
-        for s in condemned {
+    fn handle(&mut self, now: Time, process: ProcessId, report: Report) -> EjectionList {
+        let (list, ejected) = self.detector.receive(&self.settings, now, process, report);
+        for s in ejected {
             tracing::warn!(target: "verdict", kind = "condemned", server = s.server, open = s.open);
         }
-        word
+        list
     }
 }
--- a/crates/verdict/src/lib.rs
+++ b/crates/verdict/src/lib.rs
@@ -1,18 +1,19 @@
-//! Verdicts on servers that hold for a zone of nodes: evidence in, how open each server stays out.
+//! Outlier detection for a zone of nodes: from the evidence of all its nodes to a list of ejected servers.
 //!
 //! ```text
-//!   attempts' ends ── tally (node's thread) ── report ──> judge (one node a zone: a lease, number = token)
-//!   decisions <── obey (node's thread) <── word ─────────┘   wilson, judge, ration: plain functions
+//!   attempt outcomes ── window (node's thread) ── report ──> leader ── detector (one node of the zone: a lease and its token)
+//!   decisions <── active ejections (node's thread) <── list ────┘      wilson, evidence, detection, recovery: plain functions
 //! ```
 //!
-//! It claims, and tests check:
+//! Guarantees, which tests check:
 //!
-//! - **No node's word alone condemns**: what the node says that tells most against a server is left out, and those left have to be two
-//!   at least and still tell against it.
-//! - **What breaks everywhere is no verdict**: a server is condemned for failing more than others did, at the same nodes in the same seconds.
-//! - **A server always gets a trickle**, and more of it by and by once what the trickle meets is sound.
-//! - **Each node holds by itself** to: nothing older than `ttl`, by its own clock from before it asked; no number after a higher one; no
-//!   more servers withheld than the stated part of its list, whoever says so.
+//! - **No single node ejects a server**: the report with the most evidence against a server is left out, and at least two others have to show
+//!   the same.
+//! - **Failures at all servers alike eject none**: a server is ejected for failing more than the others did, at the same nodes in the same
+//!   seconds.
+//! - **An ejected server keeps a trickle**, which grows in steps once its outcomes are good.
+//! - **Each node by itself ignores** lists older than `ttl` by its own clock, counted from before its request; versions lower than one that it
+//!   has seen; and ejections beyond the configured fraction of its servers, whoever sent them.
 //!
 //! `docs/design/verdicts.md` has the derivations.
 
--- a/crates/verdict/src/message.rs
+++ b/crates/verdict/src/message.rs
@@ -1,33 +1,33 @@
-//! What nodes and the judge say to each other, in postcard's encoding.
+//! Messages between nodes and the zone's leader, in postcard's encoding.
 
 use crate::outcomes::AttemptCounts;
 use serde::{Deserialize, Serialize};
 
-/// What a node says.
+/// A node's report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The highest number that it has heard.
+    /// The highest version of the ejection list that the node has seen.
     pub known_version: (u64, u64),
-    /// Servers on its list.
+    /// The number of servers on the node's list.
     pub listed: u32,
-    /// What its attempts met, by the servers' names' hashes.
+    /// Outcomes of its attempts, keyed by the hashes of the servers' names.
     pub counts: Vec<(u64, AttemptCounts)>,
 }
 
-/// How far a server stays open.
+/// A server that gets a reduced share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ejection {
-    /// Its name's hash.
+    /// The hash of the server's name.
     pub server: u64,
-    /// Thousandths of a mean share.
+    /// The most that it gets, in thousandths of a mean share.
     pub open: u16,
 }
 
-/// What the judge answers.
+/// The leader's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EjectionList {
-    /// Token, and count under it: of two words the greater counts.
+    /// The leader's fencing token, and a count of lists under that token. The higher version counts.
     pub version: (u64, u64),
-    /// The worst first.
+    /// The server with the strongest evidence first.
     pub ejections: Vec<Ejection>,
 }
--- a/crates/verdict/src/outcomes.rs
+++ b/crates/verdict/src/outcomes.rs
@@ -1,39 +1,39 @@
-//! What a node's own attempts met at each server, over the last seconds. Used by the node's thread alone.
+//! Outcomes of a node's attempts at each server over a sliding window. Used by the node's thread alone.
 
 use birchswitch_mesh::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is kept is kept in so many pieces ...
-const PIECES: usize = 12;
+/// The window consists of this many buckets ...
+const BUCKETS: usize = 12;
 /// ... of this length each.
-const PIECE: Duration = Duration::from_millis(500);
-/// An answer counts as late from so many usual ones on.
-const LATE: f64 = 4.0;
+const BUCKET_LENGTH: Duration = Duration::from_millis(500);
+/// A response is late if it takes more than this many times the median.
+const LATE_RATIO: f64 = 4.0;
 
-/// How an attempt ended, as far as a server answers for it.
+/// The outcome of an attempt, as far as the server is responsible for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptObservation {
-    /// It answered after so many seconds.
+    /// The server responded, after this many seconds.
     Answered(f64),
-    /// It failed, answered senselessly, or not at all.
+    /// The attempt failed, or the response was invalid or missing.
     Failed,
 }
 
-/// AttemptCounts that add up.
+/// Counts of outcomes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptCounts {
     /// Attempts that ended.
     pub attempts: u32,
-    /// Of these, failed.
+    /// Those that failed.
     pub failed: u32,
-    /// Of these, answered late beside what is usual.
+    /// Those with a late response, compared with the median.
     pub late: u32,
 }
 
 impl AttemptCounts {
-    /// Both together.
+    /// The sum of both.
     pub fn plus(self, other: AttemptCounts) -> AttemptCounts {
         AttemptCounts {
             attempts: self.attempts.saturating_add(other.attempts),
@@ -43,51 +43,51 @@
     }
 }
 
-/// See the module's words.
+/// A sliding window of outcomes, by the hash of the server's name.
 #[derive(Debug, Default)]
 pub struct OutcomeWindow {
-    servers: BTreeMap<u64, [AttemptCounts; PIECES]>,
-    piece: u64,
-    /// A usual answer's time, in seconds: a median, moved by each answer.
-    usual: f64,
+    servers: BTreeMap<u64, [AttemptCounts; BUCKETS]>,
+    bucket: u64,
+    /// The median response time in seconds, estimated by a small step with each response.
+    median: f64,
 }
 
 impl OutcomeWindow {
-    fn turn(&mut self, now: Time) {
-        let piece = (now.as_nanos() / PIECE.as_nanos()) as u64;
-        for gone in self.piece + 1..=piece.min(self.piece + PIECES as u64) {
-            self.servers.values_mut().for_each(|c| c[gone as usize % PIECES] = AttemptCounts::default());
+    fn advance(&mut self, now: Time) {
+        let bucket = (now.as_nanos() / BUCKET_LENGTH.as_nanos()) as u64;
+        for expired in self.bucket + 1..=bucket.min(self.bucket + BUCKETS as u64) {
+            self.servers.values_mut().for_each(|c| c[expired as usize % BUCKETS] = AttemptCounts::default());
         }
-        if piece > self.piece {
-            self.piece = piece;
+        if bucket > self.bucket {
+            self.bucket = bucket;
             self.servers.retain(|_, c| c.iter().any(|c| c.attempts > 0));
         }
     }
 
-    /// An attempt at a server ended.
-    pub fn record(&mut self, now: Time, server: u64, met: AttemptObservation) {
-        self.turn(now);
-        let (failed, late) = match met {
+    /// Records the outcome of an attempt.
+    pub fn record(&mut self, now: Time, server: u64, observation: AttemptObservation) {
+        self.advance(now);
+        let (failed, late) = match observation {
             AttemptObservation::Failed => (true, false),
             AttemptObservation::Answered(seconds) => {
-                let late = self.usual > 0.0 && seconds > LATE * self.usual;
-                self.usual *= if seconds > self.usual { 1.01 } else { 1.0 / 1.01 };
-                if self.usual <= 0.0 {
-                    self.usual = seconds;
+                let late = self.median > 0.0 && seconds > LATE_RATIO * self.median;
+                self.median *= if seconds > self.median { 1.01 } else { 1.0 / 1.01 };
+                if self.median <= 0.0 {
+                    self.median = seconds;
                 }
                 (false, late)
             }
         };
-        let counts = &mut self.servers.entry(server).or_default()[self.piece as usize % PIECES];
+        let counts = &mut self.servers.entry(server).or_default()[self.bucket as usize % BUCKETS];
         *counts =
             counts.plus(AttemptCounts { attempts: 1, failed: u32::from(failed), late: u32::from(late) });
     }
 
-    /// What there is, by server.
+    /// The counts over the window, by server.
     pub fn counts(&mut self, now: Time) -> Vec<(u64, AttemptCounts)> {
-        self.turn(now);
+        self.advance(now);
         let sum =
-            |c: &[AttemptCounts; PIECES]| c.iter().fold(AttemptCounts::default(), |sum, c| sum.plus(*c));
+            |c: &[AttemptCounts; BUCKETS]| c.iter().fold(AttemptCounts::default(), |sum, c| sum.plus(*c));
         self.servers.iter().map(|(server, c)| (*server, sum(c))).collect()
     }
 }
@@ -97,20 +97,20 @@
     use super::*;
 
     #[test]
-    fn what_is_older_than_the_window_is_gone() {
+    fn outcomes_older_than_the_window_are_dropped() {
         let ms = Time::from_millis;
-        let mut tally = OutcomeWindow::default();
-        (0..10).for_each(|n| tally.record(ms(10_000 + n * 10), 1, AttemptObservation::Answered(0.01)));
-        tally.record(ms(10_100), 1, AttemptObservation::Answered(0.2));
-        tally.record(ms(11_000), 2, AttemptObservation::Failed);
+        let mut window = OutcomeWindow::default();
+        (0..10).for_each(|n| window.record(ms(10_000 + n * 10), 1, AttemptObservation::Answered(0.01)));
+        window.record(ms(10_100), 1, AttemptObservation::Answered(0.2));
+        window.record(ms(11_000), 2, AttemptObservation::Failed);
         assert_eq!(
-            tally.counts(ms(12_000)),
+            window.counts(ms(12_000)),
             [
                 (1, AttemptCounts { attempts: 11, failed: 0, late: 1 }),
                 (2, AttemptCounts { attempts: 1, failed: 1, late: 0 })
             ]
         );
-        assert_eq!(tally.counts(ms(16_600)).len(), 1);
-        assert_eq!(tally.counts(ms(99_000)), []);
+        assert_eq!(window.counts(ms(16_600)).len(), 1);
+        assert_eq!(window.counts(ms(99_000)), []);
     }
 }
