--- a/crates/tuner/src/leader.rs
+++ b/crates/tuner/src/leader.rs
@@ -1,4 +1,4 @@
-//! The tuner's side: while this node holds the lease, whoever reports is told the weights.
+//! The leader's side: while this node holds the lease, it answers reports with the servers' weights.
 
 use crate::message::{Report, WeightList};
 use crate::session::{TuningSession, TuningStep};
@@ -8,14 +8,14 @@
 
 /// The mesh's lane for weights.
 pub const LANE: u8 = 5;
-/// The task's name, and its lease's.
+/// The name of the task, and of its lease.
 pub const TASK: &str = "tuner";
 
-/// Serves on the mesh from now on, whenever it is tuner.
-pub fn serve(mesh: &Mesh, terms: TunerSettings) -> Arc<LeasedService<TuningSession>> {
+/// Registers the service on the mesh. It answers whenever this node holds the lease.
+pub fn serve(mesh: &Mesh, settings: TunerSettings) -> Arc<LeasedService<TuningSession>> {
     LeasedService::serve(mesh, LANE, move |token, now| {
         tracing::info!(target: "tuner", kind = "tunes", token);
-        TuningSession::new(terms, token, now)
+        TuningSession::new(settings, token, now)
     })
 }
 
@@ -28,13 +28,13 @@
     }
 
     fn handle(&mut self, now: Time, _: ProcessId, report: Report) -> WeightList {
-        let (word, looked) = self.receive(now, &report);
+        let (list, step) = self.receive(now, &report);
         if let Some(TuningStep {
             rolled_back,
             toggled,
             servers,
             slow_fractions: [without, with, predicted],
-        }) = looked
+        }) = step
         {
             if rolled_back {
                 tracing::warn!(target: "tuner", kind = "taken_back", without, with, predicted);
@@ -42,6 +42,6 @@
                 tracing::info!(target: "tuner", kind = "weighs", servers, without);
             }
         }
-        word
+        list
     }
 }
--- a/crates/tuner/src/lib.rs
+++ b/crates/tuner/src/lib.rs
@@ -1,16 +1,18 @@
-//! Weights of servers that lower the whole fleet's tail under each server's capacity.
+//! Weights of servers that lower the tail latency of the whole fleet, within each server's capacity.
 //!
 //! ```text
-//!   attempts' ends ── sketch (node's thread) ── report ──> tuner (one node of the fleet: a lease, number = token)
-//!   decisions' ζ <── faded by degrees <── weights ───────┘   curve (fit) ── solve ── step ── guard: plain functions
+//!   attempt outcomes ── sketches (node's thread) ── report ──> leader (one node of the fleet: a lease and its token)
+//!   decisions' ζ <── applied weights, faded <── weights ─────┘   curve (fit) ── split ── tuner ── regression guard: plain functions
 //! ```
 //!
-//! What is minimised is the part of all requests that take longer than a threshold, the fleet's own percentile of late: less of that is a
-//! lower percentile. Each server's part is fitted against its load, rising; the parts are equal at the margin in the best split, found by
-//! bisection; a step goes a small way there; and where the tail is surely worse after it than before any, all of it is taken back at once.
+//! The tuner minimises the fraction of all requests that take longer than a threshold, which is the fleet's recent percentile: a lower fraction
+//! means a lower percentile. Each server's fraction is fitted as a rising function of its load. In the best split the marginal costs are equal;
+//! it is found by bisection. Each step moves the weights a small way towards it. If the tail is worse with weights than without, all weights are
+//! withdrawn at once.
 //!
-//! It claims, and tests check: weights carry a number and an end; no node obeys a lower one or one beyond its end, and none jumps; no step
-//! moves a server's load by more than the trust region; a wrong fit is taken back within the stated number of looks.
+//! Guarantees, which tests check: weights carry a version and expire; no node applies a stale version or weights beyond their expiry, and no
+//! weight jumps; no step moves a server's load by more than the trust region; a wrong fit is rolled back within the documented number of
+//! intervals.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/tuner/src/message.rs
+++ b/crates/tuner/src/message.rs
@@ -1,30 +1,31 @@
-//! What nodes and the tuner say to each other, in postcard's encoding.
+//! Messages between nodes and the leader, in postcard's encoding.
 
 use serde::{Deserialize, Serialize};
 
-/// What a node says: what its requests took at each server since it last said so.
+/// A node's report: the latencies of its requests at each server since its last report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The highest number that it has heard.
+    /// The highest version of the weights that the node has seen.
     pub known_version: (u64, u64),
-    /// By the servers' names' hashes: only those that take new requests, are warm and are not withheld.
+    /// Encoded latency sketches, keyed by the hashes of the servers' names. Only servers that accept new requests, have warmed up and are not
+    /// ejected are included.
     pub sketches: Vec<(u64, Vec<u8>)>,
 }
 
 /// One server's weight.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Weight {
-    /// Its name's hash.
+    /// The hash of the server's name.
     pub server: u64,
-    /// Relative to the mean.
+    /// The weight, relative to the mean.
     pub weight: f32,
 }
 
-/// What the tuner answers.
+/// The leader's response.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WeightList {
-    /// Token, and count under it.
+    /// The leader's fencing token, and a count of lists under that token.
     pub version: (u64, u64),
-    /// None: nodes go by their own estimates.
+    /// If empty, nodes use their own estimates.
     pub weights: Vec<Weight>,
 }
--- a/crates/tuner/src/regression.rs
+++ b/crates/tuner/src/regression.rs
@@ -1,52 +1,53 @@
-//! Whether the tail is worse than without the weights: then all of them are taken back.
+//! Detects whether the tail latency is worse with weights than without. If so all weights are withdrawn.
 
 use birchswitch_verdict::wilson::interval;
 
-/// Standard deviations by which it has to be.
-const Z: f64 = 3.0;
-/// What a look without weights still counts for after the next, and one with them.
-const KEPT: [f64; 2] = [0.9, 0.75];
+/// The confidence, in standard deviations.
+const CONFIDENCE_Z: f64 = 3.0;
+/// The decay at each interval of what was measured without weights, and with them.
+const DECAY: [f64; 2] = [0.9, 0.75];
 
-/// What a look comes to.
+/// The result of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GuardResult {
-    /// Not worse, as far as can be told.
+    /// No regression within the confidence.
     Acceptable,
-    /// Surely worse: back to no weights.
+    /// The tail is worse: the weights have to be withdrawn.
     Regressed,
 }
 
-/// What was seen without weights, and since.
+/// Compares the fractions of slow requests without weights and with them.
 #[derive(Clone, Debug, Default)]
 pub struct RegressionGuard {
-    /// Requests, and those over the threshold, without weights.
-    without: (f64, f64),
-    /// The same of the last looks with weights.
-    with: (f64, f64),
+    /// Requests and slow requests without weights.
+    baseline: (f64, f64),
+    /// The same of the latest intervals with weights.
+    weighted: (f64, f64),
 }
 
 impl RegressionGuard {
-    /// A look while no weights held.
-    pub fn without(&mut self, tries: f64, over: f64) {
-        self.without = (self.without.0 * KEPT[0] + tries, self.without.1 * KEPT[0] + over);
-        self.with = (0.0, 0.0);
+    /// Records an interval without weights.
+    pub fn record_baseline(&mut self, requests: f64, slow: f64) {
+        self.baseline = (self.baseline.0 * DECAY[0] + requests, self.baseline.1 * DECAY[0] + slow);
+        self.weighted = (0.0, 0.0);
     }
 
-    /// A look while weights held.
-    pub fn with(&mut self, tries: f64, over: f64) -> GuardResult {
-        self.with = (self.with.0 * KEPT[1] + tries, self.with.1 * KEPT[1] + over);
-        let (surely, _) = interval(self.with.1, self.with.0, Z);
-        let (_, usual) = interval(self.without.1, self.without.0, Z);
-        if self.without.0 > 0.0 && surely > usual {
+    /// Records an interval with weights, and checks it against the baseline.
+    pub fn check(&mut self, requests: f64, slow: f64) -> GuardResult {
+        self.weighted = (self.weighted.0 * DECAY[1] + requests, self.weighted.1 * DECAY[1] + slow);
+        let (lower, _) = interval(self.weighted.1, self.weighted.0, CONFIDENCE_Z);
+        let (_, baseline_upper) = interval(self.baseline.1, self.baseline.0, CONFIDENCE_Z);
+        if self.baseline.0 > 0.0 && lower > baseline_upper {
             GuardResult::Regressed
         } else {
             GuardResult::Acceptable
         }
     }
 
-    /// The part over the threshold without weights, and with.
+    /// The fractions of slow requests without weights and with them.
     pub fn slow_fractions(&self) -> [f64; 2] {
-        [self.without, self.with].map(|(tries, over)| if tries > 0.0 { over / tries } else { 0.0 })
+        [self.baseline, self.weighted]
+            .map(|(requests, slow)| if requests > 0.0 { slow / requests } else { 0.0 })
     }
 }
 
@@ -55,12 +56,12 @@
     use super::*;
 
     #[test]
-    fn what_is_worse_beyond_noise_is_found_at_once_and_noise_is_not() {
+    fn a_regression_beyond_noise_is_detected_at_once_and_noise_is_not() {
         let mut guard = RegressionGuard::default();
-        (0..5).for_each(|_| guard.without(1000.0, 10.0));
-        for over in [8.0, 14.0, 11.0, 16.0, 9.0] {
-            assert_eq!(guard.with(1000.0, over), GuardResult::Acceptable, "{over}");
+        (0..5).for_each(|_| guard.record_baseline(1000.0, 10.0));
+        for slow in [8.0, 14.0, 11.0, 16.0, 9.0] {
+            assert_eq!(guard.check(1000.0, slow), GuardResult::Acceptable, "{slow}");
         }
-        assert_eq!(guard.with(1000.0, 60.0), GuardResult::Regressed);
+        assert_eq!(guard.check(1000.0, 60.0), GuardResult::Regressed);
     }
 }
--- a/crates/tuner/src/session.rs
+++ b/crates/tuner/src/session.rs
@@ -1,4 +1,4 @@
-//! One tuner's time under one token, without I/O: reports in, words out.
+//! Tuning during one leadership term, without I/O: reports in, weights out.
 
 use crate::message::{Report, Weight, WeightList};
 use crate::sketch::LatencySketch;
@@ -6,62 +6,70 @@
 use birchswitch_mesh::Time;
 use std::collections::BTreeMap;
 
-/// Servers of which looks are kept.
-const SERVERS: usize = 4096;
+/// The most servers whose latencies are kept.
+const MAX_SERVERS: usize = 4096;
 
-/// What a look came to.
+/// The result of one tuning step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TuningStep {
-    /// The weights were taken back, since the tail was worse with them.
+    /// The weights were withdrawn, since the tail was worse with them.
     pub rolled_back: bool,
-    /// Weights are told from now on, or none any more.
+    /// Weights are published from now on, or no longer.
     pub toggled: bool,
-    /// Servers that have a weight.
+    /// The number of servers that have a weight.
     pub servers: usize,
-    /// Parts of requests over the threshold: without weights, with them, and as foreseen.
+    /// Fractions of slow requests: without weights, with them, and as predicted.
     pub slow_fractions: [f64; 3],
 }
 
-/// What a tuner knows.
+/// The latencies reported in the current interval, and the weights in effect.
 #[derive(Debug)]
 pub struct TuningSession {
-    terms: TunerSettings,
+    settings: TunerSettings,
     token: u64,
-    count: u64,
-    looked: Time,
-    spans: BTreeMap<u64, LatencySketch>,
+    list_count: u64,
+    stepped_at: Time,
+    sketches: BTreeMap<u64, LatencySketch>,
     tuner: Tuner,
     weights: Vec<Weight>,
 }
 
 impl TuningSession {
-    /// With no report heard yet.
-    pub fn new(terms: TunerSettings, token: u64, now: Time) -> Self {
-        let (spans, weights) = (BTreeMap::new(), Vec::new());
-        TuningSession { terms, token, count: 0, looked: now, spans, tuner: Tuner::new(terms), weights }
+    /// A session without reports.
+    pub fn new(settings: TunerSettings, token: u64, now: Time) -> Self {
+        let (sketches, weights) = (BTreeMap::new(), Vec::new());
+        TuningSession {
+            settings,
+            token,
+            list_count: 0,
+            stepped_at: now,
+            sketches,
+            tuner: Tuner::new(settings),
+            weights,
+        }
     }
 
-    /// Takes in a node's report, and says what is to be told to it, and what came of a look, where one was due.
+    /// Records a node's report. Returns the weights to send to the node, and the result of a tuning step if one was due.
     pub fn receive(&mut self, now: Time, report: &Report) -> (WeightList, Option<TuningStep>) {
         for (server, bytes) in &report.sketches {
-            let Some(span) = LatencySketch::decode(bytes) else { continue };
-            if self.spans.len() < SERVERS || self.spans.contains_key(server) {
-                let _ = self.spans.entry(*server).or_default().0.add(&span.0);
+            let Some(sketch) = LatencySketch::decode(bytes) else { continue };
+            if self.sketches.len() < MAX_SERVERS || self.sketches.contains_key(server) {
+                let _ = self.sketches.entry(*server).or_default().0.add(&sketch.0);
             }
         }
-        let looked = (now >= self.looked + self.terms.interval).then(|| self.look(now));
-        (WeightList { version: (self.token, self.count), weights: self.weights.clone() }, looked)
+        let step = (now >= self.stepped_at + self.settings.interval).then(|| self.step(now));
+        (WeightList { version: (self.token, self.list_count), weights: self.weights.clone() }, step)
     }
 
-    fn look(&mut self, now: Time) -> TuningStep {
-        let seconds = now.saturating_sub(std::mem::replace(&mut self.looked, now)).as_secs_f64();
-        let spans = std::mem::take(&mut self.spans);
-        let had = !self.weights.is_empty();
-        let (weights, rolled_back) = self.tuner.look(seconds, spans);
+    fn step(&mut self, now: Time) -> TuningStep {
+        let seconds = now.saturating_sub(std::mem::replace(&mut self.stepped_at, now)).as_secs_f64();
+        let sketches = std::mem::take(&mut self.sketches);
+        let had_weights = !self.weights.is_empty();
+        let (weights, rolled_back) = self.tuner.step(seconds, sketches);
         self.weights =
             weights.iter().map(|(server, w)| Weight { server: *server, weight: *w as f32 }).collect();
-        self.count += 1;
-        let toggled = had == self.weights.is_empty();
+        self.list_count += 1;
+        let toggled = had_weights == self.weights.is_empty();
         TuningStep {
             rolled_back,
             toggled,
--- a/crates/tuner/src/settings.rs
+++ b/crates/tuner/src/settings.rs
@@ -1,4 +1,4 @@
-//! The `[tuner]` table of an operator's file.
+//! The `[tuner]` table of the operator's file.
 
 use crate::tuner::TunerSettings;
 use birchswitch_cluster_host::{HumanDuration, SettingError, SettingSpans};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The table as it is written.
+/// The table as parsed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TunerTable {
@@ -14,43 +14,41 @@
     ttl: Option<Spanned<HumanDuration>>,
     percentile: Option<Spanned<f64>>,
     trust: Option<Spanned<f64>>,
-    drill: Option<Drill>,
+    drill: Option<TunerDrill>,
 }
 
-/// What tests plant.
+/// A fault that tests inject.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Drill {
+struct TunerDrill {
     #[serde(default)]
     wrong: bool,
 }
 
 impl TunerTable {
-    /// Checks each setting by itself and beside the others.
-    pub fn compile(written: &Spanned<TunerTable>) -> Result<TunerSettings, SettingError> {
-        let (mut places, table) = (SettingSpans::new("tuner", written), written.get_ref());
-        let usual = TunerSettings::DEFAULT;
-        let (mut interval, mut ttl) = (usual.interval, usual.ttl);
-        places.apply_duration("look", &table.look, &mut interval);
-        places.apply_duration("ttl", &table.ttl, &mut ttl);
+    /// Validates the settings, each alone and together.
+    pub fn compile(parsed: &Spanned<TunerTable>) -> Result<TunerSettings, SettingError> {
+        let (mut spans, table) = (SettingSpans::new("tuner", parsed), parsed.get_ref());
+        let defaults = TunerSettings::DEFAULT;
+        let (mut interval, mut ttl) = (defaults.interval, defaults.ttl);
+        spans.apply_duration("look", &table.look, &mut interval);
+        spans.apply_duration("ttl", &table.ttl, &mut ttl);
         if !(Duration::from_millis(200)..=Duration::from_secs(60)).contains(&interval) {
-            return Err(places.error_at("look", "`look` has to be 200ms to 60s"));
+            return Err(spans.error_at("look", "`look` has to be 200ms to 60s"));
         }
         if ttl < interval * 3 || ttl > Duration::from_secs(600) {
-            return Err(
-                places.error_at("ttl", "`ttl` has to be at least three times `look`, and at most 10m")
-            );
+            return Err(spans.error_at("ttl", "`ttl` has to be at least three times `look`, and at most 10m"));
         }
-        let percentile = places
+        let percentile = spans
             .record("percentile", &table.percentile)
             .copied()
-            .unwrap_or(100.0 * (1.0 - usual.tail_fraction));
+            .unwrap_or(100.0 * (1.0 - defaults.tail_fraction));
         if !(50.0..=99.99).contains(&percentile) {
-            return Err(places.error_at("percentile", "`percentile` has to be 50 to 99.99"));
+            return Err(spans.error_at("percentile", "`percentile` has to be 50 to 99.99"));
         }
-        let trust_region = places.record("trust", &table.trust).copied().unwrap_or(usual.trust_region);
+        let trust_region = spans.record("trust", &table.trust).copied().unwrap_or(defaults.trust_region);
         if !(0.01..=0.3).contains(&trust_region) {
-            return Err(places.error_at("trust", "`trust` has to be 0.01 to 0.3"));
+            return Err(spans.error_at("trust", "`trust` has to be 0.01 to 0.3"));
         }
         let inverted_fit = table.drill.as_ref().is_some_and(|d| d.wrong);
         Ok(TunerSettings {
@@ -73,19 +71,19 @@
     }
 
     #[test]
-    fn mistakes_are_told_where_they_are() {
+    fn errors_point_at_the_setting() {
         let compile = |text: &str| {
-            let file: File = toml::from_str(text).expect("its form is right");
+            let file: File = toml::from_str(text).expect("valid TOML");
             TunerTable::compile(&file.tuner).map_err(|w| text.get(w.span).unwrap_or_default().to_owned())
         };
         assert!(compile("[tuner]").is_ok_and(|t| (t.tail_fraction - 0.01).abs() < 1e-9));
-        for (setting, place) in [
+        for (setting, value) in [
             ("look = \"1ms\"", "\"1ms\""),
             ("ttl = \"1s\"", "\"1s\""),
             ("percentile = 10.0", "10.0"),
             ("trust = 0.9", "0.9"),
         ] {
-            assert_eq!(compile(&format!("[tuner]\n{setting}")), Err(place.to_owned()));
+            assert_eq!(compile(&format!("[tuner]\n{setting}")), Err(value.to_owned()));
         }
     }
 }
--- a/crates/tuner/tests/mixes.rs
+++ b/crates/tuner/tests/mixes.rs
@@ -1,13 +1,14 @@
-//! The tuner on modelled servers: p99 of the whole against even weights, a wrong fit taken back, and no harm where there is nothing to gain.
+//! The tuner on modelled servers: p99 of all requests compared with equal weights, rollback of an inverted fit, and no harm where there is
+//! nothing to gain.
 
 use birchswitch_tuner::{LatencySketch, Tuner, TunerSettings};
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BTreeMap;
 
-struct Chance(Xoshiro256PlusPlus);
+struct Rng(Xoshiro256PlusPlus);
 
-impl Chance {
+impl Rng {
     fn unit(&mut self) -> f64 {
         ((self.0.next_u64() >> 11) as f64 + 0.5) / (1u64 << 53) as f64
     }
@@ -17,101 +18,101 @@
     }
 }
 
-/// A queue of one server: requests a second that it does, and what it loses where its load is low.
+/// A single-server queue: its service rate in requests a second, and its relative slowdown at low load.
 #[derive(Clone, Copy)]
-struct Modelled {
-    does: f64,
-    cold: f64,
+struct ServerModel {
+    service_rate: f64,
+    cold_slowdown: f64,
 }
 
-/// What requests took in a look in which the load was split by these weights. Queues start empty at each look.
-fn plays(
-    chance: &mut Chance,
-    servers: &[Modelled],
+/// The latencies in one interval with the load split by these weights. Queues start empty at each interval.
+fn simulate(
+    rng: &mut Rng,
+    servers: &[ServerModel],
     weights: &[f64],
     load: f64,
     seconds: f64,
 ) -> BTreeMap<u64, LatencySketch> {
     let sum: f64 = weights.iter().sum();
-    let mut spans = BTreeMap::new();
+    let mut sketches = BTreeMap::new();
     for (n, (server, weight)) in servers.iter().zip(weights).enumerate() {
         let rate = load * weight / sum;
-        let (mut now, mut free) = (0.0, 0.0f64);
-        let mut span = LatencySketch::default();
+        let (mut now, mut free_at) = (0.0, 0.0f64);
+        let mut sketch = LatencySketch::default();
         while now < seconds {
-            now += chance.exponential(1.0 / rate);
-            let slower = 1.0 + server.cold * (1.0 - rate / server.does).max(0.0);
-            free = free.max(now) + chance.exponential(slower / server.does);
-            span.record(free - now);
+            now += rng.exponential(1.0 / rate);
+            let slowdown = 1.0 + server.cold_slowdown * (1.0 - rate / server.service_rate).max(0.0);
+            free_at = free_at.max(now) + rng.exponential(slowdown / server.service_rate);
+            sketch.record(free_at - now);
         }
-        spans.insert(n as u64, span);
+        sketches.insert(n as u64, sketch);
     }
-    spans
+    sketches
 }
 
-fn p99(spans: &BTreeMap<u64, LatencySketch>) -> f64 {
+fn p99(sketches: &BTreeMap<u64, LatencySketch>) -> f64 {
     let mut all = LatencySketch::default();
-    spans.values().for_each(|s| all.0.add(&s.0).expect("one kind"));
+    sketches.values().for_each(|s| all.0.add(&s.0).expect("equal bounds"));
     all.0.value_at_quantile(0.99) as f64 / 1e6
 }
 
-/// Mean p99 of many looks with even weights, and of the last with the tuner's, which were taken back so often.
-fn beside(servers: &[Modelled], load: f64, terms: TunerSettings) -> (f64, f64, usize) {
-    let (mut chance, looks) = (Chance(Xoshiro256PlusPlus::seed_from_u64(5)), 120);
-    let even = vec![1.0; servers.len()];
+/// Mean p99 of 40 intervals with equal weights, of the last 40 with the tuner's weights, and the number of rollbacks.
+fn compare(servers: &[ServerModel], load: f64, settings: TunerSettings) -> (f64, f64, usize) {
+    let (mut rng, intervals) = (Rng(Xoshiro256PlusPlus::seed_from_u64(5)), 120);
+    let equal = vec![1.0; servers.len()];
     let plain: f64 =
-        (0..40).map(|_| p99(&plays(&mut chance, servers, &even, load, 20.0))).sum::<f64>() / 40.0;
-    let mut tuner = Tuner::new(terms);
-    let (mut weights, mut backs, mut last) = (even, 0, Vec::new());
-    for look in 0..looks {
-        let spans = plays(&mut chance, servers, &weights, load, 20.0);
-        if look >= looks - 40 {
-            last.push(p99(&spans));
+        (0..40).map(|_| p99(&simulate(&mut rng, servers, &equal, load, 20.0))).sum::<f64>() / 40.0;
+    let mut tuner = Tuner::new(settings);
+    let (mut weights, mut rollbacks, mut last) = (equal, 0, Vec::new());
+    for interval in 0..intervals {
+        let sketches = simulate(&mut rng, servers, &weights, load, 20.0);
+        if interval >= intervals - 40 {
+            last.push(p99(&sketches));
         }
-        let (told, back) = tuner.look(20.0, spans);
-        backs += usize::from(back);
+        let (published, rolled_back) = tuner.step(20.0, sketches);
+        rollbacks += usize::from(rolled_back);
         weights = vec![1.0; servers.len()];
-        told.iter().for_each(|(server, weight)| weights[*server as usize] = *weight);
+        published.iter().for_each(|(server, weight)| weights[*server as usize] = *weight);
     }
-    (plain, last.iter().sum::<f64>() / last.len() as f64, backs)
+    (plain, last.iter().sum::<f64>() / last.len() as f64, rollbacks)
 }
 
-fn fast(does: f64) -> Modelled {
-    Modelled { does, cold: 0.0 }
+fn queue(service_rate: f64) -> ServerModel {
+    ServerModel { service_rate, cold_slowdown: 0.0 }
 }
 
 #[test]
-fn two_speeds_end_up_with_a_lower_tail() {
-    let servers: Vec<Modelled> = (0..8).map(|n| fast(if n < 3 { 60.0 } else { 100.0 })).collect();
-    let (plain, tuned, _) = beside(&servers, 320.0, TunerSettings::DEFAULT);
-    println!("two speeds: p99 {plain:.3} s even, {tuned:.3} s tuned");
+fn servers_of_two_speeds_get_a_lower_tail() {
+    let servers: Vec<ServerModel> = (0..8).map(|n| queue(if n < 3 { 60.0 } else { 100.0 })).collect();
+    let (plain, tuned, _) = compare(&servers, 320.0, TunerSettings::DEFAULT);
+    println!("two speeds: p99 {plain:.3} s equal, {tuned:.3} s tuned");
     assert!(tuned < 0.85 * plain, "{plain} {tuned}");
 }
 
 #[test]
 fn a_noisy_neighbour_is_relieved() {
-    let servers: Vec<Modelled> = (0..8).map(|n| fast(if n == 0 { 55.0 } else { 90.0 })).collect();
-    let (plain, tuned, _) = beside(&servers, 340.0, TunerSettings::DEFAULT);
-    println!("a noisy neighbour: p99 {plain:.3} s even, {tuned:.3} s tuned");
+    let servers: Vec<ServerModel> = (0..8).map(|n| queue(if n == 0 { 55.0 } else { 90.0 })).collect();
+    let (plain, tuned, _) = compare(&servers, 340.0, TunerSettings::DEFAULT);
+    println!("a noisy neighbour: p99 {plain:.3} s equal, {tuned:.3} s tuned");
     assert!(tuned < 0.85 * plain, "{plain} {tuned}");
 }
 
-/// Equal servers, and such that are slower the emptier they are: there is nothing to gain, and next to nothing is lost.
+/// Equal servers, and servers that are slower at lower load: there is nothing to gain, and hardly anything is lost.
 #[test]
-fn where_there_is_nothing_to_gain_next_to_nothing_is_lost() {
-    for (what, cold) in [("equal", 0.0), ("cold caches", 0.8)] {
-        let servers = vec![Modelled { does: 90.0, cold }; 8];
-        let (plain, tuned, _) = beside(&servers, 430.0, TunerSettings::DEFAULT);
-        println!("{what}: p99 {plain:.4} s even, {tuned:.4} s tuned");
+fn hardly_anything_is_lost_where_there_is_nothing_to_gain() {
+    for (what, cold_slowdown) in [("equal", 0.0), ("cold caches", 0.8)] {
+        let servers = vec![ServerModel { service_rate: 90.0, cold_slowdown }; 8];
+        let (plain, tuned, _) = compare(&servers, 430.0, TunerSettings::DEFAULT);
+        println!("{what}: p99 {plain:.4} s equal, {tuned:.4} s tuned");
         assert!(tuned < 1.04 * plain, "{what}: {plain} {tuned}");
     }
 }
 
 #[test]
-fn a_wrong_fit_is_taken_back() {
-    let servers: Vec<Modelled> = (0..8).map(|n| fast(if n < 3 { 60.0 } else { 100.0 })).collect();
-    let (plain, tuned, backs) =
-        beside(&servers, 320.0, TunerSettings { inverted_fit: true, ..TunerSettings::DEFAULT });
-    println!("a wrong fit: p99 {plain:.3} s even, {tuned:.3} s, taken back {backs} times");
-    assert!(backs > 0 && tuned < 1.6 * plain, "{plain} {tuned} {backs}");
+fn an_inverted_fit_is_rolled_back() {
+    let servers: Vec<ServerModel> = (0..8).map(|n| queue(if n < 3 { 60.0 } else { 100.0 })).collect();
+    let (plain, tuned, rollbacks) =
+        compare(&servers, 320.0, TunerSettings { inverted_fit: true, ..TunerSettings::DEFAULT });
+    println!("an inverted fit: p99 {plain:.3} s equal, {tuned:.3} s, rolled back {rollbacks} times");
+    assert!(rollbacks > 0 && tuned < 1.6 * plain, "{plain} {tuned} {rollbacks}");
 }
