--- a/crates/tuner/src/lib.rs
+++ b/crates/tuner/src/lib.rs
@@ -10,8 +10,8 @@
 //! it is found by bisection. Each step moves the weights a small way towards it. If the tail is worse with weights than without, all weights are
 //! withdrawn at once.
 //!
-//! Guarantees, which tests check: weights carry a version and expire; no node applies a stale version or weights beyond their expiry, and no
-//! weight jumps; no step moves a server's load by more than the trust region; a wrong fit is rolled back within the documented number of
+//! Guarantees, which tests check: weights carry a version and expire; no node applies a stale version; weights are phased out once they expire,
+//! and none jumps; no step moves a server's load by more than the trust region; a wrong fit is rolled back within the documented number of
 //! intervals.
 
 #![forbid(unsafe_code)]
--- a/crates/tuner/src/weights.rs
+++ b/crates/tuner/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weights in effect at a node: never of a stale version, never beyond their expiry, and without jumps.
+//! The weights in effect at a node: never of a stale version, phased in and out without jumps, and phased out once they expire.
 
 use crate::message::WeightList;
 use birchswitch_mesh::Time;
