--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -1,7 +1,7 @@
 //! The leader's allocator of one limit: what each process may hold, and what it gets when it renews.
 //!
-//! Invariant: the sum over all processes of the most that each may hold is at most the limit. A grant counts until the process has confirmed a
-//! newer one, or for as long as it may use the grant. A lowered grant therefore frees nothing before its process confirms it.
+//! Invariant: the sum over all processes of the most that each may hold is at most the limit. A grant counts until the process has
+//! confirmed a newer one, or for as long as it may use the grant. A lowered grant therefore frees nothing before its process confirms it.
 
 use crate::fair_share::{divide, RotationPriority};
 use crate::{Allocation, DemandAtWorth, IssuedGrant, Limit, LimitRequest, Measure, QuotaTiming};
@@ -135,9 +135,9 @@
     /// Renews the grant of a process that has seen tokens up to `highest_token`. None: it gets no response, and keeps its grant until that
     /// expires.
     ///
-    /// A grant of an earlier leader is adopted only from a process that has seen this leader's token. Its request was then sent after this term
-    /// began, while the grant was valid, so the earlier leader can't have given it to another process; and the process accepts no more grants
-    /// of the earlier leader.
+    /// A grant of an earlier leader is adopted only from a process that has seen this leader's token. Its request was then sent after this
+    /// term began, while the grant was valid, so the earlier leader can't have given it to another process; and the process accepts no more
+    /// grants of the earlier leader.
     pub fn renew(
         &mut self,
         now: Time,
@@ -368,8 +368,8 @@
         assert!(grant.allocation.rate < 1e-9, "{grant:?}");
     }
 
-    /// A delayed response of the previous leader raises an allocation that its successor has halved: if it were applied, the sum would exceed the
-    /// limit. A node that has seen the newer token rejects it (`renewal.rs`).
+    /// A delayed response of the previous leader raises an allocation that its successor has halved: if it were applied, the sum would
+    /// exceed the limit. A node that has seen the newer token rejects it (`renewal.rs`).
     #[test]
     fn applying_a_stale_response_would_exceed_the_limit() {
         let mut first = allocator(RATE, 1, s(0.0));
--- a/crates/quota/src/fair_share/mod.rs
+++ b/crates/quota/src/fair_share/mod.rs
@@ -1,4 +1,5 @@
-//! Divides a limit among nodes: fairly by demand within each worth, the higher worth first, and in whole units where a fraction is of no use.
+//! Divides a limit among nodes: fairly by demand within each worth, the higher worth first, and in whole units where a fraction is of no
+//! use.
 
 mod apportion;
 mod max_min;
@@ -8,8 +9,8 @@
 
 use crate::{Allocation, DemandAtWorth};
 
-/// Each node's allocation of a rate with a capacity, or of a capacity alone. `priorities` decides who gets one where there are fewer units than
-/// nodes.
+/// Each node's allocation of a rate with a capacity, or of a capacity alone. `priorities` decides who gets one where there are fewer units
+/// than nodes.
 pub fn divide(
     total: Allocation,
     demands: &[&[DemandAtWorth]],
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -7,17 +7,18 @@
 //!   (each node)    <─ response ── (one node: a lease and its token)
 //! ```
 //!
-//! Each limit is a rate with a burst, or a number of requests in flight ([`Allocation`]). The leader divides it into grants. A grant expires by
-//! its node's clock, counted from before the node sent its request, and the leader counts it as held for as long as the slowest clock may take
-//! to get there. A node without a grant does what the limit's `when_cut` says.
+//! Each limit is a rate with a burst, or a number of requests in flight ([`Allocation`]). The leader divides it into grants. A grant
+//! expires by its node's clock, counted from before the node sent its request, and the leader counts it as held for as long as the slowest
+//! clock may take to get there. A node without a grant does what the limit's `when_cut` says.
 //!
-//! The guarantee of a `strict` limit, whatever fails: **in no window of length W do servers receive more than L·W + B requests** (in flight:
-//! never more than N), as long as clocks are right to within the drift and a request takes no longer than `transit` to reach its server.
+//! The guarantee of a `strict` limit, whatever fails: **in no window of length W do servers receive more than L·W + B requests** (in
+//! flight: never more than N), as long as clocks are right to within the drift and a request takes no longer than `transit` to reach its
+//! server.
 //! `docs/design/limits.md` derives it. `tests/bound.rs` checks it on the plain functions in virtual time, and the node's tests check it on
 //! processes, by what the servers receive.
 //!
-//! The decisions are functions without I/O ([`fair_share`], [`Allocator`], [`LocalQuota`], [`fallback`]). `leader.rs` and `renewal.rs` do the
-//! I/O.
+//! The decisions are functions without I/O ([`fair_share`], [`Allocator`], [`LocalQuota`], [`fallback`]). `leader.rs` and `renewal.rs` do
+//! the I/O.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -58,8 +58,8 @@
 }
 
 impl Permit {
-    /// Checks whether the request may be sent to a server now. One that was admitted longer than `transit` ago takes tokens again, since the
-    /// bound covers only requests that reach a server within `transit`.
+    /// Checks whether the request may be sent to a server now. One that was admitted longer than `transit` ago takes tokens again, since
+    /// the bound covers only requests that reach a server within `transit`.
     pub fn recheck(&self) -> Result<(), Rejection> {
         let now = self.limiter.clock.now();
         if self.sent.get() || now <= self.admitted_at.get() + self.limiter.timing.transit {
--- a/crates/tuner/src/curve.rs
+++ b/crates/tuner/src/curve.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Fits a line to a server's samples by least squares, weighted by requests. With few samples it tends to `mean`, the fraction of all servers,
-/// and to the slope of a queue. The slope of a server that is slower at lower load is 0, since the line may not fall.
+/// Fits a line to a server's samples by least squares, weighted by requests. With few samples it tends to `mean`, the fraction of all
+/// servers, and to the slope of a queue. The slope of a server that is slower at lower load is 0, since the line may not fall.
 pub fn fit(samples: &[LoadSample], mean: f64) -> Option<LoadCurve> {
     let requests: f64 = samples.iter().map(|s| s.requests).sum();
     let rate = samples.iter().map(|s| s.rate * s.requests).sum::<f64>() / requests.max(1e-9);
--- a/crates/tuner/src/message.rs
+++ b/crates/tuner/src/message.rs
@@ -7,8 +7,8 @@
 pub struct Report {
     /// The highest version of the weights that the node has seen.
     pub known_version: (u64, u64),
-    /// Encoded latency sketches, keyed by the hashes of the servers' names. Only servers that accept new requests, have warmed up and are not
-    /// ejected are included.
+    /// Encoded latency sketches, keyed by the hashes of the servers' names. Only servers that accept new requests, have warmed up and are
+    /// not ejected are included.
     pub sketches: Vec<(u64, Vec<u8>)>,
 }
 
--- a/crates/tuner/src/split.rs
+++ b/crates/tuner/src/split.rs
@@ -2,9 +2,9 @@
 
 use crate::curve::LoadCurve;
 
-/// The rate of each server, in requests a second, with the given sum where the bounds allow it. Minimises the sum of rate·slow_fraction(rate), a
-/// convex problem: at the optimum all servers within their bounds have the same marginal cost, which rises with the rate. Found by
-/// bisection on that cost.
+/// The rate of each server, in requests a second, with the given sum where the bounds allow it. Minimises the sum of
+/// rate·slow_fraction(rate), a convex problem: at the optimum all servers within their bounds have the same marginal cost, which rises with
+/// the rate. Found by bisection on that cost.
 pub fn optimal_split(curves: &[LoadCurve], bounds: &[(f64, f64)], sum: f64) -> Vec<f64> {
     let marginal_cost =
         |c: &LoadCurve, rate: f64| c.slow_fraction - c.slope + 2.0 * c.slope * rate / c.rate.max(1e-9);
--- a/crates/tuner/src/tuner.rs
+++ b/crates/tuner/src/tuner.rs
@@ -88,8 +88,8 @@
         [without, with, self.predicted]
     }
 
-    /// Runs a step on the latencies of all nodes in the last `seconds`, by server. Returns the weights from now on, with mean 1, and whether
-    /// they were withdrawn.
+    /// Runs a step on the latencies of all nodes in the last `seconds`, by server. Returns the weights from now on, with mean 1, and
+    /// whether they were withdrawn.
     pub fn step(&mut self, seconds: f64, sketches: BTreeMap<u64, LatencySketch>) -> (Vec<(u64, f64)>, bool) {
         let mut all = LatencySketch::default();
         for sketch in sketches.values() {
--- a/crates/verdict/src/evidence.rs
+++ b/crates/verdict/src/evidence.rs
@@ -3,8 +3,8 @@
 use crate::outcomes::AttemptCounts;
 use crate::wilson::interval;
 
-/// The confidence of an ejection, in standard deviations. At 3, two healthy servers were ejected in ten hours in which a tenth of all answers
-/// was lost; at 3.5, none (`docs/design/verdicts.md`).
+/// The confidence of an ejection, in standard deviations. At 3, two healthy servers were ejected in ten hours in which a tenth of all
+/// answers was lost; at 3.5, none (`docs/design/verdicts.md`).
 const CONFIDENCE_Z: f64 = 3.5;
 /// The least number of nodes with evidence against a server, besides the one with the most.
 const MIN_OTHER_NODES: usize = 2;
