--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -13,7 +13,7 @@
 const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 /// Where there are fewer units than nodes, a node keeps its unit for this long, and has priority once it has been without one for as long.
 const ROTATION_PERIOD: Duration = Duration::from_secs(3);
-/// Most processes whose grants are tracked. Any beyond get no response.
+/// Most processes whose grants are tracked. Any beyond get no grant.
 const MAX_PROCESSES: usize = 4096;
 
 /// An issued grant that may still be held.
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Renews the grant of a process that has seen tokens up to `highest_token`. None: it gets no response, and keeps its grant until that
-    /// expires.
+    /// Renews the grant of a process that has seen tokens up to `highest_token`. None: it gets no new grant, and keeps what it
+    /// holds until that expires.
     ///
     /// A grant of an earlier leader is adopted only from a process that has seen this leader's token. Its request was then sent after this
     /// term began, while the grant was valid, so the earlier leader can't have given it to another process; and the process accepts no more
