--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -1,13 +1,13 @@
-//! The member itself: what follows from each event, and which statements on whom count.
+//! The membership core: event handling and the rules that decide which reports about members apply.
 
-use crate::exchange::Joining;
-use crate::fitness::Fitness;
+use crate::exchange::SyncState;
+use crate::local_health::LocalHealth;
 use crate::member::{Generation, MemberId, Record, State, Topic, Value};
-use crate::news::Queue;
-use crate::rounds::Probing;
+use crate::probing::Probing;
 use crate::settings::{Settings, SettingsError};
-use crate::table::{Member, Table};
-use crate::wire::{self, Body, Held, Message, Report, Sender, Update};
+use crate::table::{Member, MemberTable};
+use crate::update_queue::UpdateQueue;
+use crate::wire::{self, Body, KnownState, Message, Report, Sender, Update};
 use crate::Time;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -15,307 +15,315 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A suspicion of which nothing more is heard goes after so many suspicion times.
-const STALE: u32 = 4;
-/// Those that left are kept so long, that older news of them find them.
-const FAREWELL: Duration = Duration::from_secs(60);
-/// A majority that stands for so long without those that are missing is the fleet from then on.
-const AGREED: Duration = Duration::from_secs(30);
-/// Members that are told of a leaving.
-const FAREWELLS: usize = 12;
-
-/// What happens to a member.
+/// A suspicion is dropped when nothing more is heard of it for this many suspicion periods.
+const STALE_SUSPICIONS: u32 = 4;
+/// How long members that left are kept, so that older updates about them are recognized as
+/// outdated.
+const LEFT_RETENTION: Duration = Duration::from_secs(60);
+/// The agreed fleet size shrinks to the live members after a majority has gone on without the
+/// missing ones for this long.
+const SHRINK_AFTER: Duration = Duration::from_secs(30);
+/// Number of members that are notified when this node leaves.
+const LEAVE_FANOUT: usize = 12;
+
+/// Input to the core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// [`Core::next_wake`] has come.
+    /// The time given by [`Core::next_wake`] has been reached.
     Wake,
-    /// A datagram.
+    /// A datagram was received.
     Received {
-        /// Whence.
+        /// The sender's address.
         from: SocketAddr,
-        /// All of it.
+        /// The whole datagram.
         bytes: Vec<u8>,
     },
-    /// Tell this of oneself from now on.
+    /// Publish a value in this node's record from now on.
     Publish {
-        /// What about.
+        /// The value's topic.
         topic: Topic,
-        /// What.
+        /// The encoded value.
         bytes: Vec<u8>,
     },
-    /// Carry this to another part of a program, once, with no promise that it arrives. What is too long for a datagram is dropped.
+    /// Send a payload to another component of a remote program, once and without a delivery
+    /// guarantee. Payloads that do not fit into a datagram are dropped.
     SendPayload {
-        /// Where to.
+        /// The destination.
         to: SocketAddr,
-        /// For which part.
+        /// The component that receives it.
         lane: u8,
-        /// What.
+        /// The payload.
         bytes: Vec<u8>,
     },
-    /// Say farewell; nothing more is said after it.
+    /// Leave the cluster. The core sends nothing more afterwards.
     Leave,
 }
 
-/// What a member wants done, in this order.
+/// Output of the core, to be executed in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// The destination.
         to: SocketAddr,
-        /// All of it.
+        /// The whole datagram.
         bytes: Vec<u8>,
     },
-    /// This came for another part of the program, from whoever sends there.
+    /// A payload arrived for another component. The sender need not be a member.
     PayloadReceived {
-        /// Whence.
+        /// The sender's address.
         from: SocketAddr,
-        /// For which part.
+        /// The component that receives it.
         lane: u8,
-        /// What.
+        /// The payload.
         bytes: Vec<u8>,
     },
-    /// Something changed, for logs and for those that read the view.
+    /// The membership changed; for logs and for users of the member list.
     Changed(Change),
 }
 
-/// What changed, of another member or of oneself.
+/// A change of another member or of this node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A name not known before.
+    /// A member with a previously unknown name appeared.
     Joined(MemberId),
-    /// Held alive again, or under a new process.
+    /// The member is alive again, or a new process has taken over its name.
     Returned(MemberId),
-    /// Somebody probed it in vain.
+    /// A node's probes of the member failed.
     Suspected(MemberId),
-    /// It refuted, or nobody kept to it.
+    /// The suspicion was refuted or has expired.
     Cleared(MemberId),
-    /// Dead from now on.
+    /// The member is now considered dead.
     Died {
-        /// Who.
+        /// The member.
         member: MemberId,
-        /// By this node's own verdict, or because others said so.
+        /// Whether this node reached the verdict itself; false if others reported it.
         own: bool,
     },
-    /// It said farewell.
+    /// The member left on its own.
     Left(MemberId),
-    /// Of oneself.
+    /// An event about this node itself.
     Local(LocalEvent),
 }
 
-/// What a member notices of itself.
+/// An event about the local node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LocalEvent {
-    /// Its process did not run for so long.
+    /// The process did not run for this long.
     Stalled(Duration),
-    /// It asked and heard nobody.
+    /// The node's probes get no answers from anybody.
     CutOff,
-    /// It hears members again.
+    /// The node receives datagrams from members again.
     Reconnected,
-    /// Others held it for suspect, dead or gone; it says otherwise.
+    /// The node refuted a report that it is suspect, dead or gone.
     Refuted {
-        /// As what.
-        held: State,
-        /// Its incarnation from now on.
+        /// The reported state.
+        claimed: State,
+        /// The node's new incarnation.
         incarnation: u64,
     },
-    /// Another process bears its name, or did; that one yields.
+    /// Another process uses or used this node's name; the other process yields.
     DuplicateName(SocketAddr),
-    /// Another process that started later bears its name: this one is no member any more.
+    /// A process that started later uses this node's name: this node is no longer a member.
     Yielded(SocketAddr),
-    /// Where it stands in the fleet changed.
+    /// The node's standing in the fleet changed.
     Standing(Standing),
 }
 
-/// Where this node stands in its fleet.
+/// This node's standing in its fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
-    /// It has met no member yet.
+    /// No other member is known yet.
     #[default]
     Alone,
-    /// It sees more than half of the fleet as last agreed.
+    /// The node sees more than half of the last agreed fleet.
     Majority,
-    /// It sees half or less.
+    /// The node sees half of the last agreed fleet or less.
     Minority,
-    /// It hears nobody.
+    /// The node receives nothing from any member.
     CutOff,
-    /// Another process bears its name, or it left.
+    /// The node left, or another process took over its name.
     Gone,
 }
 
-/// What a member counted since its start.
+/// Counters since the start of the core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams and bytes sent.
     pub sent: [u64; 2],
-    /// Datagrams and bytes that came, those dropped included.
+    /// Datagrams and bytes received, including those that were dropped.
     pub received: [u64; 2],
-    /// Datagrams that were dropped: broken, foreign, of another version.
+    /// Datagrams dropped because they were malformed, from another cluster or of another version.
     pub dropped: u64,
-    /// Pieces of news that no rule of this version reads.
-    pub unread: u64,
-    /// Members that would have been more than are kept.
+    /// Updates of a kind that this version does not know.
+    pub unknown_updates: u64,
+    /// New members that were not taken in because the member table was full.
     pub refused: u64,
-    /// Times that others came under suspicion.
+    /// Other members that became suspected.
     pub suspicions: u64,
-    /// Times that this node refuted what others held of it.
+    /// Reports about this node that it refuted.
     pub refutations: u64,
-    /// Members that this node declared dead itself.
+    /// Members that this node itself declared dead.
     pub verdicts: u64,
 }
 
-/// One member. See the crate's own words.
+/// The membership state machine of one node; see the crate documentation.
 pub struct Core {
     pub(crate) settings: Settings,
     pub(crate) own: Record,
-    pub(crate) table: Table,
-    pub(crate) queue: Queue,
-    pub(crate) fitness: Fitness,
+    pub(crate) table: MemberTable,
+    pub(crate) updates: UpdateQueue,
+    pub(crate) local_health: LocalHealth,
     pub(crate) probing: Probing,
-    pub(crate) joining: Joining,
+    pub(crate) sync: SyncState,
     pub(crate) counts: Counts,
     rng: Xoshiro256PlusPlus,
-    next_second: Time,
+    next_maintenance: Time,
     standing: Standing,
-    /// Members of the fleet as last agreed, and since when fewer are seen.
+    /// The fleet size last agreed on, and since when fewer members than that are live.
     agreed: (usize, Option<Time>),
-    twins: Vec<SocketAddr>,
-    gone: bool,
-    /// Bytes of the longest datagram that may be sent now.
-    pub(crate) longest: usize,
+    duplicates: Vec<SocketAddr>,
+    stopped: bool,
+    /// Size limit of the datagrams that may be sent right now, in bytes.
+    pub(crate) max_datagram: usize,
 }
 
 impl Core {
-    /// A member that knows nobody yet. `own` is what it tells of itself; its incarnation starts at 1.
+    /// Creates a core that knows no other member. `own` is this node's record; its incarnation is
+    /// at least 1.
     pub fn new(settings: Settings, own: Record, seed: u64, now: Time) -> Result<Self, SettingsError> {
         settings.check()?;
-        if !own.sound() {
+        if !own.is_valid() {
             return Err(SettingsError::Text("node", 64));
         }
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        // Members that start together don't ask together.
+        // A random first probe time keeps members that start together from probing in step.
         let first = now + settings.probe.mul_f64(uniform(&mut rng));
         Ok(Core {
             probing: Probing::new(first),
-            joining: Joining::new(first, settings.exchange),
+            sync: SyncState::new(first, settings.exchange),
             own: Record { incarnation: own.incarnation.max(1), ..own },
-            table: Table::new(),
-            queue: Queue::default(),
-            fitness: Fitness::default(),
+            table: MemberTable::new(),
+            updates: UpdateQueue::default(),
+            local_health: LocalHealth::default(),
             counts: Counts::default(),
             rng,
-            next_second: now + Duration::from_secs(1),
+            next_maintenance: now + Duration::from_secs(1),
             standing: Standing::Alone,
             agreed: (1, None),
-            twins: Vec::new(),
-            gone: false,
-            longest: wire::LONGEST,
+            duplicates: Vec::new(),
+            stopped: false,
+            max_datagram: wire::MAX_DATAGRAM_BYTES,
             settings,
         })
     }
 
-    /// Puts members in as if they had always been known: for the laboratory's fleets that are up already.
+    /// Adds members as if they had always been known. The laboratory starts running fleets with
+    /// this.
     pub fn insert_known(&mut self, now: Time, records: &[Arc<Record>]) {
         for record in records.iter().filter(|r| r.id() != self.own.id()) {
-            self.table.put(record.id(), fresh(record.clone(), now));
+            self.table.insert(record.id(), new_member(record.clone(), now));
         }
         self.agreed.0 = self.table.len() + 1;
     }
 
     /// When [`Event::Wake`] is due.
     pub fn next_wake(&self) -> Time {
-        if self.gone {
+        if self.stopped {
             return Time::MAX;
         }
-        self.probing.next().min(self.joining.next()).min(self.next_second)
+        self.probing.next_due().min(self.sync.next_due()).min(self.next_maintenance)
     }
 
-    /// Takes in one event and appends what is to be done about it.
+    /// Processes one event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        if self.gone {
+        if self.stopped {
             return;
         }
         let late = now.saturating_sub(self.next_wake());
-        if late > self.settings.late() && !self.settings.without_safeguards {
-            self.held_up(now, late, actions);
+        if late > self.settings.stall_threshold() && !self.settings.without_safeguards {
+            self.handle_stall(now, late, actions);
         }
         match event {
             Event::Wake => {}
-            Event::Received { from, bytes } => self.received(now, from, &bytes, actions),
-            Event::Publish { topic, bytes } => self.tell(topic, bytes),
-            Event::SendPayload { to, lane, bytes } => self.carry(to, lane, bytes, actions),
+            Event::Received { from, bytes } => self.handle_datagram(now, from, &bytes, actions),
+            Event::Publish { topic, bytes } => self.publish(topic, bytes),
+            Event::SendPayload { to, lane, bytes } => self.send_payload(to, lane, bytes, actions),
             Event::Leave => return self.leave(actions),
         }
-        if !self.gone {
-            self.probe(now, actions);
-            self.meet(now, actions);
-            if now >= self.next_second {
-                self.next_second = now + Duration::from_secs(1);
-                self.upkeep(now, actions);
+        if !self.stopped {
+            self.run_probes(now, actions);
+            self.run_sync(now, actions);
+            if now >= self.next_maintenance {
+                self.next_maintenance = now + Duration::from_secs(1);
+                self.maintain(now, actions);
             }
         }
     }
 
-    // ---- the view ----
-    /// What this node tells of itself.
+    // ---- Queries ----
+    /// This node's own record.
     pub fn own(&self) -> &Record {
         &self.own
     }
 
-    /// All others, in no order.
+    /// All other members, in no particular order.
     pub fn members(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.table.iter()
     }
 
-    /// One of the others.
+    /// Another member, by its id.
     pub fn member(&self, id: MemberId) -> Option<&Member> {
         self.table.get(id)
     }
 
-    /// Others in that state.
+    /// Number of other members in a state.
     pub fn count(&self, state: State) -> usize {
         self.table.count(state)
     }
 
-    /// Members that count, oneself included.
+    /// Number of live members, including this node.
     pub fn live_count(&self) -> usize {
-        self.table.counting() + 1
+        self.table.live_count() + 1
     }
 
-    /// Addresses by which it joins: without any it is a fleet of its own until others come.
+    /// Number of seed addresses. A node without seeds forms a fleet of its own until others join
+    /// it.
     pub fn seed_count(&self) -> usize {
         self.settings.seeds.len()
     }
 
-    /// Members of the fleet as last agreed, oneself included: it shrinks only where a majority of it stood for 30 s.
+    /// Size of the last agreed fleet, including this node. It shrinks only where a majority of it
+    /// has held for 30 s.
     pub fn agreed_size(&self) -> usize {
         self.agreed.0
     }
 
-    /// Where this node stands.
+    /// This node's current standing.
     pub fn standing(&self) -> Standing {
         self.standing
     }
 
-    /// How bad this node has been at hearing others of late: 0 (well) to 8.
+    /// The local health score, from 0 (good) to 8: how badly this node has been receiving from
+    /// others lately.
     pub fn health_score(&self) -> u32 {
-        self.fitness.score()
+        self.local_health.score()
     }
 
-    /// What it counted.
+    /// The counters.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// This node's index among the members that count, in the order of their ids, and how many they are.
+    /// This node's index among the live members, ordered by id, and the number of live members.
     pub fn rank(&self) -> (usize, usize) {
         let own = self.own.id();
         let before = self.table.iter().filter(|(id, m)| m.state.is_live() && *id < own).count();
         (before, self.live_count())
     }
 
-    // ---- what others say ----
-    fn received(&mut self, now: Time, from: SocketAddr, bytes: &[u8], actions: &mut Vec<Action>) {
+    // ---- Incoming messages ----
+    fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], actions: &mut Vec<Action>) {
         self.counts.received[0] += 1;
         self.counts.received[1] += bytes.len() as u64;
         let Ok(message) = wire::decode(&self.settings.cluster, bytes) else {
@@ -324,268 +332,286 @@
         };
         let sender = message.sender;
         if sender.id == self.own.id() {
-            return self.namesake(from, sender, actions);
+            return self.handle_same_name(from, sender, actions);
         }
         let known = self.table.get(sender.id).is_some_and(|m| m.record.generation == sender.generation);
         for piece in &message.updates {
             match Update::decode(piece) {
-                Some(news) => self.absorb(now, news, actions),
-                None => self.counts.unread += 1,
+                Some(update) => self.apply_update(now, update, actions),
+                None => self.counts.unknown_updates += 1,
             }
-            if self.gone {
+            if self.stopped {
                 return;
             }
         }
         match self.table.get(sender.id) {
             Some(member) if member.record.generation == sender.generation => {
-                self.table.heard(sender.id, now);
-                if self.fitness.hears(now) {
-                    actions.push(own(LocalEvent::Reconnected));
-                    self.settle(actions);
+                self.table.record_heard(sender.id, now);
+                if self.local_health.record_heard(now) {
+                    actions.push(local_event(LocalEvent::Reconnected));
+                    self.update_standing(actions);
                 }
             }
-            _ => self.joining.stranger(from),
+            _ => self.sync.note_unknown_address(from),
         }
         if let Body::Payload { lane, bytes } = message.body {
             return actions.push(Action::PayloadReceived { from, lane, bytes });
         }
-        // What a datagram says of its sender makes it no better known at once.
-        let most = if known { wire::LONGEST } else { bytes.len() };
-        self.answer(now, from, most, &message, actions);
+        // An update in the datagram may have just introduced its sender. Such a sender still gets
+        // the limit of an unknown one.
+        let limit = if known { wire::MAX_DATAGRAM_BYTES } else { bytes.len() };
+        self.reply(now, from, limit, &message, actions);
     }
 
-    /// Another process under this name spoke here.
-    fn namesake(&mut self, from: SocketAddr, sender: Sender, actions: &mut Vec<Action>) {
+    /// Handles a datagram from another process that uses this node's name.
+    fn handle_same_name(&mut self, from: SocketAddr, sender: Sender, actions: &mut Vec<Action>) {
         if sender.generation > self.own.generation {
             self.yield_to(from, actions);
         } else if sender.generation < self.own.generation {
-            self.notice_twin(from, actions);
+            self.note_duplicate(from, actions);
             self.send(from, Body::Welcome, Vec::new(), actions);
         }
     }
 
     fn yield_to(&mut self, other: SocketAddr, actions: &mut Vec<Action>) {
-        // The last word: so that the other knows, too.
+        // One last message, so that the other process learns of this one, too.
         let message = self.message(Body::Records);
-        self.dispatch(other, &message, actions);
-        self.gone = true;
-        actions.push(own(LocalEvent::Yielded(other)));
-        self.settle(actions);
-    }
-
-    fn notice_twin(&mut self, other: SocketAddr, actions: &mut Vec<Action>) {
-        if other != self.own.address && self.twins.len() < 16 && !self.twins.contains(&other) {
-            self.twins.push(other);
-            actions.push(own(LocalEvent::DuplicateName(other)));
-        }
-    }
-
-    /// Takes in one statement. The later life counts, then the higher incarnation, then the graver state.
-    pub(crate) fn absorb(&mut self, now: Time, news: Update, actions: &mut Vec<Action>) {
-        match news {
-            Update::Alive(record) if record.id() == self.own.id() => self.alive_self(&record, actions),
-            Update::Alive(record) => self.alive(now, record, actions),
-            Update::Report(said) if said.id == self.own.id() => {
-                let held =
-                    Held { generation: said.generation, incarnation: said.incarnation, state: said.state };
-                self.held_as(now, held, actions);
+        self.transmit(other, &message, actions);
+        self.stopped = true;
+        actions.push(local_event(LocalEvent::Yielded(other)));
+        self.update_standing(actions);
+    }
+
+    fn note_duplicate(&mut self, other: SocketAddr, actions: &mut Vec<Action>) {
+        if other != self.own.address && self.duplicates.len() < 16 && !self.duplicates.contains(&other) {
+            self.duplicates.push(other);
+            actions.push(local_event(LocalEvent::DuplicateName(other)));
+        }
+    }
+
+    /// Applies one update. The later generation wins, then the higher incarnation, then the more
+    /// severe state.
+    pub(crate) fn apply_update(&mut self, now: Time, update: Update, actions: &mut Vec<Action>) {
+        match update {
+            Update::Alive(record) if record.id() == self.own.id() => self.apply_own_alive(&record, actions),
+            Update::Alive(record) => self.apply_alive(now, record, actions),
+            Update::Report(report) if report.id == self.own.id() => {
+                let claim = KnownState {
+                    generation: report.generation,
+                    incarnation: report.incarnation,
+                    state: report.state,
+                };
+                self.handle_claim(now, claim, actions);
             }
-            Update::Report(said) => self.said(now, &said, false, actions),
+            Update::Report(report) => self.apply_report(now, &report, false, actions),
         }
     }
 
-    fn alive_self(&mut self, record: &Record, actions: &mut Vec<Action>) {
+    fn apply_own_alive(&mut self, record: &Record, actions: &mut Vec<Action>) {
         if record.generation == self.own.generation {
             return;
         }
         let elsewhere = record.address != self.own.address;
         if record.generation < self.own.generation {
             if elsewhere {
-                self.notice_twin(record.address, actions);
+                self.note_duplicate(record.address, actions);
             }
         } else if elsewhere {
             self.yield_to(record.address, actions);
         } else {
-            // A predecessor at this very address, whose clock was ahead: it can't live beside this process.
-            self.outlive(record.generation);
+            // A predecessor at the same address whose clock was ahead. It cannot be running next to
+            // this process.
+            self.advance_generation(record.generation);
         }
     }
 
-    fn outlive(&mut self, other: Generation) {
+    fn advance_generation(&mut self, other: Generation) {
         self.own.generation.started = other.started.saturating_add(1);
-        self.announce();
+        self.broadcast_self();
     }
 
-    /// What somebody holds of this node.
-    pub(crate) fn held_as(&mut self, now: Time, held: Held, actions: &mut Vec<Action>) {
-        if held.generation > self.own.generation {
-            return self.outlive(held.generation);
+    /// Handles what another member believes about this node, and refutes it if necessary.
+    pub(crate) fn handle_claim(&mut self, now: Time, claim: KnownState, actions: &mut Vec<Action>) {
+        if claim.generation > self.own.generation {
+            return self.advance_generation(claim.generation);
         }
-        if held.generation < self.own.generation || held.state == State::Alive {
+        if claim.generation < self.own.generation || claim.state == State::Alive {
             return;
         }
-        // Also where it was refuted already: then the refutation is not heard, or not yet.
-        self.fitness.doubted(now, self.settings.suspicion, 0);
-        self.probing.forget_doubts();
-        if held.incarnation >= self.own.incarnation {
-            self.fitness.doubted(now, self.settings.suspicion, 1);
-            self.own.incarnation = held.incarnation + 1;
+        // Also counts if already refuted: then the refutation has not arrived, or not yet.
+        self.local_health.record_self_doubt(now, self.settings.suspicion, 0);
+        self.probing.clear_failures();
+        if claim.incarnation >= self.own.incarnation {
+            self.local_health.record_self_doubt(now, self.settings.suspicion, 1);
+            self.own.incarnation = claim.incarnation + 1;
             self.counts.refutations += 1;
-            self.announce();
+            self.broadcast_self();
             let incarnation = self.own.incarnation;
-            actions.push(own(LocalEvent::Refuted { held: held.state, incarnation }));
+            actions.push(local_event(LocalEvent::Refuted { claimed: claim.state, incarnation }));
         }
     }
 
-    fn alive(&mut self, now: Time, record: Record, actions: &mut Vec<Action>) {
+    fn apply_alive(&mut self, now: Time, record: Record, actions: &mut Vec<Action>) {
         let id = record.id();
         let Some(member) = self.table.get(id) else {
             if self.table.len() + 2 > self.settings.members && !self.evict() {
                 self.counts.refused += 1;
                 return;
             }
-            self.queue.tell(id, &Update::Alive(record.clone()));
-            self.table.put(id, fresh(Arc::new(record), now));
-            self.joining.learnt();
+            self.updates.push(id, &Update::Alive(record.clone()));
+            self.table.insert(id, new_member(Arc::new(record), now));
+            self.sync.note_new_member();
             actions.push(Action::Changed(Change::Joined(id)));
             return;
         };
-        if record.age() <= member.age() {
-            // Others spoke of an incarnation before its record came.
-            if record.age() > member.record.age() {
-                self.table.change(id, |m| m.record = Arc::new(record));
+        if record.version() <= member.version() {
+            // A report about this incarnation arrived before the record itself.
+            if record.version() > member.record.version() {
+                self.table.update(id, |m| m.record = Arc::new(record));
             }
             return;
         }
         let (before, same) = (member.state, member.record.generation == record.generation);
-        let heard = member.heard.filter(|_| same);
-        self.queue.tell(id, &Update::Alive(record.clone()));
-        self.probing.cleared(id);
-        let mut member = Member { heard, ..fresh(Arc::new(record), now) };
+        let last_heard = member.last_heard.filter(|_| same);
+        self.updates.push(id, &Update::Alive(record.clone()));
+        self.probing.clear(id);
+        let mut member = Member { last_heard, ..new_member(Arc::new(record), now) };
         if before.is_live() && same {
-            // Alive all along.
+            // The member was live all along, so `since` stays.
             member.since = self.table.get(id).map_or(now, |m| m.since);
         }
         let address = member.record.address;
-        self.table.put(id, member);
+        self.table.insert(id, member);
         match before {
             State::Suspect if same => actions.push(Action::Changed(Change::Cleared(id))),
             State::Alive if same => {}
             State::Alive | State::Suspect => actions.push(Action::Changed(Change::Returned(id))),
             State::Dead | State::Left => {
                 actions.push(Action::Changed(Change::Returned(id)));
-                self.reunite(now, address, actions);
+                self.sync_with_returned(now, address, actions);
             }
         }
     }
 
-    pub(crate) fn said(&mut self, now: Time, said: &Report, verdict: bool, actions: &mut Vec<Action>) {
-        let Some(member) = self.table.get(said.id) else { return };
-        // Of another life only its own word is taken; the comparison of tables brings that.
-        let newer = said.incarnation > member.incarnation;
-        if said.generation != member.record.generation || said.incarnation < member.incarnation {
+    pub(crate) fn apply_report(
+        &mut self,
+        now: Time,
+        report: &Report,
+        verdict: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(member) = self.table.get(report.id) else { return };
+        // A new generation is only accepted from the member's own record, which the table exchange
+        // delivers.
+        let newer = report.incarnation > member.incarnation;
+        if report.generation != member.record.generation || report.incarnation < member.incarnation {
             return;
         }
-        if said.state == State::Suspect {
+        if report.state == State::Suspect {
             if !member.state.is_live() {
                 return;
             }
             let known = if newer { &[][..] } else { &member.witnesses };
             let mut witnesses = known.to_vec();
-            witnesses.extend(said.witnesses.iter().filter(|w| !known.contains(w)));
+            witnesses.extend(report.witnesses.iter().filter(|w| !known.contains(w)));
             witnesses.truncate(4);
             if witnesses.len() == known.len() {
                 return;
             }
             let first = member.state == State::Alive;
-            let told = Report { witnesses: witnesses.clone(), ..said.clone() };
-            self.table.change(said.id, |m| {
+            let told = Report { witnesses: witnesses.clone(), ..report.clone() };
+            self.table.update(report.id, |m| {
                 (m.state, m.incarnation, m.witnesses) = (State::Suspect, told.incarnation, witnesses);
                 if first {
                     m.since = now;
                 }
             });
-            self.queue.tell(said.id, &Update::Report(told));
+            self.updates.push(report.id, &Update::Report(told));
             if first {
                 self.counts.suspicions += 1;
-                actions.push(Action::Changed(Change::Suspected(said.id)));
-                self.look_too(now, said.id, actions);
+                actions.push(Action::Changed(Change::Suspected(report.id)));
+                self.maybe_confirm(now, report.id, actions);
             }
-        } else if newer || said.state > member.state {
+        } else if newer || report.state > member.state {
             let before = member.state;
-            self.table.change(said.id, |m| {
-                (m.state, m.incarnation, m.since) = (said.state, said.incarnation, now);
+            self.table.update(report.id, |m| {
+                (m.state, m.incarnation, m.since) = (report.state, report.incarnation, now);
                 m.witnesses.clear();
             });
-            self.probing.cleared(said.id);
-            self.queue.tell(said.id, &Update::Report(said.clone()));
-            if said.state == State::Left {
-                // It is no longer of the fleet.
+            self.probing.clear(report.id);
+            self.updates.push(report.id, &Update::Report(report.clone()));
+            if report.state == State::Left {
+                // A member that left no longer counts towards the agreed fleet size.
                 if before != State::Left {
                     self.agreed.0 = self.agreed.0.saturating_sub(1).max(1);
                 }
-                actions.push(Action::Changed(Change::Left(said.id)));
+                actions.push(Action::Changed(Change::Left(report.id)));
             } else if before != State::Dead {
-                actions.push(Action::Changed(Change::Died { member: said.id, own: verdict }));
+                actions.push(Action::Changed(Change::Died { member: report.id, own: verdict }));
             }
         }
     }
 
-    // ---- oneself ----
-    fn announce(&mut self) {
-        self.queue.tell(self.own.id(), &Update::Alive(self.own.clone()));
+    // ---- Local state ----
+    fn broadcast_self(&mut self) {
+        self.updates.push(self.own.id(), &Update::Alive(self.own.clone()));
     }
 
-    fn tell(&mut self, topic: Topic, bytes: Vec<u8>) {
+    fn publish(&mut self, topic: Topic, bytes: Vec<u8>) {
         let mut values = self.own.values.clone();
         values.retain(|v| v.topic != topic.number());
         values.push(Value { topic: topic.number(), bytes });
         let record = Record { values, incarnation: self.own.incarnation + 1, ..self.own.clone() };
-        // Too much is not told at all.
-        if record != self.own && record.sound() {
+        // A value that does not fit into the record is not published at all.
+        if record != self.own && record.is_valid() {
             self.own = record;
-            self.announce();
+            self.broadcast_self();
         }
     }
 
-    fn held_up(&mut self, now: Time, late: Duration, actions: &mut Vec<Action>) {
-        self.probing.interrupted(now);
-        self.joining.interrupted(now);
-        self.next_second = self.next_second.max(now);
-        self.fitness.doubted(now, self.settings.suspicion, 1);
+    fn handle_stall(&mut self, now: Time, late: Duration, actions: &mut Vec<Action>) {
+        self.probing.reset_after_stall(now);
+        self.sync.reset_after_stall(now);
+        self.next_maintenance = self.next_maintenance.max(now);
+        self.local_health.record_self_doubt(now, self.settings.suspicion, 1);
         if late >= self.settings.suspicion {
-            // Others may have taken it for dead, rightly: it does not go on as if nothing had been.
+            // Others may rightly have declared this node dead in the meantime; a new incarnation
+            // announces its return.
             self.own.incarnation += 1;
-            self.announce();
+            self.broadcast_self();
         }
-        actions.push(own(LocalEvent::Stalled(late)));
+        actions.push(local_event(LocalEvent::Stalled(late)));
     }
 
     fn leave(&mut self, actions: &mut Vec<Action>) {
         let (id, generation, incarnation) = (self.own.id(), self.own.generation, self.own.incarnation);
-        let said = Report { id, generation, incarnation, state: State::Left, witnesses: Vec::new() };
-        let news = Update::Report(said).encode();
-        for to in self.some(FAREWELLS, |_, m| m.state.is_live()) {
-            self.send(to.1, Body::Welcome, vec![news.clone()], actions);
+        let report = Report { id, generation, incarnation, state: State::Left, witnesses: Vec::new() };
+        let update = Update::Report(report).encode();
+        for to in self.sample(LEAVE_FANOUT, |_, m| m.state.is_live()) {
+            self.send(to.1, Body::Welcome, vec![update.clone()], actions);
         }
-        self.gone = true;
-        self.settle(actions);
+        self.stopped = true;
+        self.update_standing(actions);
     }
 
-    fn upkeep(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let stale = self.settings.suspicion * STALE;
-        let over = |m: &Member| match m.state {
+    fn maintain(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let stale = self.settings.suspicion * STALE_SUSPICIONS;
+        let expired = |m: &Member| match m.state {
             State::Alive => false,
             State::Suspect => now > m.since + stale,
             State::Dead => now > m.since + self.settings.forget,
-            State::Left => now > m.since + FAREWELL,
+            State::Left => now > m.since + LEFT_RETENTION,
         };
-        let troubled = self.table.len() > self.table.count(State::Alive);
-        let over: Vec<_> =
-            self.table.iter().filter(|(_, m)| troubled && over(m)).map(|(id, m)| (id, m.state)).collect();
-        for (id, state) in over {
+        let any_not_alive = self.table.len() > self.table.count(State::Alive);
+        let expired: Vec<_> = self
+            .table
+            .iter()
+            .filter(|(_, m)| any_not_alive && expired(m))
+            .map(|(id, m)| (id, m.state))
+            .collect();
+        for (id, state) in expired {
             if state == State::Suspect {
-                self.table.change(id, |m| {
+                self.table.update(id, |m| {
                     (m.state, m.since) = (State::Alive, now);
                     m.witnesses.clear();
                 });
@@ -594,45 +620,45 @@
                 self.table.remove(id);
             }
         }
-        let (fleet, (agreed, fewer)) = (self.live_count(), self.agreed);
-        self.agreed = match fewer {
+        let (fleet, (agreed, smaller_since)) = (self.live_count(), self.agreed);
+        self.agreed = match smaller_since {
             _ if fleet >= agreed => (fleet, None),
-            _ if self.fitness.cut_off() || fleet * 2 <= agreed => (agreed, None),
-            Some(since) if now > since + AGREED => (fleet, None),
+            _ if self.local_health.cut_off() || fleet * 2 <= agreed => (agreed, None),
+            Some(since) if now > since + SHRINK_AFTER => (fleet, None),
             Some(since) => (agreed, Some(since)),
             None => (agreed, Some(now)),
         };
-        self.settle(actions);
+        self.update_standing(actions);
     }
 
-    fn settle(&mut self, actions: &mut Vec<Action>) {
+    fn update_standing(&mut self, actions: &mut Vec<Action>) {
         let standing = match () {
-            () if self.gone => Standing::Gone,
+            () if self.stopped => Standing::Gone,
             () if self.table.len() == 0 => Standing::Alone,
-            () if self.fitness.cut_off() => Standing::CutOff,
+            () if self.local_health.cut_off() => Standing::CutOff,
             () if self.live_count() * 2 > self.agreed.0 => Standing::Majority,
             () => Standing::Minority,
         };
         if standing != self.standing {
             self.standing = standing;
-            actions.push(own(LocalEvent::Standing(standing)));
+            actions.push(local_event(LocalEvent::Standing(standing)));
         }
     }
 
-    /// Makes room by forgetting who has been dead or gone for longest.
+    /// Removes the member that has been dead or gone the longest. Returns false if there is none.
     fn evict(&mut self) -> bool {
         let oldest = self.table.iter().filter(|(_, m)| !m.state.is_live()).min_by_key(|(_, m)| m.since);
         let id = oldest.map(|(id, _)| id);
         id.inspect(|id| self.table.remove(*id)).is_some()
     }
 
-    // ---- sending ----
+    // ---- Sending ----
     pub(crate) fn message(&self, body: Body) -> Message {
         let Record { generation, incarnation, .. } = self.own;
         Message { sender: Sender { id: self.own.id(), generation, incarnation }, body, updates: Vec::new() }
     }
 
-    /// Sends a message with these pieces of news, and with others that fit.
+    /// Sends a message with the given encoded updates, and with queued ones that fit.
     pub(crate) fn send(
         &mut self,
         to: SocketAddr,
@@ -641,66 +667,70 @@
         actions: &mut Vec<Action>,
     ) {
         let mut message = Message { updates: first, ..self.message(body) };
-        // Half a datagram: news come in bursts, and probes are many.
-        let room = wire::room(&self.settings.cluster, &message);
-        let room = room.saturating_sub(wire::LONGEST - self.longest).min(wire::LONGEST / 2);
+        // At most half a datagram of updates: they come in bursts, and probes are frequent enough
+        // to carry the rest.
+        let remaining_bytes = wire::remaining_bytes(&self.settings.cluster, &message);
+        let remaining_bytes = remaining_bytes
+            .saturating_sub(wire::MAX_DATAGRAM_BYTES - self.max_datagram)
+            .min(wire::MAX_DATAGRAM_BYTES / 2);
         let fleet = self.live_count();
-        self.queue.take(room, fleet, &mut message.updates);
-        self.dispatch(to, &message, actions);
+        self.updates.fill(remaining_bytes, fleet, &mut message.updates);
+        self.transmit(to, &message, actions);
     }
 
-    fn carry(&mut self, to: SocketAddr, lane: u8, bytes: Vec<u8>, actions: &mut Vec<Action>) {
+    fn send_payload(&mut self, to: SocketAddr, lane: u8, bytes: Vec<u8>, actions: &mut Vec<Action>) {
         let message = self.message(Body::Payload { lane, bytes });
-        if wire::room(&self.settings.cluster, &message) > 0 {
-            self.dispatch(to, &message, actions);
+        if wire::remaining_bytes(&self.settings.cluster, &message) > 0 {
+            self.transmit(to, &message, actions);
         }
     }
 
-    pub(crate) fn dispatch(&mut self, to: SocketAddr, message: &Message, actions: &mut Vec<Action>) {
+    pub(crate) fn transmit(&mut self, to: SocketAddr, message: &Message, actions: &mut Vec<Action>) {
         let bytes = wire::encode(&self.settings.cluster, message);
         self.counts.sent[0] += 1;
         self.counts.sent[1] += bytes.len() as u64;
         actions.push(Action::Send { to, bytes });
     }
 
-    // ---- chance ----
+    // ---- Randomness ----
     pub(crate) fn random(&mut self) -> f64 {
         uniform(&mut self.rng)
     }
 
-    /// Up to so many members that fit, drawn at random, with their addresses.
-    pub(crate) fn some(
+    /// Up to `limit` random members that match, with their addresses.
+    pub(crate) fn sample(
         &mut self,
-        most: usize,
-        fits: impl Fn(MemberId, &Member) -> bool,
+        limit: usize,
+        matches: impl Fn(MemberId, &Member) -> bool,
     ) -> Vec<(MemberId, SocketAddr)> {
         let all = self.table.len();
         let mut found: Vec<(MemberId, SocketAddr)> = Vec::new();
-        // Draws with repetition find enough where most fit; else all are looked at.
-        for _ in 0..4 * most {
-            if found.len() >= most.min(all) {
+        // Drawing with repetition is enough where most members match; otherwise all members are
+        // scanned.
+        for _ in 0..4 * limit {
+            if found.len() >= limit.min(all) {
                 return found;
             }
             let id = self.table.ids()[self.rng.next_u64() as usize % all];
-            if let Some(m) = self.table.get(id).filter(|m| fits(id, m)) {
+            if let Some(m) = self.table.get(id).filter(|m| matches(id, m)) {
                 if !found.iter().any(|f| f.0 == id) {
                     found.push((id, m.record.address));
                 }
             }
         }
-        let mut rest: Vec<_> = self.table.iter().filter(|(id, m)| fits(*id, m)).collect();
+        let mut rest: Vec<_> = self.table.iter().filter(|(id, m)| matches(*id, m)).collect();
         rest.sort_by_key(|(id, _)| *id);
         let start = if rest.is_empty() { 0 } else { self.rng.next_u64() as usize % rest.len() };
         rest.rotate_left(start);
         for (id, m) in rest {
-            if found.len() < most && !found.iter().any(|f| f.0 == id) {
+            if found.len() < limit && !found.iter().any(|f| f.0 == id) {
                 found.push((id, m.record.address));
             }
         }
         found
     }
 
-    pub(crate) fn shuffled(&mut self) -> Vec<MemberId> {
+    pub(crate) fn shuffled_ids(&mut self) -> Vec<MemberId> {
         let mut ids = self.table.ids().to_vec();
         for n in (1..ids.len()).rev() {
             ids.swap(n, self.rng.next_u64() as usize % (n + 1));
@@ -709,13 +739,13 @@
     }
 }
 
-fn fresh(record: Arc<Record>, now: Time) -> Member {
+fn new_member(record: Arc<Record>, now: Time) -> Member {
     let incarnation = record.incarnation;
-    Member { record, incarnation, state: State::Alive, since: now, heard: None, witnesses: Vec::new() }
+    Member { record, incarnation, state: State::Alive, since: now, last_heard: None, witnesses: Vec::new() }
 }
 
-pub(crate) fn own(trouble: LocalEvent) -> Action {
-    Action::Changed(Change::Local(trouble))
+pub(crate) fn local_event(event: LocalEvent) -> Action {
+    Action::Changed(Change::Local(event))
 }
 
 fn uniform(rng: &mut Xoshiro256PlusPlus) -> f64 {
--- a/crates/cluster/src/exchange.rs
+++ b/crates/cluster/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Meeting: joining from nothing, and the comparison of tables that repairs what news missed.
+//! Joining through seeds, and the anti-entropy exchange that repairs what lost updates missed.
 
 use crate::core::{Action, Core};
 use crate::member::State;
@@ -8,180 +8,190 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between tries while nobody is known.
-const KNOCK: Duration = Duration::from_millis(700);
-/// Between looks for a seed that is no member: a part of the fleet that came up apart.
-const SEEK: Duration = Duration::from_secs(5);
-/// Between comparisons while they still bring something.
-const CATCH_UP: Duration = Duration::from_millis(250);
-/// Seeds tried at once.
-const SEEDS: usize = 3;
-/// Addresses that spoke and belong to no member.
-const STRANGERS: usize = 8;
-/// Most datagrams that one comparison is answered with.
-const PARTS: usize = 8;
+/// Interval between join attempts while no other member is known.
+const JOIN_RETRY: Duration = Duration::from_millis(700);
+/// Interval between checks for a seed that is not a member. Such a seed may belong to a part of the
+/// fleet that formed separately.
+const SEED_CHECK_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between exchanges while they still bring new members.
+const FAST_EXCHANGE: Duration = Duration::from_millis(250);
+/// Seeds contacted per join attempt.
+const SEEDS_PER_JOIN: usize = 3;
+/// Most remembered sender addresses that belong to no known member.
+const MAX_UNKNOWN_ADDRESSES: usize = 8;
+/// Most datagrams sent in answer to one digest.
+const MAX_DIFF_DATAGRAMS: usize = 8;
 
-/// When to meet whom.
-pub(crate) struct Joining {
-    next_knock: Time,
+/// Timers and candidates for joins and exchanges.
+pub(crate) struct SyncState {
+    next_join: Time,
     next_exchange: Time,
-    next_reunion: Time,
-    strangers: Vec<SocketAddr>,
-    learnt: bool,
+    next_recovery: Time,
+    unknown_addresses: Vec<SocketAddr>,
+    new_members: bool,
 }
 
-impl Joining {
+impl SyncState {
     pub(crate) fn new(first: Time, exchange: Duration) -> Self {
-        Joining {
-            next_knock: first,
+        SyncState {
+            next_join: first,
             next_exchange: first + exchange,
-            next_reunion: first,
-            strangers: Vec::new(),
-            learnt: false,
+            next_recovery: first,
+            unknown_addresses: Vec::new(),
+            new_members: false,
         }
     }
 
-    pub(crate) fn next(&self) -> Time {
-        self.next_knock.min(self.next_exchange)
+    pub(crate) fn next_due(&self) -> Time {
+        self.next_join.min(self.next_exchange)
     }
 
-    pub(crate) fn interrupted(&mut self, now: Time) {
-        // What was missed is fetched at once.
+    pub(crate) fn reset_after_stall(&mut self, now: Time) {
+        // Exchange immediately to catch up on missed updates.
         self.next_exchange = now;
-        self.next_knock = self.next_knock.max(now);
+        self.next_join = self.next_join.max(now);
     }
 
-    pub(crate) fn stranger(&mut self, address: SocketAddr) {
-        if self.strangers.len() < STRANGERS && !self.strangers.contains(&address) {
-            self.strangers.push(address);
+    pub(crate) fn note_unknown_address(&mut self, address: SocketAddr) {
+        if self.unknown_addresses.len() < MAX_UNKNOWN_ADDRESSES && !self.unknown_addresses.contains(&address)
+        {
+            self.unknown_addresses.push(address);
         }
     }
 
-    /// Somebody new is known: there may be more.
-    pub(crate) fn learnt(&mut self) {
-        self.learnt = true;
+    /// A new member was learned, so there may be more: the next exchange follows soon.
+    pub(crate) fn note_new_member(&mut self) {
+        self.new_members = true;
     }
 }
 
 impl Core {
-    /// Does what is due of meeting.
-    pub(crate) fn meet(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if now >= self.joining.next_knock {
-            let alone = self.table.counting() == 0;
-            let pause = if alone { KNOCK } else { SEEK };
-            self.joining.next_knock = now + pause.mul_f64(0.7 + 0.6 * self.random());
-            let mut doors = std::mem::take(&mut self.joining.strangers);
+    /// Runs the joins and exchanges that are due.
+    pub(crate) fn run_sync(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if now >= self.sync.next_join {
+            let is_alone = self.table.live_count() == 0;
+            let pause = if is_alone { JOIN_RETRY } else { SEED_CHECK_INTERVAL };
+            self.sync.next_join = now + pause.mul_f64(0.7 + 0.6 * self.random());
+            let mut targets = std::mem::take(&mut self.sync.unknown_addresses);
             let seeds = self.settings.seeds.len();
-            let turn = (self.random() * seeds as f64) as usize;
-            let known = |at: &SocketAddr| {
+            let offset = (self.random() * seeds as f64) as usize;
+            let is_known = |at: &SocketAddr| {
                 self.table.iter().any(|(_, m)| m.record.address == *at && m.state.is_live())
             };
-            let unknown = (0..seeds).map(|n| self.settings.seeds[(n + turn) % seeds]).filter(|at| !known(at));
-            doors.extend(unknown.take(if alone { SEEDS } else { 1 }));
-            doors.retain(|at| *at != self.own.address);
-            for to in doors {
-                self.knock(to, actions);
+            let unknown =
+                (0..seeds).map(|n| self.settings.seeds[(n + offset) % seeds]).filter(|at| !is_known(at));
+            targets.extend(unknown.take(if is_alone { SEEDS_PER_JOIN } else { 1 }));
+            targets.retain(|at| *at != self.own.address);
+            for to in targets {
+                self.send_join(to, actions);
             }
         }
-        if now >= self.joining.next_exchange {
-            let pause =
-                if std::mem::take(&mut self.joining.learnt) { CATCH_UP } else { self.settings.exchange };
-            self.joining.next_exchange = now + pause.mul_f64(0.8 + 0.4 * self.random());
-            for (_, to) in self.some(1, |_, m| m.state == State::Alive) {
-                self.compare(to, false, actions);
+        if now >= self.sync.next_exchange {
+            let pause = if std::mem::take(&mut self.sync.new_members) {
+                FAST_EXCHANGE
+            } else {
+                self.settings.exchange
+            };
+            self.sync.next_exchange = now + pause.mul_f64(0.8 + 0.4 * self.random());
+            for (_, to) in self.sample(1, |_, m| m.state == State::Alive) {
+                self.send_digest(to, false, actions);
             }
         }
     }
 
-    fn knock(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
+    fn send_join(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
         let mut message = self.message(Body::Join { padding: Vec::new() });
         message.updates.push(Update::Alive(self.own.clone()).encode());
-        let room = wire::room(&self.settings.cluster, &message);
-        message.body = Body::Join { padding: vec![0; room] };
-        self.dispatch(to, &message, actions);
+        let remaining_bytes = wire::remaining_bytes(&self.settings.cluster, &message);
+        message.body = Body::Join { padding: vec![0; remaining_bytes] };
+        self.transmit(to, &message, actions);
     }
 
-    fn compare(&mut self, to: SocketAddr, back: bool, actions: &mut Vec<Action>) {
-        let sums = self.table.sums(&self.own);
-        self.send(to, Body::Digest { sums, back }, Vec::new(), actions);
+    fn send_digest(&mut self, to: SocketAddr, is_reply: bool, actions: &mut Vec<Action>) {
+        let checksums = self.table.checksums(&self.own);
+        self.send(to, Body::Digest { checksums, is_reply }, Vec::new(), actions);
     }
 
-    /// Tables are compared at once with whom was given up for dead.
-    pub(crate) fn reunite(&mut self, now: Time, to: SocketAddr, actions: &mut Vec<Action>) {
-        if now >= self.joining.next_reunion {
-            self.joining.next_reunion = now + CATCH_UP;
-            self.compare(to, false, actions);
+    /// Exchanges tables at once with a member that had been considered dead.
+    pub(crate) fn sync_with_returned(&mut self, now: Time, to: SocketAddr, actions: &mut Vec<Action>) {
+        if now >= self.sync.next_recovery {
+            self.sync.next_recovery = now + FAST_EXCHANGE;
+            self.send_digest(to, false, actions);
         }
     }
 
-    /// Answers a message, with at most so many bytes a datagram: one that is no member gets no more than it sent.
-    pub(crate) fn answer(
+    /// Answers a message with datagrams of at most `limit` bytes. A sender that is not a known
+    /// member never gets a datagram longer than its own, which rules out amplification.
+    pub(crate) fn reply(
         &mut self,
         now: Time,
         from: SocketAddr,
-        most: usize,
+        limit: usize,
         message: &Message,
         actions: &mut Vec<Action>,
     ) {
-        let (sender, begins) = (message.sender.id, actions.len());
-        let known = self.table.get(sender).is_some();
-        self.longest = most;
+        let (sender, first_action) = (message.sender.id, actions.len());
+        let is_known = self.table.get(sender).is_some();
+        self.max_datagram = limit;
         match &message.body {
-            Body::Join { .. } => self.welcome(from, message, actions),
-            Body::Digest { sums, back } if known => self.differ(from, sums, *back, actions),
-            Body::Relay { .. } if !known => {}
-            body => self.answer_probe(now, from, sender, body, actions),
+            Body::Join { .. } => self.answer_join(from, message, actions),
+            Body::Digest { checksums, is_reply } if is_known => {
+                self.answer_digest(from, checksums, *is_reply, actions)
+            }
+            Body::PingRequest { .. } if !is_known => {}
+            body => self.handle_probe_message(now, from, sender, body, actions),
         }
-        self.longest = wire::LONGEST;
-        let fits = |a: &Action| !matches!(a, Action::Send { bytes, .. } if bytes.len() > most);
-        let answers = actions.split_off(begins);
-        actions.extend(answers.into_iter().filter(fits));
+        self.max_datagram = wire::MAX_DATAGRAM_BYTES;
+        let within_limit = |a: &Action| !matches!(a, Action::Send { bytes, .. } if bytes.len() > limit);
+        let answers = actions.split_off(first_action);
+        actions.extend(answers.into_iter().filter(within_limit));
     }
 
-    /// As many members as the question is long.
-    fn welcome(&mut self, from: SocketAddr, question: &Message, actions: &mut Vec<Action>) {
-        let mut welcome = self.message(Body::Welcome);
-        welcome.updates.push(Update::Alive(self.own.clone()).encode());
-        // It may stand in the shadow of a predecessor.
-        let shadow =
-            self.table.get(question.sender.id).filter(|m| m.record.generation > question.sender.generation);
-        welcome.updates.extend(shadow.map(|m| Update::Alive((*m.record).clone()).encode()));
-        for (id, _) in self.some(24, |id, m| id != question.sender.id && m.state.is_live()) {
+    /// Answers a join with as many members as fit into a datagram of the request's length.
+    fn answer_join(&mut self, from: SocketAddr, request: &Message, actions: &mut Vec<Action>) {
+        let mut reply = self.message(Body::Welcome);
+        reply.updates.push(Update::Alive(self.own.clone()).encode());
+        // A predecessor's record with a later generation may hide the sender; the sender has to
+        // learn of it.
+        let newer =
+            self.table.get(request.sender.id).filter(|m| m.record.generation > request.sender.generation);
+        reply.updates.extend(newer.map(|m| Update::Alive((*m.record).clone()).encode()));
+        for (id, _) in self.sample(24, |id, m| id != request.sender.id && m.state.is_live()) {
             let Some(member) = self.table.get(id) else { continue };
             let piece = Update::Alive((*member.record).clone()).encode();
-            if piece.len() + 2 < wire::room(&self.settings.cluster, &welcome) {
-                welcome.updates.push(piece);
+            if piece.len() + 2 < wire::remaining_bytes(&self.settings.cluster, &reply) {
+                reply.updates.push(piece);
             }
         }
-        while wire::encode(&self.settings.cluster, &welcome).len() > self.longest
-            && !welcome.updates.is_empty()
+        while wire::encode(&self.settings.cluster, &reply).len() > self.max_datagram
+            && !reply.updates.is_empty()
         {
-            welcome.updates.pop();
+            reply.updates.pop();
         }
-        self.dispatch(from, &welcome, actions);
+        self.transmit(from, &reply, actions);
     }
 
-    /// Sends what is held where two tables differ.
-    fn differ(&mut self, to: SocketAddr, theirs: &[u8], back: bool, actions: &mut Vec<Action>) {
-        let ours = self.table.sums(&self.own);
+    /// Sends the entries of all buckets in which the two tables differ.
+    fn answer_digest(&mut self, to: SocketAddr, theirs: &[u8], is_reply: bool, actions: &mut Vec<Action>) {
+        let ours = self.table.checksums(&self.own);
         if theirs.len() != ours.len() || theirs == ours {
             return;
         }
         let differs: Vec<bool> =
             (0..BUCKETS).map(|b| theirs[4 * b..4 * b + 4] != ours[4 * b..4 * b + 4]).collect();
-        if !back {
-            self.compare(to, true, actions);
+        if !is_reply {
+            self.send_digest(to, true, actions);
         }
         let mut pieces = Vec::new();
         if differs[bucket(self.own.id())] {
             pieces.push(Update::Alive(self.own.clone()).encode());
         }
-        let mut ids = self.shuffled();
+        let mut ids = self.shuffled_ids();
         ids.retain(|id| differs[bucket(*id)]);
         for id in ids {
             let Some(m) = self.table.get(id) else { continue };
             pieces.push(Update::Alive((*m.record).clone()).encode());
-            let (generation, incarnation) = m.age();
+            let (generation, incarnation) = m.version();
             if m.state != State::Alive {
                 let witnesses = m.witnesses.clone();
                 pieces.push(
@@ -191,17 +201,17 @@
             }
         }
         let mut pieces = pieces.into_iter().peekable();
-        for _ in 0..PARTS {
+        for _ in 0..MAX_DIFF_DATAGRAMS {
             let mut part = self.message(Body::Records);
-            let mut room = wire::room(&self.settings.cluster, &part);
-            while let Some(piece) = pieces.next_if(|p| p.len() + 2 < room) {
-                room -= piece.len() + 2;
+            let mut remaining_bytes = wire::remaining_bytes(&self.settings.cluster, &part);
+            while let Some(piece) = pieces.next_if(|p| p.len() + 2 < remaining_bytes) {
+                remaining_bytes -= piece.len() + 2;
                 part.updates.push(piece);
             }
             if part.updates.is_empty() {
                 return;
             }
-            self.dispatch(to, &part, actions);
+            self.transmit(to, &part, actions);
         }
     }
 }
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -1,47 +1,51 @@
-//! What a member is told at its start.
+//! Settings of the membership core.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Times and bounds of a member's work.
+/// Intervals and limits of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Name of the cluster: datagrams of another are dropped. 1 to 32 bytes.
+    /// Name of the cluster, 1 to 32 bytes. Datagrams of other clusters are dropped.
     pub cluster: String,
-    /// Where others may be found, from nothing. Need not be there yet.
+    /// Addresses used for joining. They need not be reachable yet.
     pub seeds: Vec<SocketAddr>,
-    /// From one probe to the next.
+    /// Interval between probes.
     pub probe: Duration,
-    /// For a probe's answer; then it is sent once more, and after as long again through third nodes. A round takes five of these.
+    /// Timeout of a probe. After it the probe is sent once more, and after the same time again
+    /// through relays. A round takes five timeouts.
     pub timeout: Duration,
-    /// Probes unanswered for so long make a verdict, with witnesses. Pauses shorter than this are borne.
+    /// How long probes have to stay unanswered before a member may be declared dead, given enough
+    /// witnesses. Shorter pauses of a member are tolerated.
     pub suspicion: Duration,
-    /// From one comparison of tables to the next.
+    /// Interval between table exchanges.
     pub exchange: Duration,
-    /// After so long the dead are no longer asked, and forgotten.
+    /// How long dead members are still probed before they are forgotten.
     pub forget: Duration,
-    /// Most members that are kept, oneself included.
+    /// Most members in the table, including this node.
     pub members: usize,
-    /// What of its care a member lays off, for comparison in the laboratory and for tests that need a worse one.
+    /// Switches safeguards off, for comparison in the laboratory and for tests that need a worse
+    /// protocol.
     pub without_safeguards: bool,
 }
 
-/// Why settings make no sense.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A text is too long, empty, or not of plain characters.
+    /// A text is empty, too long or has disallowed characters.
     #[error("`{0}` has to be 1 to {1} visible ASCII characters")]
     Text(&'static str, usize),
-    /// A time lies outside what works.
+    /// A duration is out of range.
     #[error("`{0}` has to be {1}")]
     Time(&'static str, &'static str),
-    /// A count lies outside what works.
+    /// A count is out of range.
     #[error("`{0}` has to be {1}")]
     Count(&'static str, &'static str),
 }
 
 impl Settings {
-    /// The settings that are meant for use: a death is known after about 3.2 s, a pause of 2 s is borne.
+    /// The default settings: a death is detected after about 3.2 s, and a pause of 2 s is
+    /// tolerated.
     pub fn new(cluster: impl Into<String>, seeds: Vec<SocketAddr>) -> Self {
         Settings {
             cluster: cluster.into(),
@@ -56,9 +60,10 @@
         }
     }
 
-    /// Checks each by itself and beside the others.
+    /// Checks each setting by itself and against the others.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let plain = |t: &str, most| (1..=most).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
+        let plain =
+            |t: &str, limit| (1..=limit).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
         let ms = Duration::from_millis;
         if !plain(&self.cluster, 32) {
             return Err(SettingsError::Text("name", 32));
@@ -87,18 +92,19 @@
         Ok(())
     }
 
-    /// Whole length of a probe's round: direct, once more and through third nodes.
-    pub(crate) fn round(&self) -> Duration {
+    /// Total duration of a probe round: direct, once more, and through relays.
+    pub(crate) fn round_duration(&self) -> Duration {
         self.timeout * 5
     }
 
-    /// A handling that comes later than this after its time means that the process was held up.
-    pub(crate) fn late(&self) -> Duration {
+    /// If an event is handled later than this after it was due, the process was stalled.
+    pub(crate) fn stall_threshold(&self) -> Duration {
         self.timeout * 5 / 2
     }
 
-    /// Witnesses that a verdict needs in a fleet of so many, the one that declares it included. Each has a third node's
-    /// word beside its own.
+    /// Number of witnesses required for a verdict in a fleet of the given size, including the node
+    /// that declares it. Each witness has the confirmation of a relay besides its own failed
+    /// probes.
     pub fn witnesses(&self, fleet: usize) -> usize {
         if self.without_safeguards {
             1
--- a/crates/cluster/src/table.rs
+++ b/crates/cluster/src/table.rs
@@ -1,45 +1,46 @@
-//! Who is known, and how: plain data with one way in, which keeps the sums that two tables are compared by.
+//! The member table. All modifications go through one place that maintains the checksums for table
+//! exchanges.
 
 use crate::member::{fingerprint, Generation, MemberId, Record, State};
 use crate::Time;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// Parts of all ids that tables are compared by.
+/// Buckets of the id space. Tables are compared by one checksum per bucket.
 pub(crate) const BUCKETS: usize = 64;
 
-/// A member as this node holds it.
+/// A member as this node sees it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What it last told of itself.
+    /// The member's latest known record.
     pub record: Arc<Record>,
-    /// Incarnation that the state is about: that of the record, or one that others spoke of.
+    /// The incarnation that the state refers to: the record's, or a later one that others reported.
     pub incarnation: u64,
-    /// How it is held.
+    /// The member's state.
     pub state: State,
-    /// Since when.
+    /// When the member entered this state.
     pub since: Time,
-    /// When anything last came from it.
-    pub heard: Option<Time>,
-    /// Who witnessed its silence.
+    /// When the last datagram arrived from the member.
+    pub last_heard: Option<Time>,
+    /// Short ids of the members that witnessed its failure.
     pub(crate) witnesses: Vec<u32>,
 }
 
 impl Member {
-    /// Which process, and how new.
-    pub fn age(&self) -> (Generation, u64) {
+    /// Generation and incarnation: which process, and how recent the information is.
+    pub fn version(&self) -> (Generation, u64) {
         (self.record.generation, self.incarnation)
     }
 }
 
-/// All members but oneself.
+/// All members except this node.
 #[derive(Default)]
-pub(crate) struct Table {
+pub(crate) struct MemberTable {
     members: FxHashMap<MemberId, Member>,
-    /// In no order, for drawing one.
+    /// Unordered, for random selection.
     ids: Vec<MemberId>,
-    sums: Vec<u32>,
-    /// Members by state, in its order.
+    checksums: Vec<u32>,
+    /// Number of members per state, indexed by the state's discriminant.
     counts: [usize; 4],
 }
 
@@ -47,19 +48,19 @@
     (id.0 >> 58) as usize % BUCKETS
 }
 
-impl Table {
+impl MemberTable {
     pub(crate) fn new() -> Self {
-        Table { sums: vec![0; BUCKETS], ..Table::default() }
+        MemberTable { checksums: vec![0; BUCKETS], ..MemberTable::default() }
     }
 
     pub(crate) fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// For what the sums don't count.
-    pub(crate) fn heard(&mut self, id: MemberId, now: Time) {
+    /// Records that a datagram arrived. Does not affect the checksums.
+    pub(crate) fn record_heard(&mut self, id: MemberId, now: Time) {
         if let Some(m) = self.members.get_mut(&id) {
-            m.heard = Some(now);
+            m.last_heard = Some(now);
         }
     }
 
@@ -79,38 +80,38 @@
         self.counts[state as usize]
     }
 
-    /// Members that count, oneself not among them.
-    pub(crate) fn counting(&self) -> usize {
+    /// Number of live members, without this node.
+    pub(crate) fn live_count(&self) -> usize {
         self.count(State::Alive) + self.count(State::Suspect)
     }
 
-    /// Puts a member in or anew.
-    pub(crate) fn put(&mut self, id: MemberId, member: Member) {
-        self.account(id, &member, 1);
+    /// Inserts or replaces a member.
+    pub(crate) fn insert(&mut self, id: MemberId, member: Member) {
+        self.apply_to_checksums(id, &member, 1);
         match self.members.insert(id, member) {
-            Some(before) => self.account(id, &before, -1),
+            Some(previous) => self.apply_to_checksums(id, &previous, -1),
             None => self.ids.push(id),
         }
     }
 
-    /// Changes a member, whatever of it.
-    pub(crate) fn change(&mut self, id: MemberId, change: impl FnOnce(&mut Member)) {
+    /// Modifies a member and updates the checksums.
+    pub(crate) fn update(&mut self, id: MemberId, change: impl FnOnce(&mut Member)) {
         if let Some(mut member) = self.members.get(&id).cloned() {
             change(&mut member);
-            self.put(id, member);
+            self.insert(id, member);
         }
     }
 
     pub(crate) fn remove(&mut self, id: MemberId) {
-        if let Some(before) = self.members.remove(&id) {
-            self.account(id, &before, -1);
+        if let Some(previous) = self.members.remove(&id) {
+            self.apply_to_checksums(id, &previous, -1);
             self.ids.retain(|other| *other != id);
         }
     }
 
-    fn account(&mut self, id: MemberId, member: &Member, sign: i32) {
-        let print = fingerprint(id, member.age(), member.state);
-        let sum = &mut self.sums[bucket(id)];
+    fn apply_to_checksums(&mut self, id: MemberId, member: &Member, sign: i32) {
+        let print = fingerprint(id, member.version(), member.state);
+        let sum = &mut self.checksums[bucket(id)];
         let count = &mut self.counts[member.state as usize];
         if sign > 0 {
             *sum = sum.wrapping_add(print);
@@ -121,11 +122,11 @@
         }
     }
 
-    /// Sums over all members and oneself.
-    pub(crate) fn sums(&self, own: &Record) -> Vec<u8> {
-        let mut sums = self.sums.clone();
-        let sum = &mut sums[bucket(own.id())];
-        *sum = sum.wrapping_add(fingerprint(own.id(), own.age(), State::Alive));
-        sums.iter().flat_map(|s| s.to_le_bytes()).collect()
+    /// Checksums per bucket over all members and this node.
+    pub(crate) fn checksums(&self, own: &Record) -> Vec<u8> {
+        let mut checksums = self.checksums.clone();
+        let sum = &mut checksums[bucket(own.id())];
+        *sum = sum.wrapping_add(fingerprint(own.id(), own.version(), State::Alive));
+        checksums.iter().flat_map(|s| s.to_le_bytes()).collect()
     }
 }
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -1,199 +1,208 @@
-//! Datagrams: a checksum, the format's version, the cluster's name, and a message in postcard's format.
+//! Datagram format: a checksum, the format version, the cluster's name, and a message encoded with
+//! postcard.
 //!
-//! What may change: fields appended to [`Message`]'s end and to a record's are skipped by programs that don't know them, and
-//! a record's are passed on; new kinds of news are skipped one by one. Anything else is a new [`VERSION`].
+//! Compatible changes: fields appended to [`Message`] and to records are skipped by programs that
+//! do not know them, and a record's extra fields are forwarded; unknown kinds of updates are
+//! skipped one by one. Any other change needs a new [`VERSION`].
 
-use crate::member::{Generation, MemberId, Record, State, RECORD_MOST};
+use crate::member::{Generation, MemberId, Record, State, MAX_RECORD_BYTES};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Version of the format.
 pub const VERSION: u8 = 1;
-/// Longest datagram that is sent or read.
-pub const LONGEST: usize = 1200;
-/// Bytes of the checksum, the low half of XXH3 over what follows it, little endian.
+/// Size limit of datagrams that are sent or accepted.
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+/// Bytes of the checksum: the low half of XXH3 over everything after it, little endian.
 const CHECKSUM: usize = 4;
 
-/// Why a datagram is dropped.
+/// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum Dropped {
-    /// Empty, or cut before the message.
-    #[error("cut short")]
-    Short,
-    /// Longer than any that members send.
-    #[error("longer than {LONGEST} bytes")]
-    Long,
-    /// Changed on its way, or never one of ours.
-    #[error("wrong checksum")]
+pub enum DecodeError {
+    /// The datagram ends before the message.
+    #[error("datagram is truncated")]
+    Truncated,
+    /// Longer than any datagram that members send.
+    #[error("datagram is longer than {MAX_DATAGRAM_BYTES} bytes")]
+    TooLong,
+    /// Corrupted in transit, or not a datagram of this protocol.
+    #[error("checksum mismatch")]
     Checksum,
-    /// Of another version of the format.
-    #[error("another version")]
+    /// Another version of the format.
+    #[error("unsupported format version")]
     Version,
-    /// Of another cluster.
-    #[error("another cluster")]
-    Foreign,
-    /// None of the messages of this version.
-    #[error("no known message")]
-    Unknown,
+    /// Another cluster.
+    #[error("datagram of another cluster")]
+    WrongCluster,
+    /// Not a message of this version.
+    #[error("unknown message")]
+    UnknownMessage,
 }
 
-/// Who sends, with each message.
+/// The sender of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Its name's id.
+    /// Id of the sender's name.
     pub id: MemberId,
-    /// Which process under that name.
+    /// The sending process.
     pub generation: Generation,
-    /// Its incarnation as it speaks.
+    /// The sender's incarnation when it sent the message.
     pub incarnation: u64,
 }
 
-/// How a sender holds whom it writes to.
+/// What a sender knows about a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
-    /// The life it knows.
+pub struct KnownState {
+    /// The known generation.
     pub generation: Generation,
-    /// The incarnation it knows.
+    /// The known incarnation.
     pub incarnation: u64,
-    /// In which state.
+    /// The member's state.
     pub state: State,
 }
 
-/// What a message wants.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Answer with an `Ack` of the same number.
+    /// Requests an `Ack` with the same number.
     Ping {
-        /// Names the round.
+        /// Identifies the round.
         seq: u32,
-        /// Who is meant.
+        /// The probed member.
         target: MemberId,
-        /// How the sender holds it.
-        held: Held,
+        /// What the sender knows about the target.
+        known: KnownState,
     },
     /// The answer to a `Ping`.
     Ack {
-        /// The ping's.
+        /// The number of the ping.
         seq: u32,
     },
-    /// Ping that one for me.
-    Relay {
-        /// Names the round.
+    /// Requests that the receiver ping the target on behalf of the sender.
+    PingRequest {
+        /// Identifies the round.
         seq: u32,
-        /// Who is meant.
+        /// The probed member.
         target: MemberId,
-        /// Where it is.
+        /// The target's address.
         address: SocketAddr,
-        /// How the sender holds it.
-        held: Held,
-        /// It was in vain before: whoever finds it silent too goes on looking.
-        again: bool,
+        /// What the sender knows about the target.
+        known: KnownState,
+        /// Earlier rounds failed, too: a relay that gets no answer starts an investigation of its
+        /// own.
+        repeated: bool,
     },
-    /// I did, and it answered.
-    Vouch {
-        /// The relay's.
+    /// The relayed ping was answered.
+    RelayAck {
+        /// The number of the ping request.
         seq: u32,
-        /// Which process answered.
+        /// The generation that answered.
         generation: Generation,
-        /// With which incarnation.
+        /// The incarnation that answered.
         incarnation: u64,
     },
-    /// I did, and heard nothing.
-    Nack {
-        /// The relay's.
+    /// The relayed ping was not answered.
+    RelayNack {
+        /// The number of the ping request.
         seq: u32,
     },
-    /// Take me in; the record is in the news. Padded, so that the answer is no longer than the question.
+    /// Requests to join; the updates contain the sender's record. Padded, so that the answer is
+    /// never longer than the request.
     Join {
-        /// Nothing.
+        /// Zeros.
         padding: Vec<u8>,
     },
-    /// Some of the members, in the news.
+    /// Some of the members, in the updates.
     Welcome,
-    /// What I hold, in sums over parts of all ids; tell me where you differ.
+    /// Checksums of the sender's table, one per bucket of the id space. The receiver answers with
+    /// the entries of the buckets that differ.
     Digest {
-        /// 256 bytes: 64 sums of four bytes, little endian.
-        sums: Vec<u8>,
-        /// Sent for a digest, and wants none back.
-        back: bool,
+        /// 256 bytes: 64 checksums of four bytes, little endian.
+        checksums: Vec<u8>,
+        /// Sent in answer to a digest; not to be answered with another one.
+        is_reply: bool,
     },
-    /// What I hold where we differ, in the news.
+    /// Entries in which the tables differ, in the updates.
     Records,
-    /// For another part of the program: membership reads none of it.
+    /// A payload for another component of the program; not interpreted here.
     Payload {
-        /// Which part.
+        /// The component that receives it.
         lane: u8,
-        /// Its own.
+        /// The payload.
         bytes: Vec<u8>,
     },
 }
 
-/// A message. News are separate pieces, so that one of an unknown kind costs that one alone.
+/// A message. Updates are encoded separately, so that an update of an unknown kind can be skipped
+/// alone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// The sender.
     pub sender: Sender,
-    /// What it wants.
+    /// The content.
     pub body: Body,
-    /// Pieces of news, each as [`Update::encode`] makes it.
+    /// Updates, each encoded by [`Update::encode`].
     pub updates: Vec<Vec<u8>>,
 }
 
-/// One statement on a member.
+/// Information about one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// It says of itself that it lives.
+    /// The member's own record.
     Alive(Record),
-    /// Somebody says so of it.
+    /// A report by others.
     Report(Report),
 }
 
-/// A statement on a member by others, or its farewell.
+/// A report about a member by others, or the member's own announcement that it leaves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Of whom.
+    /// The member.
     pub id: MemberId,
-    /// Of which life.
+    /// The generation that the report is about.
     pub generation: Generation,
-    /// Up to which incarnation.
+    /// The latest incarnation that the report covers.
     pub incarnation: u64,
-    /// What; never alive.
+    /// The reported state; never alive.
     pub state: State,
-    /// Who witnessed it, in short.
+    /// Short ids of the witnesses.
     pub witnesses: Vec<u32>,
 }
 
 #[derive(Serialize, Deserialize)]
-enum Piece {
+enum EncodedUpdate {
     Alive(Record),
     Report(Report),
 }
 
 impl Update {
-    /// As it travels.
+    /// Encodes the update.
     pub fn encode(&self) -> Vec<u8> {
-        // Nothing in these types can fail to be written to memory.
+        // Serializing these types to memory cannot fail.
         match self {
             Update::Alive(record) => {
-                let mut bytes = postcard::to_stdvec(&Piece::Alive(record.clone())).unwrap_or_default();
+                let mut bytes =
+                    postcard::to_stdvec(&EncodedUpdate::Alive(record.clone())).unwrap_or_default();
                 bytes.extend_from_slice(&record.tail);
                 bytes
             }
-            Update::Report(said) => postcard::to_stdvec(&Piece::Report(said.clone())).unwrap_or_default(),
+            Update::Report(report) => {
+                postcard::to_stdvec(&EncodedUpdate::Report(report.clone())).unwrap_or_default()
+            }
         }
     }
 
-    /// Reads a piece; none if it is of no kind that this version knows or makes no sense.
+    /// Decodes an update. Returns `None` if its kind is unknown or its content invalid.
     pub fn decode(bytes: &[u8]) -> Option<Update> {
         let (piece, rest) = postcard::take_from_bytes(bytes).ok()?;
         match piece {
-            Piece::Alive(mut record) if bytes.len() <= RECORD_MOST => {
+            EncodedUpdate::Alive(mut record) if bytes.len() <= MAX_RECORD_BYTES => {
                 record.tail = rest.to_vec();
-                record.sound().then_some(Update::Alive(record))
+                record.is_valid().then_some(Update::Alive(record))
             }
-            Piece::Report(said) if said.state != State::Alive && said.witnesses.len() <= 16 => {
-                Some(Update::Report(said))
+            EncodedUpdate::Report(report) if report.state != State::Alive && report.witnesses.len() <= 16 => {
+                Some(Update::Report(report))
             }
             _ => None,
         }
@@ -205,11 +214,11 @@
 }
 
 /// Bytes before the message.
-fn front(cluster: &str) -> usize {
+fn header_len(cluster: &str) -> usize {
     CHECKSUM + 2 + cluster.len()
 }
 
-/// A datagram.
+/// Encodes a datagram.
 pub fn encode(cluster: &str, message: &Message) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256);
     bytes.extend_from_slice(&[0; CHECKSUM]);
@@ -221,28 +230,28 @@
     bytes
 }
 
-/// How many bytes of news still go into a datagram beside this body.
-pub(crate) fn room(cluster: &str, message: &Message) -> usize {
-    let size = postcard::experimental::serialized_size(message).unwrap_or(LONGEST);
-    LONGEST.saturating_sub(front(cluster) + size + 2)
+/// How many bytes of updates still fit into a datagram with this message.
+pub(crate) fn remaining_bytes(cluster: &str, message: &Message) -> usize {
+    let size = postcard::experimental::serialized_size(message).unwrap_or(MAX_DATAGRAM_BYTES);
+    MAX_DATAGRAM_BYTES.saturating_sub(header_len(cluster) + size + 2)
 }
 
-/// Reads a datagram; what follows the message is a newer program's and skipped.
-pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Message, Dropped> {
-    if bytes.len() > LONGEST {
-        return Err(Dropped::Long);
+/// Decodes a datagram. Trailing bytes come from newer programs and are ignored.
+pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Message, DecodeError> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DecodeError::TooLong);
     }
-    let (sum, rest) = bytes.split_at_checked(CHECKSUM).ok_or(Dropped::Short)?;
-    let [version, length, rest @ ..] = rest else { return Err(Dropped::Short) };
+    let (sum, rest) = bytes.split_at_checked(CHECKSUM).ok_or(DecodeError::Truncated)?;
+    let [version, length, rest @ ..] = rest else { return Err(DecodeError::Truncated) };
     if sum != checksum(&bytes[CHECKSUM..]) {
-        return Err(Dropped::Checksum);
+        return Err(DecodeError::Checksum);
     }
     if *version != VERSION {
-        return Err(Dropped::Version);
+        return Err(DecodeError::Version);
     }
-    let (name, rest) = rest.split_at_checked(usize::from(*length)).ok_or(Dropped::Short)?;
+    let (name, rest) = rest.split_at_checked(usize::from(*length)).ok_or(DecodeError::Truncated)?;
     if name != cluster.as_bytes() {
-        return Err(Dropped::Foreign);
+        return Err(DecodeError::WrongCluster);
     }
-    postcard::take_from_bytes(rest).map(|(message, _)| message).map_err(|_| Dropped::Unknown)
+    postcard::take_from_bytes(rest).map(|(message, _)| message).map_err(|_| DecodeError::UnknownMessage)
 }
