--- a/crates/cluster-host/src/lib.rs
+++ b/crates/cluster-host/src/lib.rs
@@ -99,7 +99,7 @@
             values: Vec::new(),
             tail: Vec::new(),
         };
-        if !record.sound() {
+        if !record.is_valid() {
             return Err(ClusterError::Name(name));
         }
         let seed = who.seed ^ u64::from(draw) << 32;
@@ -275,8 +275,8 @@
                 }
                 LocalEvent::CutOff => tracing::warn!(target: "cluster", kind = "cut_off"),
                 LocalEvent::Reconnected => tracing::info!(target: "cluster", kind = "hears"),
-                LocalEvent::Refuted { held, incarnation } => {
-                    tracing::info!(target: "cluster", kind = "refuted", held = state_name(*held), incarnation);
+                LocalEvent::Refuted { claimed, incarnation } => {
+                    tracing::info!(target: "cluster", kind = "refuted", held = state_name(*claimed), incarnation);
                 }
                 LocalEvent::DuplicateName(other) => {
                     tracing::error!(target: "cluster", kind = "twin", other = %other)
--- a/crates/cluster/src/exchange.rs
+++ b/crates/cluster/src/exchange.rs
@@ -107,9 +107,9 @@
         self.transmit(to, &message, actions);
     }
 
-    fn send_digest(&mut self, to: SocketAddr, is_reply: bool, actions: &mut Vec<Action>) {
+    fn send_digest(&mut self, to: SocketAddr, reply: bool, actions: &mut Vec<Action>) {
         let checksums = self.table.checksums(&self.own);
-        self.send(to, Body::Digest { checksums, is_reply }, Vec::new(), actions);
+        self.send(to, Body::Digest { checksums, reply }, Vec::new(), actions);
     }
 
     /// Exchanges tables at once with a member that had been considered dead.
@@ -131,14 +131,14 @@
         actions: &mut Vec<Action>,
     ) {
         let (sender, first_action) = (message.sender.id, actions.len());
-        let is_known = self.table.get(sender).is_some();
+        let known = self.table.get(sender).is_some();
         self.max_datagram = limit;
         match &message.body {
             Body::Join { .. } => self.answer_join(from, message, actions),
-            Body::Digest { checksums, is_reply } if is_known => {
-                self.answer_digest(from, checksums, *is_reply, actions)
+            Body::Digest { checksums, reply } if known => {
+                self.answer_digest(from, checksums, *reply, actions)
             }
-            Body::PingRequest { .. } if !is_known => {}
+            Body::PingRequest { .. } if !known => {}
             body => self.handle_probe_message(now, from, sender, body, actions),
         }
         self.max_datagram = wire::MAX_DATAGRAM_BYTES;
@@ -172,14 +172,14 @@
     }
 
     /// Sends the entries of all buckets in which the two tables differ.
-    fn answer_digest(&mut self, to: SocketAddr, theirs: &[u8], is_reply: bool, actions: &mut Vec<Action>) {
+    fn answer_digest(&mut self, to: SocketAddr, theirs: &[u8], reply: bool, actions: &mut Vec<Action>) {
         let ours = self.table.checksums(&self.own);
         if theirs.len() != ours.len() || theirs == ours {
             return;
         }
         let differs: Vec<bool> =
             (0..BUCKETS).map(|b| theirs[4 * b..4 * b + 4] != ours[4 * b..4 * b + 4]).collect();
-        if !is_reply {
+        if !reply {
             self.send_digest(to, true, actions);
         }
         let mut pieces = Vec::new();
--- a/crates/cluster/src/probing.rs
+++ b/crates/cluster/src/probing.rs
@@ -45,7 +45,7 @@
     target: MemberId,
     requester: SocketAddr,
     /// The requester has had failed rounds before this one.
-    repeated: bool,
+    retry: bool,
     deadline: Time,
 }
 
@@ -127,7 +127,7 @@
         while let Some(n) = self.probing.relayed_pings.iter().position(|e| now >= e.deadline) {
             let relayed = self.probing.relayed_pings.swap_remove(n);
             self.send(relayed.requester, Body::RelayNack { seq: relayed.origin_seq }, Vec::new(), actions);
-            if relayed.repeated {
+            if relayed.retry {
                 self.investigate(now, relayed.target, Some(relayed.requester), actions);
             }
         }
@@ -218,7 +218,7 @@
         if first {
             return self.send(address, Body::Ping { seq, target, known }, Vec::new(), actions);
         }
-        let repeated = self.probing.failures.get(&target).is_some_and(|d| d.failed_rounds > 0);
+        let retry = self.probing.failures.get(&target).is_some_and(|d| d.failed_rounds > 0);
         let failing: Vec<MemberId> = self.probing.failures.keys().copied().collect();
         let is_eligible = |id: MemberId| id != target && !failing.contains(&id);
         // After a large outage, members heard from recently are the most likely to answer. One
@@ -227,7 +227,7 @@
         let recent = now.saturating_sub(self.settings.suspicion / 2);
         let random_only = self.settings.without_safeguards;
         let heard_recently = |m: &Member| m.last_heard.is_some_and(|at| at >= recent) && !random_only;
-        let relay_count = RELAYS_PER_ROUND[usize::from(repeated)];
+        let relay_count = RELAYS_PER_ROUND[usize::from(retry)];
         let mut relays = self
             .sample(relay_count - 1, |id, m| is_eligible(id) && m.state == State::Alive && heard_recently(m));
         let chosen: Vec<MemberId> = relays.iter().map(|r| r.0).collect();
@@ -237,7 +237,7 @@
             relays = self.sample(relay_count, |id, m| id != target && m.state.is_live());
         }
         for (_, to) in relays {
-            self.send(to, Body::PingRequest { seq, target, address, known, repeated }, Vec::new(), actions);
+            self.send(to, Body::PingRequest { seq, target, address, known, retry }, Vec::new(), actions);
         }
     }
 
@@ -383,7 +383,7 @@
                     }
                 }
             }
-            Body::PingRequest { seq: origin_seq, target, address, known, repeated }
+            Body::PingRequest { seq: origin_seq, target, address, known, retry }
                 if self.probing.relayed_pings.len() < MAX_RELAYED_PINGS && target != self.own.id() =>
             {
                 let seq = self.probing.next_seq();
@@ -394,7 +394,7 @@
                     origin_seq,
                     target,
                     requester: from,
-                    repeated,
+                    retry,
                     deadline,
                 });
                 self.send(address, Body::Ping { seq, target, known }, Vec::new(), actions);
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -91,7 +91,7 @@
         known: KnownState,
         /// Earlier rounds failed, too: a relay that gets no answer starts an investigation of its
         /// own.
-        repeated: bool,
+        retry: bool,
     },
     /// The relayed ping was answered.
     RelayAck {
@@ -121,7 +121,7 @@
         /// 256 bytes: 64 checksums of four bytes, little endian.
         checksums: Vec<u8>,
         /// Sent in answer to a digest; not to be answered with another one.
-        is_reply: bool,
+        reply: bool,
     },
     /// Entries in which the tables differ, in the updates.
     Records,
@@ -171,7 +171,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-enum EncodedUpdate {
+enum Encoded {
     Alive(Record),
     Report(Report),
 }
@@ -182,13 +182,12 @@
         // Serializing these types to memory cannot fail.
         match self {
             Update::Alive(record) => {
-                let mut bytes =
-                    postcard::to_stdvec(&EncodedUpdate::Alive(record.clone())).unwrap_or_default();
+                let mut bytes = postcard::to_stdvec(&Encoded::Alive(record.clone())).unwrap_or_default();
                 bytes.extend_from_slice(&record.tail);
                 bytes
             }
             Update::Report(report) => {
-                postcard::to_stdvec(&EncodedUpdate::Report(report.clone())).unwrap_or_default()
+                postcard::to_stdvec(&Encoded::Report(report.clone())).unwrap_or_default()
             }
         }
     }
@@ -197,11 +196,11 @@
     pub fn decode(bytes: &[u8]) -> Option<Update> {
         let (piece, rest) = postcard::take_from_bytes(bytes).ok()?;
         match piece {
-            EncodedUpdate::Alive(mut record) if bytes.len() <= MAX_RECORD_BYTES => {
+            Encoded::Alive(mut record) if bytes.len() <= MAX_RECORD_BYTES => {
                 record.tail = rest.to_vec();
                 record.is_valid().then_some(Update::Alive(record))
             }
-            EncodedUpdate::Report(report) if report.state != State::Alive && report.witnesses.len() <= 16 => {
+            Encoded::Report(report) if report.state != State::Alive && report.witnesses.len() <= 16 => {
                 Some(Update::Report(report))
             }
             _ => None,
--- a/crates/cluster/tests/core.rs
+++ b/crates/cluster/tests/core.rs
@@ -28,9 +28,9 @@
     }
 }
 
-fn message(n: u8, body: Body, updates: Vec<Vec<u8>>) -> Message {
+fn message(n: u8, body: Body, encoded: Vec<Vec<u8>>) -> Message {
     let Record { generation, incarnation, .. } = record(n, 1, 1);
-    Message { sender: Sender { id: record(n, 1, 1).id(), generation, incarnation }, body, updates }
+    Message { sender: Sender { id: record(n, 1, 1).id(), generation, incarnation }, body, updates: encoded }
 }
 
 fn with_checksum(rest: Vec<u8>) -> Vec<u8> {
@@ -154,8 +154,8 @@
     let (generation, address) = (Generation { started: 1, draw: 1 }, record(3, 1, 1).address);
     prop_oneof![
         (any::<u32>(), member(), known()).prop_map(|(seq, target, known)| Body::Ping { seq, target, known }),
-        (any::<u32>(), member(), known(), any::<bool>()).prop_map(move |(seq, target, known, repeated)| {
-            Body::PingRequest { seq, target, address, known, repeated }
+        (any::<u32>(), member(), known(), any::<bool>()).prop_map(move |(seq, target, known, retry)| {
+            Body::PingRequest { seq, target, address, known, retry }
         }),
         (0u32..4).prop_map(|seq| Body::Ack { seq }),
         (0u32..4).prop_map(move |seq| Body::RelayAck { seq, generation, incarnation: 1 }),
@@ -163,7 +163,7 @@
         Just(Body::Join { padding: vec![0; 30] }),
         Just(Body::Welcome),
         (prop::collection::vec(any::<u8>(), 250..260), any::<bool>())
-            .prop_map(|(checksums, is_reply)| Body::Digest { checksums, is_reply }),
+            .prop_map(|(checksums, reply)| Body::Digest { checksums, reply }),
         Just(Body::Records),
     ]
 }
