--- a/crates/cluster/src/exchange.rs
+++ b/crates/cluster/src/exchange.rs
@@ -135,10 +135,8 @@
         self.max_datagram = limit;
         match &message.body {
             Body::Join { .. } => self.answer_join(from, message, actions),
-            Body::Digest { checksums, reply } if known => {
-                self.answer_digest(from, checksums, *reply, actions)
-            }
-            Body::PingRequest { .. } if !known => {}
+            Body::Digest { checksums, reply } if known => self.send_diff(from, checksums, *reply, actions),
+            Body::Relay { .. } if !known => {}
             body => self.handle_probe_message(now, from, sender, body, actions),
         }
         self.max_datagram = wire::MAX_DATAGRAM_BYTES;
@@ -172,7 +170,7 @@
     }
 
     /// Sends the entries of all buckets in which the two tables differ.
-    fn answer_digest(&mut self, to: SocketAddr, theirs: &[u8], reply: bool, actions: &mut Vec<Action>) {
+    fn send_diff(&mut self, to: SocketAddr, theirs: &[u8], reply: bool, actions: &mut Vec<Action>) {
         let ours = self.table.checksums(&self.own);
         if theirs.len() != ours.len() || theirs == ours {
             return;
--- a/crates/cluster/src/probing.rs
+++ b/crates/cluster/src/probing.rs
@@ -237,7 +237,7 @@
             relays = self.sample(relay_count, |id, m| id != target && m.state.is_live());
         }
         for (_, to) in relays {
-            self.send(to, Body::PingRequest { seq, target, address, known, retry }, Vec::new(), actions);
+            self.send(to, Body::Relay { seq, target, address, known, retry }, Vec::new(), actions);
         }
     }
 
@@ -383,7 +383,7 @@
                     }
                 }
             }
-            Body::PingRequest { seq: origin_seq, target, address, known, retry }
+            Body::Relay { seq: origin_seq, target, address, known, retry }
                 if self.probing.relayed_pings.len() < MAX_RELAYED_PINGS && target != self.own.id() =>
             {
                 let seq = self.probing.next_seq();
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -80,7 +80,7 @@
         seq: u32,
     },
     /// Requests that the receiver ping the target on behalf of the sender.
-    PingRequest {
+    Relay {
         /// Identifies the round.
         seq: u32,
         /// The probed member.
@@ -171,7 +171,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-enum Encoded {
+enum Tagged {
     Alive(Record),
     Report(Report),
 }
@@ -182,12 +182,12 @@
         // Serializing these types to memory cannot fail.
         match self {
             Update::Alive(record) => {
-                let mut bytes = postcard::to_stdvec(&Encoded::Alive(record.clone())).unwrap_or_default();
+                let mut bytes = postcard::to_stdvec(&Tagged::Alive(record.clone())).unwrap_or_default();
                 bytes.extend_from_slice(&record.tail);
                 bytes
             }
             Update::Report(report) => {
-                postcard::to_stdvec(&Encoded::Report(report.clone())).unwrap_or_default()
+                postcard::to_stdvec(&Tagged::Report(report.clone())).unwrap_or_default()
             }
         }
     }
@@ -196,11 +196,11 @@
     pub fn decode(bytes: &[u8]) -> Option<Update> {
         let (piece, rest) = postcard::take_from_bytes(bytes).ok()?;
         match piece {
-            Encoded::Alive(mut record) if bytes.len() <= MAX_RECORD_BYTES => {
+            Tagged::Alive(mut record) if bytes.len() <= MAX_RECORD_BYTES => {
                 record.tail = rest.to_vec();
                 record.is_valid().then_some(Update::Alive(record))
             }
-            Encoded::Report(report) if report.state != State::Alive && report.witnesses.len() <= 16 => {
+            Tagged::Report(report) if report.state != State::Alive && report.witnesses.len() <= 16 => {
                 Some(Update::Report(report))
             }
             _ => None,
--- a/crates/cluster/tests/core.rs
+++ b/crates/cluster/tests/core.rs
@@ -154,9 +154,8 @@
     let (generation, address) = (Generation { started: 1, draw: 1 }, record(3, 1, 1).address);
     prop_oneof![
         (any::<u32>(), member(), known()).prop_map(|(seq, target, known)| Body::Ping { seq, target, known }),
-        (any::<u32>(), member(), known(), any::<bool>()).prop_map(move |(seq, target, known, retry)| {
-            Body::PingRequest { seq, target, address, known, retry }
-        }),
+        (any::<u32>(), member(), known(), any::<bool>())
+            .prop_map(move |(seq, target, known, retry)| Body::Relay { seq, target, address, known, retry }),
         (0u32..4).prop_map(|seq| Body::Ack { seq }),
         (0u32..4).prop_map(move |seq| Body::RelayAck { seq, generation, incarnation: 1 }),
         (0u32..4).prop_map(|seq| Body::RelayNack { seq }),
