--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -171,7 +171,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-enum Tagged {
+enum Item {
     Alive(Record),
     Report(Report),
 }
@@ -182,13 +182,11 @@
         // Serializing these types to memory cannot fail.
         match self {
             Update::Alive(record) => {
-                let mut bytes = postcard::to_stdvec(&Tagged::Alive(record.clone())).unwrap_or_default();
+                let mut bytes = postcard::to_stdvec(&Item::Alive(record.clone())).unwrap_or_default();
                 bytes.extend_from_slice(&record.tail);
                 bytes
             }
-            Update::Report(report) => {
-                postcard::to_stdvec(&Tagged::Report(report.clone())).unwrap_or_default()
-            }
+            Update::Report(report) => postcard::to_stdvec(&Item::Report(report.clone())).unwrap_or_default(),
         }
     }
 
@@ -196,11 +194,11 @@
     pub fn decode(bytes: &[u8]) -> Option<Update> {
         let (piece, rest) = postcard::take_from_bytes(bytes).ok()?;
         match piece {
-            Tagged::Alive(mut record) if bytes.len() <= MAX_RECORD_BYTES => {
+            Item::Alive(mut record) if bytes.len() <= MAX_RECORD_BYTES => {
                 record.tail = rest.to_vec();
                 record.is_valid().then_some(Update::Alive(record))
             }
-            Tagged::Report(report) if report.state != State::Alive && report.witnesses.len() <= 16 => {
+            Item::Report(report) if report.state != State::Alive && report.witnesses.len() <= 16 => {
                 Some(Update::Report(report))
             }
             _ => None,
