--- a/crates/cluster-host/src/lib.rs
+++ b/crates/cluster-host/src/lib.rs
@@ -27,13 +27,13 @@
 use tokio::time::{sleep_until, Instant};
 
 /// What the system may hold for this process while it is busy; it may give less.
-const BUFFER: usize = 1 << 20;
+const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
 /// Datagrams taken in a row before others on this thread have their turn.
-const TURN: usize = 64;
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 /// Between steps towards the node's place on the ring.
-const STEP: Duration = Duration::from_millis(500);
+const RING_STEP_INTERVAL: Duration = Duration::from_millis(500);
 /// After a socket's error.
-const PAUSE: Duration = Duration::from_millis(10);
+const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
 /// Why a member can't be started.
 #[derive(Debug, thiserror::Error)]
@@ -47,7 +47,7 @@
         source: io::Error,
     },
     /// The node's name is none for a member.
-    #[error("cluster: the node's name {0:?} can't be a member's: name one with `node`")]
+    #[error("cluster: the node's name {0:?} is not a valid member name: set `node`")]
     Name(String),
     /// The settings make no sense.
     #[error("cluster: {0}")]
@@ -69,31 +69,31 @@
     name: String,
     core: RefCell<Core>,
     socket: UdpSocket,
-    began: Instant,
-    earlier: Notify,
-    place: Cell<Option<RingPosition>>,
+    started: Instant,
+    wake_early: Notify,
+    position: Cell<Option<RingPosition>>,
     ring: bool,
-    lanes: RefCell<Vec<(u8, Rc<Lane>)>>,
+    lanes: RefCell<Vec<(u8, Rc<LaneHandler>)>>,
 }
 
 /// Takes what came for another part of the program, and whence.
-pub type Lane = dyn Fn(SocketAddr, &[u8]);
+pub type LaneHandler = dyn Fn(SocketAddr, &[u8]);
 
 impl Cluster {
     /// Binds the socket; nothing is sent before [`Cluster::run`]. Has to be called inside a runtime.
-    pub fn open(compiled: &ClusterSettings, who: &Identity) -> Result<Rc<Self>, ClusterError> {
-        let bind = |source| ClusterError::Bind { address: compiled.bind, source };
-        let socket = bound(compiled.bind).map_err(bind)?;
+    pub fn open(settings: &ClusterSettings, identity: &Identity) -> Result<Rc<Self>, ClusterError> {
+        let bind = |source| ClusterError::Bind { address: settings.bind, source };
+        let socket = bind_socket(settings.bind).map_err(bind)?;
         let local = socket.local_addr().map_err(bind)?;
-        let name = compiled.node.clone().unwrap_or_else(|| who.name.to_owned());
+        let name = settings.node.clone().unwrap_or_else(|| identity.name.to_owned());
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         // The seed is the platform's and may be the same at each start: two processes must differ all the same.
-        let draw = (since.as_nanos() as u32) ^ std::process::id().rotate_left(16) ^ who.seed as u32;
+        let draw = (since.as_nanos() as u32) ^ std::process::id().rotate_left(16) ^ identity.seed as u32;
         let record = Record {
             name: name.clone(),
-            address: compiled.advertise.unwrap_or(local),
-            zone: compiled.zone.clone(),
-            program: who.program.to_owned(),
+            address: settings.advertise.unwrap_or(local),
+            zone: settings.zone.clone(),
+            program: identity.program.to_owned(),
             generation: Generation { started: since.as_millis() as u64, draw },
             incarnation: 1,
             values: Vec::new(),
@@ -102,53 +102,53 @@
         if !record.is_valid() {
             return Err(ClusterError::Name(name));
         }
-        let seed = who.seed ^ u64::from(draw) << 32;
-        let core = Core::new(compiled.settings.clone(), record, seed, Duration::ZERO)?;
+        let seed = identity.seed ^ u64::from(draw) << 32;
+        let core = Core::new(settings.settings.clone(), record, seed, Duration::ZERO)?;
         tracing::info!(target: "cluster", kind = "listening", address = %local, member = name, draw);
         Ok(Rc::new(Cluster {
-            name: compiled.settings.cluster.clone(),
+            name: settings.settings.cluster.clone(),
             core: RefCell::new(core),
             socket,
-            began: Instant::now(),
-            earlier: Notify::new(),
-            place: Cell::new(None),
-            ring: compiled.ring,
+            started: Instant::now(),
+            wake_early: Notify::new(),
+            position: Cell::new(None),
+            ring: settings.ring,
             lanes: RefCell::default(),
         }))
     }
 
     /// Takes part for good. `placed` is told the node's place on the ring whenever it moved, with the nodes as last agreed.
-    pub async fn run(self: Rc<Self>, placed: impl Fn(f64, u32)) {
+    pub async fn run(self: Rc<Self>, on_position: impl Fn(f64, u32)) {
         let mut buffer = [0; 2048];
-        let mut step = Instant::now() + STEP;
+        let mut next_step = Instant::now() + RING_STEP_INTERVAL;
         loop {
             let next = self.core.borrow().next_wake();
-            let next = if next == Duration::MAX { step } else { (self.began + next).min(step) };
+            let next = if next == Duration::MAX { next_step } else { (self.started + next).min(next_step) };
             tokio::select! {
                 biased;
-                came = self.socket.recv_from(&mut buffer) => match came {
-                    Ok((length, from)) => self.take(from, &mut buffer, length).await,
-                    Err(_) => tokio::time::sleep(PAUSE).await,
+                received = self.socket.recv_from(&mut buffer) => match received {
+                    Ok((length, from)) => self.receive_batch(from, &mut buffer, length).await,
+                    Err(_) => tokio::time::sleep(SOCKET_ERROR_PAUSE).await,
                 },
-                () = self.earlier.notified() => {}
+                () = self.wake_early.notified() => {}
                 () = sleep_until(next) => self.handle(Event::Wake),
             }
-            if Instant::now() >= step {
-                step = Instant::now() + STEP;
-                self.step(&placed);
+            if Instant::now() >= next_step {
+                next_step = Instant::now() + RING_STEP_INTERVAL;
+                self.update_position(&on_position);
             }
         }
     }
 
     /// Takes a datagram and others that are there already.
-    async fn take(&self, from: SocketAddr, buffer: &mut [u8], length: usize) {
-        let mut came = Ok((length, from));
-        for _ in 0..TURN {
-            let Ok((length, from)) = came else { return };
+    async fn receive_batch(&self, from: SocketAddr, buffer: &mut [u8], length: usize) {
+        let mut received = Ok((length, from));
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            let Ok((length, from)) = received else { return };
             self.handle(Event::Received { from, bytes: buffer[..length].to_vec() });
-            came = self.socket.try_recv_from(buffer);
+            received = self.socket.try_recv_from(buffer);
         }
-        if let Ok((length, from)) = came {
+        if let Ok((length, from)) = received {
             self.handle(Event::Received { from, bytes: buffer[..length].to_vec() });
         }
         tokio::task::yield_now().await;
@@ -156,46 +156,46 @@
 
     fn handle(&self, event: Event) {
         let mut actions = Vec::new();
-        self.core.borrow_mut().handle(self.began.elapsed(), event, &mut actions);
+        self.core.borrow_mut().handle(self.started.elapsed(), event, &mut actions);
         for action in actions {
             match action {
                 // What does not go is lost, as on the way.
                 Action::Send { to, bytes } => drop(self.socket.try_send_to(&bytes, to)),
                 Action::PayloadReceived { from, lane, bytes } => {
-                    let takes = self.lanes.borrow().iter().find(|l| l.0 == lane).map(|l| l.1.clone());
-                    takes.iter().for_each(|takes| takes(from, &bytes));
+                    let handler = self.lanes.borrow().iter().find(|l| l.0 == lane).map(|l| l.1.clone());
+                    handler.iter().for_each(|handler| handler(from, &bytes));
                 }
                 Action::Changed(change) => self.log(&change),
             }
         }
     }
 
-    fn step(&self, placed: &impl Fn(f64, u32)) {
-        let (core, now) = (self.core.borrow(), self.began.elapsed());
+    fn update_position(&self, on_position: &impl Fn(f64, u32)) {
+        let (core, now) = (self.core.borrow(), self.started.elapsed());
         // Who hears nobody, or is no member, stays where it was.
         if !self.ring || !matches!(core.standing(), Standing::Majority | Standing::Minority) {
             return;
         }
         let (rank, agreed) = (core.rank(), core.agreed_size() as u32);
         drop(core);
-        let mut place = self.place.get().unwrap_or(RingPosition::new(now, rank));
-        let moved = self.place.get().is_none() | place.advance(now, rank);
-        self.place.set(Some(place));
+        let mut position = self.position.get().unwrap_or(RingPosition::new(now, rank));
+        let moved = self.position.get().is_none() | position.advance(now, rank);
+        self.position.set(Some(position));
         if moved {
-            placed(place.fraction(), agreed);
-            tracing::info!(target: "cluster", kind = "place", at = place.fraction(), index = rank.0, of = rank.1);
+            on_position(position.fraction(), agreed);
+            tracing::info!(target: "cluster", kind = "place", at = position.fraction(), index = rank.0, of = rank.1);
         }
     }
 
     /// Tells others something of this node.
     pub fn publish(&self, topic: Topic, bytes: Vec<u8>) {
         self.handle(Event::Publish { topic, bytes });
-        self.earlier.notify_one();
+        self.wake_early.notify_one();
     }
 
     /// From now on what comes on that lane is handed over.
-    pub fn open_lane(&self, lane: u8, takes: Rc<Lane>) {
-        self.lanes.borrow_mut().push((lane, takes));
+    pub fn open_lane(&self, lane: u8, handler: Rc<LaneHandler>) {
+        self.lanes.borrow_mut().push((lane, handler));
     }
 
     /// Sends something to another part of a program, once.
@@ -223,7 +223,7 @@
     /// All members, a line each, this node's first: name, state, seconds since, zone, address, program, life, incarnation, and
     /// the list of servers that it holds.
     pub fn members_text(&self) -> String {
-        let (core, now) = (self.core.borrow(), self.began.elapsed());
+        let (core, now) = (self.core.borrow(), self.started.elapsed());
         let standing = format!("{:?}", core.standing()).to_lowercase();
         let mut text = format!(
             "# {} of {} members as last agreed, {standing}, health {}\n# name state since_s zone address program started incarnation list\n",
@@ -253,23 +253,23 @@
 
     fn log(&self, change: &Change) {
         let core = self.core.borrow();
-        let named = |id: &MemberId| core.member(*id).map_or(String::new(), |m| m.record.name.clone());
+        let member_name = |id: &MemberId| core.member(*id).map_or(String::new(), |m| m.record.name.clone());
         let draw = |id: &MemberId| core.member(*id).map_or(0, |m| m.record.generation.draw);
-        macro_rules! about {
+        macro_rules! member_event {
             ($kind:literal, $id:expr) => {
-                tracing::info!(target: "cluster", kind = $kind, member = named($id), draw = draw($id))
+                tracing::info!(target: "cluster", kind = $kind, member = member_name($id), draw = draw($id))
             };
         }
         let incarnation = core.own().incarnation;
         match change {
-            Change::Joined(id) => about!("joined", id),
-            Change::Returned(id) => about!("returned", id),
-            Change::Suspected(id) => about!("suspected", id),
-            Change::Cleared(id) => about!("cleared", id),
-            Change::Died { member, own: true } => about!("verdict", member),
-            Change::Died { member, own: false } => about!("dead", member),
-            Change::Left(id) => about!("left", id),
-            Change::Local(trouble) => match trouble {
+            Change::Joined(id) => member_event!("joined", id),
+            Change::Returned(id) => member_event!("returned", id),
+            Change::Suspected(id) => member_event!("suspected", id),
+            Change::Cleared(id) => member_event!("cleared", id),
+            Change::Died { member, own: true } => member_event!("verdict", member),
+            Change::Died { member, own: false } => member_event!("dead", member),
+            Change::Left(id) => member_event!("left", id),
+            Change::Local(event) => match event {
                 LocalEvent::Stalled(late) => {
                     tracing::warn!(target: "cluster", kind = "held_up", ms = late.as_millis() as u64, incarnation);
                 }
@@ -302,11 +302,11 @@
     }
 }
 
-fn bound(address: SocketAddr) -> io::Result<UdpSocket> {
+fn bind_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_nonblocking(true)?;
     // Less is no reason not to start.
-    let _ = socket.set_recv_buffer_size(BUFFER);
+    let _ = socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
     socket.bind(&address.into())?;
     UdpSocket::from_std(socket.into())
 }
--- a/crates/cluster-host/src/settings.rs
+++ b/crates/cluster-host/src/settings.rs
@@ -51,14 +51,14 @@
 /// What tests take away of a part's safeguards.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Drill<W> {
+pub struct Drill<S> {
     #[serde(default = "Vec::new")]
-    without: Vec<W>,
+    without: Vec<S>,
 }
 
-impl<W: PartialEq> Drill<W> {
+impl<S: PartialEq> Drill<S> {
     /// Whether a safeguard is on: all are where nothing is said.
-    pub fn enabled(drill: &Option<Self>, safeguard: W) -> bool {
+    pub fn enabled(drill: &Option<Self>, safeguard: S) -> bool {
         drill.as_ref().is_none_or(|d| !d.without.contains(&safeguard))
     }
 }
@@ -80,11 +80,11 @@
     exchange: Option<Spanned<HumanDuration>>,
     forget: Option<Spanned<HumanDuration>>,
     members: Option<Spanned<usize>>,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     ring: bool,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
@@ -119,38 +119,41 @@
     pub fn compile(self) -> Result<ClusterSettings, SettingError> {
         let seeds = self.seeds.as_ref().map(|s| s.get_ref().clone()).unwrap_or_default();
         let mut settings = Settings::new(self.name.get_ref().clone(), seeds);
-        let mut places = SettingSpans::new("name", &self.name);
-        places.apply_duration("probe", &self.probe, &mut settings.probe);
-        places.apply_duration("timeout", &self.timeout, &mut settings.timeout);
-        places.apply_duration("suspicion", &self.suspicion, &mut settings.suspicion);
-        places.apply_duration("exchange", &self.exchange, &mut settings.exchange);
-        places.apply_duration("forget", &self.forget, &mut settings.forget);
-        settings.members = places.record("members", &self.members).copied().unwrap_or(settings.members);
-        places.record("seeds", &self.seeds);
+        let mut spans = SettingSpans::new("name", &self.name);
+        spans.apply_duration("probe", &self.probe, &mut settings.probe);
+        spans.apply_duration("timeout", &self.timeout, &mut settings.timeout);
+        spans.apply_duration("suspicion", &self.suspicion, &mut settings.suspicion);
+        spans.apply_duration("exchange", &self.exchange, &mut settings.exchange);
+        spans.apply_duration("forget", &self.forget, &mut settings.forget);
+        settings.members = spans.record("members", &self.members).copied().unwrap_or(settings.members);
+        spans.record("seeds", &self.seeds);
         settings.check().map_err(|error| {
             let (SettingsError::Text(key, _) | SettingsError::Time(key, _) | SettingsError::Count(key, _)) =
                 &error;
-            places.error_at(key, &error)
+            spans.error_at(key, &error)
         })?;
         let text = |given: &Spanned<String>, key: &str| {
-            let fits = |t: &str| (1..=64).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
-            let wrong = || format!("`{key}` has to be 1 to 64 visible ASCII characters");
-            fits(given.get_ref())
+            let valid = |t: &str| (1..=64).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
+            let message = || format!("`{key}` has to be 1 to 64 visible ASCII characters");
+            valid(given.get_ref())
                 .then_some(())
-                .ok_or_else(|| SettingError { span: given.span(), problem: wrong() })
+                .ok_or_else(|| SettingError { span: given.span(), problem: message() })
         };
         text(&self.zone, "zone")?;
         self.node.iter().try_for_each(|n| text(n, "node"))?;
         let reachable = |at: &Spanned<SocketAddr>| {
             let address = at.get_ref();
-            let fits = !address.ip().is_unspecified() && address.port() != 0;
-            let problem = "others have to be able to send there: name an address and a port".to_owned();
-            fits.then_some(()).ok_or_else(|| SettingError { span: at.span(), problem })
+            let valid = !address.ip().is_unspecified() && address.port() != 0;
+            let problem =
+                "`advertise` has to be an address and a port that other members can reach".to_owned();
+            valid.then_some(()).ok_or_else(|| SettingError { span: at.span(), problem })
         };
         match &self.advertise {
             Some(advertise) => reachable(advertise)?,
             None if self.bind.get_ref().ip().is_unspecified() => {
-                let problem = "`bind` is every address: name in `advertise` where others send to".to_owned();
+                let problem =
+                    "`bind` is a wildcard address: set `advertise` to the address that others send to"
+                        .to_owned();
                 return Err(SettingError { span: self.bind.span(), problem });
             }
             // A port that the system chooses is told to others as it comes.
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -14,11 +14,11 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-mod rounds;
-mod spare;
+mod scheduler;
+mod suppressor;
 
-pub use rounds::{ProbeIntervals, ProbeScheduler};
-pub use spare::ProbeSuppressor;
+pub use scheduler::{ProbeIntervals, ProbeScheduler};
+pub use suppressor::ProbeSuppressor;
 
 use std::time::Duration;
 
@@ -26,9 +26,9 @@
 pub type Time = Duration;
 
 /// Most servers that are told of: what a member's values have room for. Of more the rest is asked by all, as without this.
-pub const TOLD: usize = 44;
+pub const MAX_REPORTED: usize = 44;
 /// A node asks a server by itself after this time, whatever it was told.
-pub const OWN: Duration = Duration::from_secs(30);
+pub const MAX_SUPPRESSION: Duration = Duration::from_secs(30);
 
 /// A server as it is told of: a part of the hash of its name, the same at all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,7 +43,7 @@
 
 /// What is told of silent servers, as bytes.
 pub fn encode(silent: impl Iterator<Item = ShortId>) -> Vec<u8> {
-    let list: Vec<[u8; 4]> = silent.take(TOLD).map(|s| s.0.to_le_bytes()).collect();
+    let list: Vec<[u8; 4]> = silent.take(MAX_REPORTED).map(|s| s.0.to_le_bytes()).collect();
     // Four bytes each and their number: it can't fail.
     postcard::to_stdvec(&list).unwrap_or_default()
 }
@@ -51,5 +51,5 @@
 /// What another told; nothing where that can't be read.
 pub fn decode(bytes: &[u8]) -> Vec<ShortId> {
     let list: Vec<[u8; 4]> = postcard::from_bytes(bytes).unwrap_or_default();
-    list.into_iter().take(TOLD).map(|s| ShortId(u32::from_le_bytes(s))).collect()
+    list.into_iter().take(MAX_REPORTED).map(|s| ShortId(u32::from_le_bytes(s))).collect()
 }
--- a/crates/health/src/rounds.rs
+++ b/crates/health/src/scheduler.rs
@@ -30,14 +30,14 @@
 /// Questions to servers that others found silent, each by the hash of its name.
 #[derive(Default)]
 pub struct ProbeScheduler {
-    times: ProbeIntervals,
+    intervals: ProbeIntervals,
     servers: BTreeMap<u64, Server>,
 }
 
 impl ProbeScheduler {
     /// Nobody to ask yet.
-    pub fn new(times: ProbeIntervals) -> Self {
-        ProbeScheduler { times, servers: BTreeMap::new() }
+    pub fn new(intervals: ProbeIntervals) -> Self {
+        ProbeScheduler { intervals, servers: BTreeMap::new() }
     }
 
     /// From now on there are just these servers.
@@ -47,13 +47,13 @@
 
     /// Somebody heard nothing of a server that is listed: it is asked at once.
     pub fn report(&mut self, now: Time, name: u64) {
-        let new = Server { next: now, pause: self.times.least, silent: false };
+        let new = Server { next: now, pause: self.intervals.least, silent: false };
         self.servers.entry(name).or_insert(new);
     }
 
     /// Whom to ask now; each is owed [`ProbeScheduler::record_answer`].
     pub fn due(&mut self, now: Time) -> Vec<u64> {
-        let (most, mut due) = (self.times.most, Vec::new());
+        let (most, mut due) = (self.intervals.most, Vec::new());
         for (name, server) in self.servers.iter_mut().filter(|(_, s)| now >= s.next) {
             server.next = now + server.pause;
             server.pause = (server.pause * 2).min(most);
@@ -63,8 +63,8 @@
     }
 
     /// What came of a question. True: who is silent has changed.
-    pub fn record_answer(&mut self, name: u64, spoke: bool) -> bool {
-        if spoke {
+    pub fn record_answer(&mut self, name: u64, answered: bool) -> bool {
+        if answered {
             return self.servers.remove(&name).is_some_and(|s| s.silent);
         }
         self.servers.get_mut(&name).is_some_and(|s| !std::mem::replace(&mut s.silent, true))
--- a/crates/health/src/spare.rs
+++ b/crates/health/src/suppressor.rs
@@ -1,37 +1,38 @@
 //! Every node's side: whom it found silent, which of its own questions are spared, and whom to ask once it is said to be back.
 
-use crate::{ShortId, Time, OWN};
+use crate::{ShortId, Time, MAX_SUPPRESSION};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
 
 /// A server that this node found silent is reported again after this time, for as long as nobody tells of it.
-const REPORT: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-struct Silent {
+struct SilentServer {
     /// When this node last looked by itself: asked, or met that silence.
-    looked: Time,
-    reported: Option<Time>,
+    last_checked: Time,
+    last_report: Option<Time>,
 }
 
 /// What this node met at servers, and what it was told of them.
 #[derive(Default)]
 pub struct ProbeSuppressor {
     /// Whose last sign was silence.
-    silent: FxHashMap<u64, Silent>,
-    told: FxHashSet<ShortId>,
+    silent: FxHashMap<u64, SilentServer>,
+    reported_silent: FxHashSet<ShortId>,
 }
 
 impl ProbeSuppressor {
     /// From now on just these are told of as silent. Returns servers of which that was told and is no more, and whose last sign to this
     /// node was silence: one question of its own to each shows it whether they are back.
     pub fn update_silent(&mut self, silent: impl Iterator<Item = ShortId>) -> Vec<u64> {
-        let before = std::mem::replace(&mut self.told, silent.collect());
-        let no_more = |name: &u64| {
-            before.contains(&ShortId::from_hash(*name)) && !self.told.contains(&ShortId::from_hash(*name))
+        let previous = std::mem::replace(&mut self.reported_silent, silent.collect());
+        let no_longer_reported = |name: &u64| {
+            previous.contains(&ShortId::from_hash(*name))
+                && !self.reported_silent.contains(&ShortId::from_hash(*name))
         };
-        let mut back: Vec<u64> = self.silent.keys().copied().filter(no_more).collect();
-        back.sort_unstable();
-        back
+        let mut recovered: Vec<u64> = self.silent.keys().copied().filter(no_longer_reported).collect();
+        recovered.sort_unstable();
+        recovered
     }
 
     /// From now on there are just these servers, by the hashes of their names.
@@ -41,29 +42,31 @@
 
     /// An attempt or a question of this node's own ended: the server said something, or nothing came. True: this is to be
     /// reported.
-    pub fn record_outcome(&mut self, now: Time, name: u64, spoke: bool) -> bool {
-        if spoke {
+    pub fn record_outcome(&mut self, now: Time, name: u64, answered: bool) -> bool {
+        if answered {
             // Of those that answer nothing need be kept.
             self.silent.remove(&name);
             return false;
         }
-        let told = self.told.contains(&ShortId::from_hash(name));
-        let server = self.silent.entry(name).or_insert(Silent { looked: now, reported: None });
-        server.looked = now;
-        if told || server.reported.is_some_and(|at| now < at + REPORT) {
+        let reported_silent = self.reported_silent.contains(&ShortId::from_hash(name));
+        let server = self.silent.entry(name).or_insert(SilentServer { last_checked: now, last_report: None });
+        server.last_checked = now;
+        if reported_silent || server.last_report.is_some_and(|at| now < at + REPORT_INTERVAL) {
             return false;
         }
-        server.reported = Some(now);
+        server.last_report = Some(now);
         true
     }
 
     /// Whether a question to a server is spared. If not it goes out now.
     pub fn should_suppress(&mut self, now: Time, name: u64) -> bool {
         let Some(server) = self.silent.get_mut(&name) else { return false };
-        if now < server.looked + OWN && self.told.contains(&ShortId::from_hash(name)) {
+        if now < server.last_checked + MAX_SUPPRESSION
+            && self.reported_silent.contains(&ShortId::from_hash(name))
+        {
             return true;
         }
-        server.looked = now;
+        server.last_checked = now;
         false
     }
 }
--- a/crates/lease-host/src/lib.rs
+++ b/crates/lease-host/src/lib.rs
@@ -14,7 +14,7 @@
 
 use birchswitch_cluster_host::Cluster;
 use birchswitch_lease::{
-    Action, Candidate, CandidateId, Held, Key, KeyError, Message, Refusal, Terms, Time, Turns, Voter,
+    Action, Candidate, CandidateId, Grant, Key, KeyError, Message, Refusal, SlotRotation, Terms, Time, Voter,
 };
 use rustix::time::{clock_gettime, ClockId};
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
 /// The cluster's lane for leases.
 const LANE: u8 = 1;
 /// Most wishes of one node at a time.
-pub const WISHES: usize = 256;
+pub const MAX_CLAIMS: usize = 256;
 /// Tokens that fit into a millisecond of the floor, as a power of two.
 const FLOOR_BITS: u32 = 20;
 
@@ -40,15 +40,15 @@
     /// Not held yet; what the last try met, if there was one.
     Waiting(Option<Refusal>),
     /// Held.
-    Held(Held),
+    Held(Grant),
     /// Held once, and over for good.
     Lost,
 }
 
-struct Wish {
+struct Claim {
     candidate: Candidate,
     name: String,
-    turns: Turns,
+    rotation: SlotRotation,
     key: Key,
     state: State,
     /// Whoever has it is to end what it does and release it.
@@ -72,15 +72,15 @@
 pub struct Leases {
     terms: Arc<Terms>,
     /// Of the terms: it goes with every question.
-    sum: u64,
+    checksum: u64,
     rate: u32,
     cluster: Rc<Cluster>,
     own: SocketAddr,
     voter: RefCell<Option<Voter>>,
-    wishes: RefCell<BTreeMap<CandidateId, Wish>>,
+    claims: RefCell<BTreeMap<CandidateId, Claim>>,
     /// What this node says to itself.
     local: RefCell<VecDeque<Message>>,
-    drawn: Cell<u64>,
+    claims_made: Cell<u64>,
     seed: u64,
     floor: u64,
     changed: Notify,
@@ -93,26 +93,26 @@
 /// under it may go on.
 pub struct LeaseHandle {
     leases: Rc<Leases>,
-    life: CandidateId,
+    id: CandidateId,
 }
 
 impl Leases {
     /// Takes up the lane. This node votes if its address among the members is one of the voters'.
-    pub fn open(compiled: &LeaseSettings, cluster: &Rc<Cluster>, seed: u64) -> Rc<Self> {
-        let terms = Arc::new(compiled.terms.clone());
+    pub fn open(settings: &LeaseSettings, cluster: &Rc<Cluster>, seed: u64) -> Rc<Self> {
+        let terms = Arc::new(settings.terms.clone());
         let own = cluster.core().own().address;
-        let day = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let floor = (day.as_millis() as u64) << FLOOR_BITS;
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let floor = (since_epoch.as_millis() as u64) << FLOOR_BITS;
         let leases = Leases {
-            sum: terms.checksum(),
-            rate: compiled.rate,
+            checksum: terms.checksum(),
+            rate: settings.rate,
             cluster: cluster.clone(),
             own,
             voter: RefCell::default(),
-            wishes: RefCell::default(),
+            claims: RefCell::default(),
             local: RefCell::default(),
-            drawn: Cell::new(0),
-            seed: seed ^ day.as_nanos() as u64 ^ u64::from(std::process::id()) << 40,
+            claims_made: Cell::new(0),
+            seed: seed ^ since_epoch.as_nanos() as u64 ^ u64::from(std::process::id()) << 40,
             floor,
             changed: Notify::new(),
             counts: Cell::default(),
@@ -125,13 +125,13 @@
         }
         let leases = Rc::new(leases);
         let weak = Rc::downgrade(&leases);
-        let takes = move |from: SocketAddr, bytes: &[u8]| {
+        let handler = move |from: SocketAddr, bytes: &[u8]| {
             if let (Some(leases), Some(message)) = (weak.upgrade(), Message::decode(bytes)) {
-                leases.take(from, &message);
-                leases.settle();
+                leases.handle_message(from, &message);
+                leases.deliver_local();
             }
         };
-        cluster.open_lane(LANE, Rc::new(takes));
+        cluster.open_lane(LANE, Rc::new(handler));
         leases
     }
 
@@ -145,15 +145,15 @@
     /// Does what is due, for good.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let next = self.wishes.borrow().values().map(|w| w.candidate.next_wake()).min();
+            let next = self.claims.borrow().values().map(|c| c.candidate.next_wake()).min();
             let pause =
                 next.map_or(Duration::from_secs(1), |at| at.saturating_sub(self.now()) * 1000 / self.rate);
             tokio::select! {
                 () = self.changed.notified() => {}
                 () = tokio::time::sleep(pause) => {
-                    let lives: Vec<CandidateId> = self.wishes.borrow().keys().copied().collect();
-                    lives.into_iter().for_each(|life| self.with(life, |wish, now, out| wish.candidate.wake(now, out)));
-                    self.settle();
+                    let ids: Vec<CandidateId> = self.claims.borrow().keys().copied().collect();
+                    ids.into_iter().for_each(|id| self.with(id, |claim, now, out| claim.candidate.wake(now, out)));
+                    self.deliver_local();
                 }
             }
         }
@@ -165,34 +165,35 @@
         if self.closed.get() {
             return Err("this node is leaving".to_owned());
         }
-        if self.wishes.borrow().len() >= WISHES {
-            return Err(format!("{WISHES} leases are wanted here already"));
+        if self.claims.borrow().len() >= MAX_CLAIMS {
+            return Err(format!("{MAX_CLAIMS} leases are wanted here already"));
         }
-        self.drawn.set(self.drawn.get() + 1);
-        let life = CandidateId(xxh3_64(&[self.seed.to_le_bytes(), self.drawn.get().to_le_bytes()].concat()));
+        self.claims_made.set(self.claims_made.get() + 1);
+        let id =
+            CandidateId(xxh3_64(&[self.seed.to_le_bytes(), self.claims_made.get().to_le_bytes()].concat()));
         // Waiting candidates begin at different slots.
-        let slot = (life.0 % u64::from(slots.max(1))) as u16;
+        let slot = (id.0 % u64::from(slots.max(1))) as u16;
         let key = Key::new(name, slot).map_err(|e| e.to_string())?;
-        let candidate = Candidate::new(self.terms.clone(), life, self.floor);
-        let wish = Wish {
+        let candidate = Candidate::new(self.terms.clone(), id, self.floor);
+        let claim = Claim {
             candidate,
             name: name.to_owned(),
-            turns: Turns::new(slots),
+            rotation: SlotRotation::new(slots),
             key: key.clone(),
             state: State::Waiting(None),
             ending: false,
         };
-        self.wishes.borrow_mut().insert(life, wish);
-        self.with(life, |wish, now, out| wish.candidate.acquire(now, key, out));
-        self.settle();
-        Ok(LeaseHandle { leases: self.clone(), life })
+        self.claims.borrow_mut().insert(id, claim);
+        self.with(id, |claim, now, out| claim.candidate.acquire(now, key, out));
+        self.deliver_local();
+        Ok(LeaseHandle { leases: self.clone(), id })
     }
 
     /// Tells whoever has a lease of that name here, or any where none is named, to end what it does. How many were told.
     pub fn request_end(&self, name: Option<&str>) -> usize {
-        let mut wishes = self.wishes.borrow_mut();
-        let these = wishes.values_mut().filter(|w| name.is_none_or(|n| w.name == n));
-        these.map(|w| w.ending = true).count()
+        let mut claims = self.claims.borrow_mut();
+        let matching = claims.values_mut().filter(|c| name.is_none_or(|n| c.name == n));
+        matching.map(|c| c.ending = true).count()
     }
 
     /// The node leaves: whoever has a lease here is told to end what it does, and nothing more is wanted.
@@ -201,77 +202,77 @@
         self.request_end(None);
     }
 
-    fn release(&self, life: CandidateId) {
-        self.with(life, |wish, now, out| {
-            let key = wish.key.clone();
-            if let State::Held(held) = &wish.state {
-                tracing::info!(target: "lease", kind = "released", lease = %key, token = held.token);
+    fn release(&self, id: CandidateId) {
+        self.with(id, |claim, now, out| {
+            let key = claim.key.clone();
+            if let State::Held(grant) = &claim.state {
+                tracing::info!(target: "lease", kind = "released", lease = %key, token = grant.token);
             }
-            wish.candidate.release(now, &key, out);
+            claim.candidate.release(now, &key, out);
         });
-        self.wishes.borrow_mut().remove(&life);
-        self.settle();
+        self.claims.borrow_mut().remove(&id);
+        self.deliver_local();
     }
 
-    fn with(&self, life: CandidateId, act: impl FnOnce(&mut Wish, Time, &mut Vec<Action>)) {
+    fn with(&self, id: CandidateId, f: impl FnOnce(&mut Claim, Time, &mut Vec<Action>)) {
         let (now, mut out) = (self.now(), Vec::new());
-        if let Some(wish) = self.wishes.borrow_mut().get_mut(&life) {
-            act(wish, now, &mut out);
+        if let Some(claim) = self.claims.borrow_mut().get_mut(&id) {
+            f(claim, now, &mut out);
         }
-        self.apply(life, out);
+        self.apply(id, out);
     }
 
-    fn apply(&self, life: CandidateId, actions: Vec<Action>) {
+    fn apply(&self, id: CandidateId, actions: Vec<Action>) {
         let mut counts = self.counts.get();
         for action in actions {
             match action {
-                Action::Send(to, ask) => self.send(to, Message::Request(self.sum, ask)),
-                Action::Granted(held) => {
+                Action::Send(to, request) => self.send(to, Message::Request(self.checksum, request)),
+                Action::Granted(grant) => {
                     counts.granted += 1;
-                    self.told(life, "granted", held);
+                    self.record_grant(id, "granted", grant);
                 }
-                Action::Extended(held) => self.told(life, "extended", held),
+                Action::Extended(grant) => self.record_grant(id, "extended", grant),
                 Action::Lost(key) => {
                     counts.lost += 1;
                     tracing::warn!(target: "lease", kind = "lost", lease = %key);
-                    if let Some(wish) = self.wishes.borrow_mut().get_mut(&life) {
-                        wish.state = State::Lost;
+                    if let Some(claim) = self.claims.borrow_mut().get_mut(&id) {
+                        claim.state = State::Lost;
                         // Whoever used it has to begin anew.
-                        wish.candidate.release(self.now(), &key, &mut Vec::new());
+                        claim.candidate.release(self.now(), &key, &mut Vec::new());
                     }
                 }
-                Action::Refused(key, why) => {
+                Action::Refused(key, refusal) => {
                     counts.refused += 1;
-                    self.refused(life, &key, why);
+                    self.handle_refusal(id, &key, refusal);
                 }
             }
         }
         self.counts.set(counts);
     }
 
-    fn told(&self, life: CandidateId, kind: &'static str, held: Held) {
-        let left = held.until.saturating_sub(self.now());
-        tracing::info!(target: "lease", kind, lease = %held.key, token = held.token, left_ms = left.as_millis() as u64);
-        if let Some(wish) = self.wishes.borrow_mut().get_mut(&life) {
-            wish.state = State::Held(held);
+    fn record_grant(&self, id: CandidateId, kind: &'static str, grant: Grant) {
+        let left = grant.until.saturating_sub(self.now());
+        tracing::info!(target: "lease", kind, lease = %grant.key, token = grant.token, left_ms = left.as_millis() as u64);
+        if let Some(claim) = self.claims.borrow_mut().get_mut(&id) {
+            claim.state = State::Held(grant);
         }
     }
 
     /// One that would take any slot goes on to the next; after all of them it waits.
-    fn refused(&self, life: CandidateId, key: &Key, why: Refusal) {
-        tracing::debug!(target: "lease", kind = "refused", lease = %key, why = ?why);
+    fn handle_refusal(&self, id: CandidateId, key: &Key, refusal: Refusal) {
+        tracing::debug!(target: "lease", kind = "refused", lease = %key, why = ?refusal);
         let mut out = Vec::new();
-        if let Some(wish) = self.wishes.borrow_mut().get_mut(&life) {
-            wish.state = State::Waiting(Some(why));
-            let next = wish.turns.refused(key.slot(), why).map(|slot| Key::new(&wish.name, slot));
+        if let Some(claim) = self.claims.borrow_mut().get_mut(&id) {
+            claim.state = State::Waiting(Some(refusal));
+            let next = claim.rotation.next_slot(key.slot(), refusal).map(|slot| Key::new(&claim.name, slot));
             if let Some(Ok(next)) = next {
                 let now = self.now();
-                wish.candidate.release(now, key, &mut out);
-                wish.key = next.clone();
-                wish.candidate.acquire(now, next, &mut out);
+                claim.candidate.release(now, key, &mut out);
+                claim.key = next.clone();
+                claim.candidate.acquire(now, next, &mut out);
             }
         }
-        self.apply(life, out);
+        self.apply(id, out);
     }
 
     fn send(&self, to: SocketAddr, message: Message) {
@@ -283,34 +284,34 @@
     }
 
     /// Hands over what this node said to itself, and looks at the time anew.
-    fn settle(&self) {
+    fn deliver_local(&self) {
         loop {
             let message = self.local.borrow_mut().pop_front();
             let Some(message) = message else { break };
-            self.take(self.own, &message);
+            self.handle_message(self.own, &message);
         }
         self.changed.notify_one();
     }
 
-    fn take(&self, from: SocketAddr, message: &Message) {
+    fn handle_message(&self, from: SocketAddr, message: &Message) {
         match message {
-            Message::Request(sum, ask) => {
-                let mut answers = Vec::new();
+            Message::Request(checksum, request) => {
+                let mut responses = Vec::new();
                 if let Some(voter) = self.voter.borrow_mut().as_mut() {
-                    voter.handle_request(self.now(), from, *sum, ask, &mut answers);
+                    voter.handle_request(self.now(), from, *checksum, request, &mut responses);
                 }
-                for (to, answer) in answers {
-                    if answer.word == birchswitch_lease::Word::Accepted {
+                for (to, response) in responses {
+                    if response.reply == birchswitch_lease::Reply::Accepted {
                         let mut counts = self.counts.get();
                         counts.votes += 1;
                         self.counts.set(counts);
                     }
-                    self.send(to, Message::Response(answer));
+                    self.send(to, Message::Response(response));
                 }
             }
-            Message::Response(answer) => {
-                self.with(answer.ballot.life, |wish, now, out| {
-                    wish.candidate.handle_response(now, from, answer, out)
+            Message::Response(response) => {
+                self.with(response.ballot.candidate, |claim, now, out| {
+                    claim.candidate.handle_response(now, from, response, out)
                 });
             }
         }
@@ -323,9 +324,9 @@
 
     /// Wishes that are held, and those that are not.
     pub fn held_and_waiting(&self) -> [usize; 2] {
-        let (wishes, now) = (self.wishes.borrow(), self.now());
-        let held = wishes.values().filter(|w| w.candidate.held(now).next().is_some()).count();
-        [held, wishes.len() - held]
+        let (claims, now) = (self.claims.borrow(), self.now());
+        let held = claims.values().filter(|c| c.candidate.held(now).next().is_some()).count();
+        [held, claims.len() - held]
     }
 
     /// A line each: what is held or waited for here, and, where this node votes, what it granted.
@@ -333,19 +334,19 @@
         let now = self.now();
         let mut text = String::from("# lease where state token left_ms\n");
         // Writing to a string never fails.
-        for wish in self.wishes.borrow().values() {
-            let (key, ms) = (&wish.key, |until: Time| until.saturating_sub(now).as_millis());
-            let _ = match &wish.state {
-                State::Held(held) => writeln!(text, "{key} here held {} {}", held.token, ms(held.until)),
-                State::Waiting(why) => {
-                    let why = why.map_or("asking".to_owned(), |w| format!("{w:?}").to_lowercase());
-                    writeln!(text, "{key} here {why} - -")
+        for claim in self.claims.borrow().values() {
+            let (key, ms) = (&claim.key, |until: Time| until.saturating_sub(now).as_millis());
+            let _ = match &claim.state {
+                State::Held(grant) => writeln!(text, "{key} here held {} {}", grant.token, ms(grant.until)),
+                State::Waiting(refusal) => {
+                    let refusal = refusal.map_or("asking".to_owned(), |c| format!("{c:?}").to_lowercase());
+                    writeln!(text, "{key} here {refusal} - -")
                 }
                 State::Lost => writeln!(text, "{key} here lost - -"),
             };
         }
         if let Some(voter) = self.voter.borrow().as_ref() {
-            if let Some(left) = voter.abstains(now) {
+            if let Some(left) = voter.abstention_left(now) {
                 let _ = writeln!(text, "# this voter abstains for {} ms", left.as_millis());
             }
             for (key, ballot, left) in voter.granted(now) {
@@ -359,44 +360,44 @@
 impl LeaseHandle {
     /// How it stands, by the clock as it is now.
     pub fn state(&self) -> State {
-        let (wishes, now) = (self.leases.wishes.borrow(), self.leases.now());
-        let Some(wish) = wishes.get(&self.life).filter(|w| !w.ending) else { return State::Lost };
-        match &wish.state {
-            State::Held(held) if now >= held.until => State::Lost,
+        let (claims, now) = (self.leases.claims.borrow(), self.leases.now());
+        let Some(claim) = claims.get(&self.id).filter(|c| !c.ending) else { return State::Lost };
+        match &claim.state {
+            State::Held(grant) if now >= grant.until => State::Lost,
             state => state.clone(),
         }
     }
 
     /// Gives it up: what was done under it is over.
     pub fn release(self) {
-        self.leases.release(self.life);
+        self.leases.release(self.id);
     }
 
     /// For how long what was begun under it may still go on, to come to its end. None: it is not held, or its guard is over.
-    pub fn left(&self) -> Option<Duration> {
-        let (wishes, now) = (self.leases.wishes.borrow(), self.leases.now());
-        let State::Held(held) = &wishes.get(&self.life)?.state else { return None };
-        let left = held.guard.checked_sub(now).filter(|l| !l.is_zero())?;
+    pub fn remaining(&self) -> Option<Duration> {
+        let (claims, now) = (self.leases.claims.borrow(), self.leases.now());
+        let State::Held(grant) = &claims.get(&self.id)?.state else { return None };
+        let left = grant.guard.checked_sub(now).filter(|l| !l.is_zero())?;
         Some(left * 1000 / self.leases.rate)
     }
 
     /// Whether whoever has it was told to end what it does.
-    pub fn ending(&self) -> bool {
-        self.leases.wishes.borrow().get(&self.life).is_none_or(|w| w.ending)
+    pub fn is_ending(&self) -> bool {
+        self.leases.claims.borrow().get(&self.id).is_none_or(|c| c.ending)
     }
 
     /// For how long an act may still go on. None: it is not held, or its guard is over.
-    pub fn guard(&self) -> Option<(Held, Duration)> {
-        let State::Held(held) = self.state() else { return None };
-        let left = held.guard.checked_sub(self.leases.now()).filter(|l| !l.is_zero())?;
-        Some((held, left * 1000 / self.leases.rate))
+    pub fn guard(&self) -> Option<(Grant, Duration)> {
+        let State::Held(grant) = self.state() else { return None };
+        let left = grant.guard.checked_sub(self.leases.now()).filter(|l| !l.is_zero())?;
+        Some((grant, left * 1000 / self.leases.rate))
     }
 }
 
 impl Drop for LeaseHandle {
     fn drop(&mut self) {
-        if let Some(wish) = self.leases.wishes.borrow_mut().remove(&self.life) {
-            tracing::info!(target: "lease", kind = "abandoned", lease = %wish.key);
+        if let Some(claim) = self.leases.claims.borrow_mut().remove(&self.id) {
+            tracing::info!(target: "lease", kind = "abandoned", lease = %claim.key);
         }
     }
 }
--- a/crates/lease-host/src/settings.rs
+++ b/crates/lease-host/src/settings.rs
@@ -49,36 +49,36 @@
     /// Checks each setting by itself and beside the others.
     pub fn compile(self) -> Result<LeaseSettings, SettingError> {
         let mut terms = Terms::new(self.voters.get_ref().clone());
-        let mut places = SettingSpans::new("voters", &self.voters);
-        places.apply_duration("ttl", &self.ttl, &mut terms.ttl);
-        places.apply_duration("round", &self.round, &mut terms.round);
-        if let Some(drift) = places.record("drift", &self.drift) {
+        let mut spans = SettingSpans::new("voters", &self.voters);
+        spans.apply_duration("ttl", &self.ttl, &mut terms.ttl);
+        spans.apply_duration("round", &self.round, &mut terms.round);
+        if let Some(drift) = spans.record("drift", &self.drift) {
             if !(0.001..=0.2).contains(drift) {
-                return Err(places.error_at("drift", "`drift` has to be 0.001 to 0.2"));
+                return Err(spans.error_at("drift", "`drift` has to be 0.001 to 0.2"));
             }
             terms.drift = (drift * 1000.0).round() as u32;
         }
         terms.check().map_err(|error| {
             let key = match &error {
                 TermsError::Time(key, _) => *key,
-                TermsError::Voters(_) | TermsError::Twice(_) => "voters",
+                TermsError::Voters(_) | TermsError::Duplicate(_) => "voters",
             };
-            places.error_at(key, &error)
+            spans.error_at(key, &error)
         })?;
         let mut rate = 1000;
-        if let Some(drill) = places.record("drill", &self.drill) {
+        if let Some(drill) = spans.record("drill", &self.drill) {
             let given = drill.rate.unwrap_or(1.0);
             if !(0.5..=2.0).contains(&given) {
-                return Err(places.error_at("drill", "`rate` has to be 0.5 to 2"));
+                return Err(spans.error_at("drill", "`rate` has to be 0.5 to 2"));
             }
             rate = (given * 1000.0).round() as u32;
-            let on = |w| !drill.without.contains(&w);
+            let enabled = |w| !drill.without.contains(&w);
             terms.safeguards = Safeguards {
-                abstention: on(Without::Abstention),
-                margin: on(Without::Margin),
-                majority: on(Without::Majority),
-                promises: on(Without::Promises),
-                floor: on(Without::Floor),
+                abstention: enabled(Without::Abstention),
+                margin: enabled(Without::Margin),
+                majority: enabled(Without::Majority),
+                promises: enabled(Without::Promises),
+                floor: enabled(Without::Floor),
             };
         }
         Ok(LeaseSettings { terms, rate })
--- a/crates/lease-host/src/tasks.rs
+++ b/crates/lease-host/src/tasks.rs
@@ -4,7 +4,7 @@
 use crate::{LeaseHandle, Leases, State};
 use birchswitch_cluster::{Record, Standing, Topic};
 use birchswitch_cluster_host::Cluster;
-use birchswitch_lease::{Advice, Held, Patience, Peer, Preference, Task};
+use birchswitch_lease::{Decision, Grant, Peer, Preference, TakeoverDelays, Task};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -15,33 +15,33 @@
 use tokio::task::spawn_local;
 
 /// Between looks at a task that runs or waits.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Most tasks that a member says it runs.
-const TOLD: usize = 8;
+const MAX_ADVERTISED: usize = 8;
 
 /// What a task does while it is this node's.
 pub trait SingletonTask {
     /// Does it. Has to come to its end soon after [`TaskLease::stop_requested`], and is dropped, wherever it is, when the guard is over. One that
     /// ends by itself gives the lease back and begins anew, here or elsewhere.
-    fn run(&self, term: TaskLease) -> Pin<Box<dyn Future<Output = ()>>>;
+    fn run(&self, lease: TaskLease) -> Pin<Box<dyn Future<Output = ()>>>;
 }
 
 /// One node's time with a task.
 pub struct TaskLease {
-    hold: Rc<LeaseHandle>,
-    ending: watch::Receiver<bool>,
+    handle: Rc<LeaseHandle>,
+    stopping: watch::Receiver<bool>,
 }
 
 impl TaskLease {
     /// The token, and for how long an act may still go on: to be asked before each. None: there is no time left.
-    pub fn guard(&self) -> Option<(Held, Duration)> {
-        self.hold.guard()
+    pub fn guard(&self) -> Option<(Grant, Duration)> {
+        self.handle.guard()
     }
 
     /// Until it is to end.
     pub async fn stop_requested(&mut self) {
         // Whoever tells it is gone: then so is the task.
-        let _ = self.ending.wait_for(|ending| *ending).await;
+        let _ = self.stopping.wait_for(|stopping| *stopping).await;
     }
 }
 
@@ -49,26 +49,26 @@
 pub struct Tasks {
     leases: Rc<Leases>,
     cluster: Rc<Cluster>,
-    runs: RefCell<BTreeSet<u32>>,
+    running: RefCell<BTreeSet<u32>>,
 }
 
 /// The tasks that a member says it runs, by [`Task::id`].
 pub fn running_tasks(record: &Record) -> Vec<u32> {
     let bytes = record.value(Topic::Tasks).unwrap_or_default();
-    bytes.chunks_exact(4).take(TOLD).map(|b| u32::from_le_bytes([b[0], b[1], b[2], b[3]])).collect()
+    bytes.chunks_exact(4).take(MAX_ADVERTISED).map(|b| u32::from_le_bytes([b[0], b[1], b[2], b[3]])).collect()
 }
 
 impl Tasks {
     /// No tasks yet.
     pub fn new(leases: &Rc<Leases>, cluster: &Rc<Cluster>) -> Rc<Self> {
-        Rc::new(Tasks { leases: leases.clone(), cluster: cluster.clone(), runs: RefCell::default() })
+        Rc::new(Tasks { leases: leases.clone(), cluster: cluster.clone(), running: RefCell::default() })
     }
 
     /// This node takes part in a task from now on, for good.
-    pub fn register(self: &Rc<Self>, task: Task, singleton: impl SingletonTask + 'static) {
-        let patience = Patience::of(self.leases.terms.ttl);
+    pub fn register(self: &Rc<Self>, task: Task, task_impl: impl SingletonTask + 'static) {
+        let delays = TakeoverDelays::for_ttl(self.leases.terms.ttl);
         let own = self.cluster.core().own().name.clone();
-        spawn_local(self.clone().look(Preference::new(task, &own, patience), singleton));
+        spawn_local(self.clone().follow(Preference::new(task, &own, delays), task_impl));
     }
 
     /// Who lives, as this node sees it.
@@ -77,31 +77,32 @@
         if core.standing() == Standing::Gone {
             return Vec::new();
         }
-        let peer = |r: &Record| Peer { name: r.name.clone(), zone: r.zone.clone(), runs: running_tasks(r) };
+        let peer =
+            |r: &Record| Peer { name: r.name.clone(), zone: r.zone.clone(), running: running_tasks(r) };
         let others = core.members().filter(|(_, m)| m.state.is_live()).map(|(_, m)| peer(&m.record));
         others.chain([peer(core.own())]).collect()
     }
 
-    async fn look(self: Rc<Self>, mut preference: Preference, singleton: impl SingletonTask) {
-        let mut every = tokio::time::interval(LOOK);
-        every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut hold: Option<LeaseHandle> = None;
+    async fn follow(self: Rc<Self>, mut preference: Preference, task_impl: impl SingletonTask) {
+        let mut interval = tokio::time::interval(POLL_INTERVAL);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut handle: Option<LeaseHandle> = None;
         loop {
-            every.tick().await;
-            let state = hold.as_ref().map(LeaseHandle::state);
+            interval.tick().await;
+            let state = handle.as_ref().map(LeaseHandle::state);
             let holds = matches!(state, Some(State::Held(_)));
-            let advice = preference.look(self.leases.now(), &self.peers(), holds);
-            hold = match (hold.take(), state, advice) {
+            let decision = preference.decide(self.leases.now(), &self.peers(), holds);
+            handle = match (handle.take(), state, decision) {
                 // A node that is full or leaves takes part in nothing more.
-                (None, _, Advice::Want) => self.leases.acquire(&preference.task().name, 1).ok(),
+                (None, _, Decision::Acquire) => self.leases.acquire(&preference.task().name, 1).ok(),
                 (None, ..) => None,
-                (Some(hold), Some(State::Held(_)), _) => {
-                    self.serve(hold, &mut preference, &singleton).await;
+                (Some(handle), Some(State::Held(_)), _) => {
+                    self.run_task(handle, &mut preference, &task_impl).await;
                     None
                 }
-                (Some(hold), Some(State::Waiting(_)), Advice::Want) => Some(hold),
-                (Some(hold), Some(State::Waiting(_)), _) => {
-                    hold.release();
+                (Some(handle), Some(State::Waiting(_)), Decision::Acquire) => Some(handle),
+                (Some(handle), Some(State::Waiting(_)), _) => {
+                    handle.release();
                     None
                 }
                 (Some(_), ..) => None,
@@ -110,40 +111,46 @@
     }
 
     /// Runs a task for as long as its lease is had.
-    async fn serve(&self, hold: LeaseHandle, preference: &mut Preference, singleton: &impl SingletonTask) {
+    async fn run_task(
+        &self,
+        handle: LeaseHandle,
+        preference: &mut Preference,
+        task_impl: &impl SingletonTask,
+    ) {
         let task = preference.task().clone();
-        let (hold, (tell, ending)) = (Rc::new(hold), watch::channel(false));
-        let Some((held, _)) = hold.guard() else { return };
-        tracing::info!(target: "lease", kind = "task_begun", lease = %held.key, token = held.token);
-        self.says(task.id(), true);
-        let mut work = singleton.run(TaskLease { hold: hold.clone(), ending });
+        let (handle, (stop, stopping)) = (Rc::new(handle), watch::channel(false));
+        let Some((grant, _)) = handle.guard() else { return };
+        tracing::info!(target: "lease", kind = "task_begun", lease = %grant.key, token = grant.token);
+        self.advertise(task.id(), true);
+        let mut future = task_impl.run(TaskLease { handle: handle.clone(), stopping });
         let why = loop {
-            let Some(left) = hold.left() else { break "out of time" };
+            let Some(left) = handle.remaining() else { break "out of time" };
             tokio::select! {
-                () = &mut work => break "done",
-                () = tokio::time::sleep(LOOK.min(left)) => {}
+                () = &mut future => break "done",
+                () = tokio::time::sleep(POLL_INTERVAL.min(left)) => {}
             }
             // Extended at a third of its time it has more than that unless voters do not answer.
-            let short = hold.left().is_none_or(|left| left < self.leases.terms.held() / 4);
-            let handed = !*tell.borrow()
-                && preference.look(self.leases.now(), &self.peers(), true) == Advice::HandOver;
-            if (short || handed || hold.ending()) && !*tell.borrow() {
-                tracing::info!(target: "lease", kind = "task_told", lease = %held.key, short, handed);
-                tell.send_replace(true);
+            let short = handle.remaining().is_none_or(|left| left < self.leases.terms.hold_time() / 4);
+            let handed_over = !*stop.borrow()
+                && preference.decide(self.leases.now(), &self.peers(), true) == Decision::HandOver;
+            if (short || handed_over || handle.is_ending()) && !*stop.borrow() {
+                tracing::info!(target: "lease", kind = "task_told", lease = %grant.key, short, handed = handed_over);
+                stop.send_replace(true);
             }
         };
-        drop(work);
-        self.says(task.id(), false);
-        tracing::info!(target: "lease", kind = "task_ended", lease = %held.key, token = held.token, why);
+        drop(future);
+        self.advertise(task.id(), false);
+        tracing::info!(target: "lease", kind = "task_ended", lease = %grant.key, token = grant.token, why);
         // What was done is over: who waits need not wait for the lease's end. A task that kept its term lets it run out.
-        if let Some(hold) = Rc::into_inner(hold) {
-            hold.release();
+        if let Some(handle) = Rc::into_inner(handle) {
+            handle.release();
         }
     }
 
-    fn says(&self, task: u32, runs: bool) {
-        let mut all = self.runs.borrow_mut();
-        let _ = if runs { all.insert(task) } else { all.remove(&task) };
-        self.cluster.publish(Topic::Tasks, all.iter().take(TOLD).flat_map(|t| t.to_le_bytes()).collect());
+    fn advertise(&self, task: u32, running: bool) {
+        let mut all = self.running.borrow_mut();
+        let _ = if running { all.insert(task) } else { all.remove(&task) };
+        self.cluster
+            .publish(Topic::Tasks, all.iter().take(MAX_ADVERTISED).flat_map(|t| t.to_le_bytes()).collect());
     }
 }
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -1,6 +1,6 @@
 //! One process that wants leases, waits for them and holds them.
 
-use crate::message::{Ballot, CandidateId, Key, Request, Response, Wish, Word};
+use crate::message::{Ballot, CandidateId, Key, Op, Reply, Request, Response};
 use crate::terms::Terms;
 use crate::Time;
 use std::collections::BTreeMap;
@@ -10,17 +10,17 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A guard ends by this part of the lease's time before it.
-const GUARD: u32 = 10;
+const GUARD_FRACTION: u32 = 10;
 /// An extension begins when this part of the time is over.
-const RENEW: u32 = 3;
+const RENEW_FRACTION: u32 = 3;
 /// A question is sent again so many times in a round.
-const RESEND: u32 = 3;
+const RESENDS_PER_ROUND: u32 = 3;
 /// The wait after failures doubles up to this power.
-const BACK_OFF: u32 = 4;
+const MAX_BACKOFF_POWER: u32 = 4;
 
 /// A lease as it is held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct Grant {
     /// Which.
     pub key: Key,
     /// Higher than any before it.
@@ -54,9 +54,9 @@
     /// Ask a voter.
     Send(SocketAddr, Request),
     /// A lease is held from now on.
-    Granted(Held),
+    Granted(Grant),
     /// It is held for longer; its token may have risen.
-    Extended(Held),
+    Extended(Grant),
     /// It is over without having been given up.
     Lost(Key),
     /// A try came to nothing; there will be another.
@@ -65,26 +65,26 @@
 
 /// A question to all voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Try {
+struct Attempt {
     ballot: Ballot,
-    turn: u32,
-    wish: Wish,
+    sequence: u32,
+    op: Op,
     /// When the first of its questions was about to be sent.
-    asked: Time,
-    resend: Time,
+    started: Time,
+    resend_at: Time,
     /// Voters that agreed and that refused, a bit each.
     yes: u8,
     no: u8,
-    why: Refusal,
+    refusal: Refusal,
     /// The soonest that a refusal let hope for.
-    hope: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
     Waiting(Time),
-    Trying(Try),
-    Holding { ballot: Ballot, until: Time, renew: Time, extending: Option<Try> },
+    Pending(Attempt),
+    Holding { ballot: Ballot, until: Time, renew_at: Time, extending: Option<Attempt> },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -97,10 +97,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     terms: Arc<Terms>,
-    life: CandidateId,
+    id: CandidateId,
     /// Highest number heard of or used.
-    highest: u64,
-    turn: u32,
+    highest_number: u64,
+    sequence: u32,
     leases: BTreeMap<Key, Lease>,
 }
 
@@ -108,8 +108,8 @@
 
 impl Candidate {
     /// One that wants nothing yet. `floor` is a first guess at numbers, and never has to be right.
-    pub fn new(terms: Arc<Terms>, life: CandidateId, floor: u64) -> Self {
-        Candidate { terms, life, highest: floor, turn: 0, leases: BTreeMap::new() }
+    pub fn new(terms: Arc<Terms>, id: CandidateId, floor: u64) -> Self {
+        Candidate { terms, id, highest_number: floor, sequence: 0, leases: BTreeMap::new() }
     }
 
     /// Wants a lease from now on, until it is [given up](Candidate::release).
@@ -124,14 +124,14 @@
         let Some(lease) = self.leases.remove(key) else { return };
         let ballots: Vec<Ballot> = match &lease.state {
             State::Waiting(_) => Vec::new(),
-            State::Trying(t) => vec![t.ballot],
+            State::Pending(attempt) => vec![attempt.ballot],
             State::Holding { ballot, extending, .. } => {
-                extending.iter().map(|t| t.ballot).chain([*ballot]).collect()
+                extending.iter().map(|attempt| attempt.ballot).chain([*ballot]).collect()
             }
         };
         // Who waits is told at once: the newest ballot last, so that it finds all others gone.
         for ballot in ballots.into_iter().rev() {
-            self.give_back(key, ballot, Wish::Release, out);
+            self.broadcast(key, ballot, Op::Release, out);
         }
     }
 
@@ -139,16 +139,16 @@
     pub fn next_wake(&self) -> Time {
         let next = |lease: &Lease| match &lease.state {
             State::Waiting(at) => *at,
-            State::Trying(t) => t.resend,
-            State::Holding { until, renew, extending, .. } => {
-                extending.as_ref().map_or(*renew, |t| t.resend).min(*until)
+            State::Pending(attempt) => attempt.resend_at,
+            State::Holding { until, renew_at, extending, .. } => {
+                extending.as_ref().map_or(*renew_at, |attempt| attempt.resend_at).min(*until)
             }
         };
         self.leases.values().map(next).min().unwrap_or(Time::MAX)
     }
 
     /// What is held now. Nothing is whose time is over, whether or not that was noticed.
-    pub fn held(&self, now: Time) -> impl Iterator<Item = Held> + '_ {
+    pub fn held(&self, now: Time) -> impl Iterator<Item = Grant> + '_ {
         self.leases.iter().filter_map(move |(key, lease)| match lease.state {
             State::Holding { ballot, until, .. } if now < until => Some(self.grant(key, ballot, until)),
             _ => None,
@@ -160,9 +160,9 @@
         self.leases.iter().filter(|(_, l)| !matches!(l.state, State::Holding { .. })).map(|(k, _)| k)
     }
 
-    fn grant(&self, key: &Key, ballot: Ballot, until: Time) -> Held {
-        let guard = until.saturating_sub(self.terms.held() / GUARD);
-        Held { key: key.clone(), token: ballot.number, until, guard }
+    fn grant(&self, key: &Key, ballot: Ballot, until: Time) -> Grant {
+        let guard = until.saturating_sub(self.terms.hold_time() / GUARD_FRACTION);
+        Grant { key: key.clone(), token: ballot.number, until, guard }
     }
 
     /// Ends what is over by its own clock, before anything else is looked at.
@@ -181,30 +181,34 @@
         let keys: Vec<Key> = self.leases.keys().cloned().collect();
         for key in keys {
             let Some(mut lease) = self.leases.remove(&key) else { continue };
-            self.due(now, &key, &mut lease, out);
+            self.advance(now, &key, &mut lease, out);
             self.leases.insert(key, lease);
         }
     }
 
-    fn due(&mut self, now: Time, key: &Key, lease: &mut Lease, out: Out) {
+    fn advance(&mut self, now: Time, key: &Key, lease: &mut Lease, out: Out) {
         match &mut lease.state {
             State::Waiting(at) if now >= *at => {
                 let ballot = self.next_ballot();
-                lease.state = State::Trying(self.ask(now, key, ballot, Wish::Prepare, out));
+                lease.state = State::Pending(self.start(now, key, ballot, Op::Prepare, out));
             }
             State::Waiting(_) => {}
-            State::Trying(t) if now >= t.asked + self.terms.round => self.fail(now, key, lease, out),
-            State::Trying(t) => self.again(now, key, t, out),
-            State::Holding { ballot, renew, extending, .. } => match extending {
-                Some(t) if now < t.asked + self.terms.round => self.again(now, key, t, out),
+            State::Pending(attempt) if now >= attempt.started + self.terms.round => {
+                self.fail(now, key, lease, out)
+            }
+            State::Pending(attempt) => self.resend(now, key, attempt, out),
+            State::Holding { ballot, renew_at, extending, .. } => match extending {
+                Some(attempt) if now < attempt.started + self.terms.round => {
+                    self.resend(now, key, attempt, out)
+                }
                 // An upgrade that failed is tried anew with a higher ballot still.
-                Some(t) if t.wish == Wish::Prepare || t.ballot != *ballot => {
+                Some(attempt) if attempt.op == Op::Prepare || attempt.ballot != *ballot => {
                     let higher = self.next_ballot();
-                    *extending = Some(self.ask(now, key, higher, Wish::Prepare, out));
+                    *extending = Some(self.start(now, key, higher, Op::Prepare, out));
                 }
-                Some(_) => *extending = Some(self.ask(now, key, *ballot, Wish::Propose, out)),
-                None if now >= *renew => {
-                    *extending = Some(self.ask(now, key, *ballot, Wish::Propose, out));
+                Some(_) => *extending = Some(self.start(now, key, *ballot, Op::Propose, out)),
+                None if now >= *renew_at => {
+                    *extending = Some(self.start(now, key, *ballot, Op::Propose, out));
                 }
                 None => {}
             },
@@ -212,126 +216,131 @@
     }
 
     fn next_ballot(&mut self) -> Ballot {
-        self.highest += 1;
-        Ballot { number: self.highest, life: self.life }
+        self.highest_number += 1;
+        Ballot { number: self.highest_number, candidate: self.id }
     }
 
-    fn ask(&mut self, now: Time, key: &Key, ballot: Ballot, wish: Wish, out: Out) -> Try {
-        self.turn = self.turn.wrapping_add(1);
-        let turn = self.turn;
-        let mut t = Try {
+    fn start(&mut self, now: Time, key: &Key, ballot: Ballot, op: Op, out: Out) -> Attempt {
+        self.sequence = self.sequence.wrapping_add(1);
+        let sequence = self.sequence;
+        let mut attempt = Attempt {
             ballot,
-            turn,
-            wish,
-            asked: now,
-            resend: now,
+            sequence,
+            op,
+            started: now,
+            resend_at: now,
             yes: 0,
             no: 0,
-            why: Refusal::Unheard,
-            hope: None,
+            refusal: Refusal::Unheard,
+            retry_after: None,
         };
-        self.again(now, key, &mut t, out);
-        t
+        self.resend(now, key, &mut attempt, out);
+        attempt
     }
 
     /// Sends the question to all that have not agreed. The time from which it counts stays that of the first.
-    fn again(&self, now: Time, key: &Key, t: &mut Try, out: Out) {
-        if now < t.resend {
+    fn resend(&self, now: Time, key: &Key, attempt: &mut Attempt, out: Out) {
+        if now < attempt.resend_at {
             return;
         }
-        t.resend = now + self.terms.round / RESEND;
-        let silent = self.terms.voters.iter().enumerate().filter(|(n, _)| t.yes & (1 << n) == 0);
-        for (_, voter) in silent {
-            let ask = Request { key: key.clone(), ballot: t.ballot, turn: t.turn, wish: t.wish };
-            out.push(Action::Send(*voter, ask));
+        attempt.resend_at = now + self.terms.round / RESENDS_PER_ROUND;
+        let pending = self.terms.voters.iter().enumerate().filter(|(n, _)| attempt.yes & (1 << n) == 0);
+        for (_, voter) in pending {
+            let request = Request {
+                key: key.clone(),
+                ballot: attempt.ballot,
+                sequence: attempt.sequence,
+                op: attempt.op,
+            };
+            out.push(Action::Send(*voter, request));
         }
     }
 
-    fn give_back(&self, key: &Key, ballot: Ballot, wish: Wish, out: Out) {
+    fn broadcast(&self, key: &Key, ballot: Ballot, op: Op, out: Out) {
         for voter in &self.terms.voters {
-            out.push(Action::Send(*voter, Request { key: key.clone(), ballot, turn: 0, wish }));
+            out.push(Action::Send(*voter, Request { key: key.clone(), ballot, sequence: 0, op }));
         }
     }
 
     /// A try is over without a majority: gives back what it was promised, and waits.
     fn fail(&mut self, now: Time, key: &Key, lease: &mut Lease, out: Out) {
-        let State::Trying(t) = &lease.state else { return };
-        let (why, ballot, hope) = (t.why, t.ballot, t.hope);
-        self.give_back(key, ballot, Wish::Yield, out);
-        out.push(Action::Refused(key.clone(), why));
+        let State::Pending(attempt) = &lease.state else { return };
+        let (refusal, ballot, retry_after) = (attempt.refusal, attempt.ballot, attempt.retry_after);
+        self.broadcast(key, ballot, Op::Yield, out);
+        out.push(Action::Refused(key.clone(), refusal));
         // Of many that wait for one lease none asks again before it can be free, and not all then.
         let round = self.terms.round;
-        let spread = round * (1 << lease.failures.min(BACK_OFF));
-        let pause = hope.unwrap_or(Duration::ZERO).min(self.terms.ttl);
+        let spread = round * (1 << lease.failures.min(MAX_BACKOFF_POWER));
+        let pause = retry_after.unwrap_or(Duration::ZERO).min(self.terms.ttl);
         lease.failures += 1;
         lease.state = State::Waiting(now + pause + round / 10 + self.jitter(key, ballot, spread));
     }
 
     /// A part of a time that differs between processes, keys and tries.
-    fn jitter(&self, key: &Key, ballot: Ballot, most: Duration) -> Duration {
-        let text = format!("{key} {} {}", self.life.0, ballot.number);
-        most * (xxh3_64(text.as_bytes()) >> 48) as u32 / (1 << 16)
+    fn jitter(&self, key: &Key, ballot: Ballot, max: Duration) -> Duration {
+        let text = format!("{key} {} {}", self.id.0, ballot.number);
+        max * (xxh3_64(text.as_bytes()) >> 48) as u32 / (1 << 16)
     }
 
     /// Takes in a voter's answer.
-    pub fn handle_response(&mut self, now: Time, from: SocketAddr, answer: &Response, out: Out) {
+    pub fn handle_response(&mut self, now: Time, from: SocketAddr, response: &Response, out: Out) {
         self.expire(now, out);
-        let Some(mut lease) = self.leases.remove(&answer.key) else { return };
+        let Some(mut lease) = self.leases.remove(&response.key) else { return };
         if let Some(voter) = self.terms.voters.iter().position(|v| *v == from) {
-            self.hear(now, voter, answer, &mut lease, out);
+            self.apply_reply(now, voter, response, &mut lease, out);
         }
-        self.leases.insert(answer.key.clone(), lease);
+        self.leases.insert(response.key.clone(), lease);
     }
 
-    fn hear(&mut self, now: Time, voter: usize, answer: &Response, lease: &mut Lease, out: Out) {
-        if let Word::Above(number) = answer.word {
-            self.highest = self.highest.max(number);
+    fn apply_reply(&mut self, now: Time, voter: usize, response: &Response, lease: &mut Lease, out: Out) {
+        if let Reply::BallotTooLow(number) = response.reply {
+            self.highest_number = self.highest_number.max(number);
         }
-        if answer.word == Word::Free {
+        if response.reply == Reply::Available {
             if let State::Waiting(at) = &mut lease.state {
                 // Others may have been told too.
-                let ballot = Ballot { number: self.highest, life: self.life };
-                *at = (*at).min(now + self.jitter(&answer.key, ballot, self.terms.round / 20));
+                let ballot = Ballot { number: self.highest_number, candidate: self.id };
+                *at = (*at).min(now + self.jitter(&response.key, ballot, self.terms.round / 20));
                 lease.failures = 0;
             }
             return;
         }
-        let (terms, key) = (self.terms.clone(), &answer.key);
-        let held = match &mut lease.state {
+        let (terms, key) = (self.terms.clone(), &response.key);
+        let tally = match &mut lease.state {
             State::Waiting(_) => return,
-            State::Trying(t) => t,
-            State::Holding { extending: Some(t), .. } => t,
+            State::Pending(tally) => tally,
+            State::Holding { extending: Some(tally), .. } => tally,
             State::Holding { .. } => return,
         };
-        if (held.ballot, held.turn, held.wish) != (answer.ballot, answer.turn, answer.wish) {
+        if (tally.ballot, tally.sequence, tally.op) != (response.ballot, response.sequence, response.op) {
             return;
         }
         let bit = 1 << voter;
-        match answer.word {
-            Word::Promised | Word::Accepted => (held.yes, held.no) = (held.yes | bit, held.no & !bit),
-            word => {
-                held.no |= bit & !held.yes;
-                let (why, hope) = match word {
-                    Word::Busy(left) => (Refusal::Busy, Some(left)),
-                    Word::Abstains(left) => (Refusal::Abstaining, Some(left)),
-                    Word::Elsewhere(_) => (Refusal::Elsewhere, None),
-                    Word::Full => (Refusal::Full, None),
+        match response.reply {
+            Reply::Promised | Reply::Accepted => (tally.yes, tally.no) = (tally.yes | bit, tally.no & !bit),
+            reply => {
+                tally.no |= bit & !tally.yes;
+                let (refusal, retry_after) = match reply {
+                    Reply::Busy(left) => (Refusal::Busy, Some(left)),
+                    Reply::Abstaining(left) => (Refusal::Abstaining, Some(left)),
+                    Reply::TermsMismatch(_) => (Refusal::Elsewhere, None),
+                    Reply::Full => (Refusal::Full, None),
                     _ => (Refusal::Behind, None),
                 };
-                held.why = why;
-                held.hope = held.hope.max(hope);
+                tally.refusal = refusal;
+                tally.retry_after = tally.retry_after.max(retry_after);
             }
         }
-        let (yes, no) = (held.yes.count_ones() as usize, held.no.count_ones() as usize);
+        let (yes, no) = (tally.yes.count_ones() as usize, tally.no.count_ones() as usize);
         if yes >= terms.majority() {
-            self.agreed(now, key, lease, out);
+            self.majority_reached(now, key, lease, out);
         } else if no > terms.voters.len() - terms.majority() {
             match &mut lease.state {
-                State::Trying(_) => self.fail(now, key, lease, out),
+                State::Pending(_) => self.fail(now, key, lease, out),
                 // Voters that started since know higher floors: the token rises while the lease is held.
-                State::Holding { extending, .. } if matches!(answer.word, Word::Above(_)) => {
+                State::Holding { extending, .. } if matches!(response.reply, Reply::BallotTooLow(_)) => {
                     let higher = self.next_ballot();
-                    *extending = Some(self.ask(now, key, higher, Wish::Prepare, out));
+                    *extending = Some(self.start(now, key, higher, Op::Prepare, out));
                 }
                 State::Holding { .. } | State::Waiting(_) => {}
             }
@@ -339,32 +348,32 @@
     }
 
     /// A majority agreed to a try.
-    fn agreed(&mut self, now: Time, key: &Key, lease: &mut Lease, out: Out) {
-        let (t, first) = match &lease.state {
-            State::Trying(t) => (t.clone(), true),
-            State::Holding { extending: Some(t), .. } => (t.clone(), false),
+    fn majority_reached(&mut self, now: Time, key: &Key, lease: &mut Lease, out: Out) {
+        let (attempt, first) = match &lease.state {
+            State::Pending(attempt) => (attempt.clone(), true),
+            State::Holding { extending: Some(attempt), .. } => (attempt.clone(), false),
             _ => return,
         };
-        if t.wish == Wish::Prepare {
+        if attempt.op == Op::Prepare {
             // A promise that is older than a round may have been forgotten by a voter that abstained since.
-            if now >= t.asked + self.terms.round {
+            if now >= attempt.started + self.terms.round {
                 return;
             }
-            let proposed = self.ask(now, key, t.ballot, Wish::Propose, out);
+            let proposal = self.start(now, key, attempt.ballot, Op::Propose, out);
             match &mut lease.state {
-                State::Holding { extending, .. } => *extending = Some(proposed),
-                state => *state = State::Trying(proposed),
+                State::Holding { extending, .. } => *extending = Some(proposal),
+                state => *state = State::Pending(proposal),
             }
             return;
         }
-        let until = t.asked + self.terms.held();
+        let until = attempt.started + self.terms.hold_time();
         if now >= until {
             return;
         }
-        let renew = t.asked + self.terms.held() / RENEW;
+        let renew_at = attempt.started + self.terms.hold_time() / RENEW_FRACTION;
         lease.failures = 0;
-        lease.state = State::Holding { ballot: t.ballot, until, renew, extending: None };
-        let grant = self.grant(key, t.ballot, until);
+        lease.state = State::Holding { ballot: attempt.ballot, until, renew_at, extending: None };
+        let grant = self.grant(key, attempt.ballot, until);
         out.push(if first { Action::Granted(grant) } else { Action::Extended(grant) });
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -20,16 +20,18 @@
 
 mod candidate;
 mod message;
+mod slots;
 mod tasks;
 mod terms;
-mod turns;
 mod voter;
 
-pub use candidate::{Action, Candidate, Held, Refusal};
-pub use message::{Ballot, CandidateId, Key, KeyError, Message, Request, Response, Wish, Word, NAME_MOST};
-pub use tasks::{task_id, Advice, Patience, Peer, Preference, Task};
+pub use candidate::{Action, Candidate, Grant, Refusal};
+pub use message::{
+    Ballot, CandidateId, Key, KeyError, Message, Op, Reply, Request, Response, MAX_NAME_BYTES,
+};
+pub use slots::SlotRotation;
+pub use tasks::{task_id, Decision, Peer, Preference, TakeoverDelays, Task};
 pub use terms::{Safeguards, Terms, TermsError};
-pub use turns::Turns;
 pub use voter::Voter;
 
 /// A point on a monotonic clock of the caller's, from any origin.
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Longest name of a lease, in bytes.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// A process, told apart from all others by a random draw at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -20,14 +20,14 @@
 
 /// Why a name is none.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a lease's name has to be 1 to {NAME_MOST} visible ASCII characters")]
+#[error("a lease's name has to be 1 to {MAX_NAME_BYTES} visible ASCII characters")]
 pub struct KeyError;
 
 impl Key {
     /// A slot of a name, counted from 0.
     pub fn new(name: &str, slot: u16) -> Result<Self, KeyError> {
         let key = Key { name: name.to_owned(), slot };
-        key.sound().then_some(key).ok_or(KeyError)
+        key.is_valid().then_some(key).ok_or(KeyError)
     }
 
     /// The name.
@@ -40,8 +40,8 @@
         self.slot
     }
 
-    fn sound(&self) -> bool {
-        (1..=NAME_MOST).contains(&self.name.len()) && self.name.bytes().all(|b| b.is_ascii_graphic())
+    fn is_valid(&self) -> bool {
+        (1..=MAX_NAME_BYTES).contains(&self.name.len()) && self.name.bytes().all(|b| b.is_ascii_graphic())
     }
 }
 
@@ -57,12 +57,12 @@
     /// Rises; no two grants of a key have the same.
     pub number: u64,
     /// Whose.
-    pub life: CandidateId,
+    pub candidate: CandidateId,
 }
 
 /// What a candidate wants of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Wish {
+pub enum Op {
     /// Take no ballot of a lower number from now on.
     Prepare,
     /// Hold the lease to be mine for [`Terms::ttl`](crate::Terms::ttl) from now on. Also extends it.
@@ -81,14 +81,14 @@
     /// Which try.
     pub ballot: Ballot,
     /// Tells an extension's answers from those to the one before it.
-    pub turn: u32,
+    pub sequence: u32,
     /// What.
-    pub wish: Wish,
+    pub op: Op,
 }
 
 /// A voter's word on a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Word {
+pub enum Reply {
     /// To `Prepare`: so be it.
     Promised,
     /// To `Propose`: so be it.
@@ -96,15 +96,15 @@
     /// Somebody else has it, or is about to, for so long by the voter's clock.
     Busy(Duration),
     /// Only ballots of higher numbers than this.
-    Above(u64),
+    BallotTooLow(u64),
     /// It started not long ago and grants nothing for so long.
-    Abstains(Duration),
+    Abstaining(Duration),
     /// It belongs to another electorate or has other terms, whose sum this is.
-    Elsewhere(u64),
+    TermsMismatch(u64),
     /// It keeps as many leases as it may.
     Full,
     /// What was waited for is free: try now.
-    Free,
+    Available,
 }
 
 /// A voter's answer.
@@ -115,11 +115,11 @@
     /// To which try.
     pub ballot: Ballot,
     /// As asked.
-    pub turn: u32,
+    pub sequence: u32,
     /// To which wish of it.
-    pub wish: Wish,
+    pub op: Op,
     /// What.
-    pub word: Word,
+    pub reply: Reply,
 }
 
 /// What travels.
@@ -142,6 +142,6 @@
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (message, _): (Message, _) = postcard::take_from_bytes(bytes).ok()?;
         let (Message::Request(_, Request { key, .. }) | Message::Response(Response { key, .. })) = &message;
-        key.sound().then_some(message)
+        key.is_valid().then_some(message)
     }
 }
--- a/crates/lease/src/turns.rs
+++ b/crates/lease/src/slots.rs
@@ -4,26 +4,26 @@
 
 /// Where such a wish stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turns {
+pub struct SlotRotation {
     slots: u16,
     /// Slots found busy in a row.
-    busy: u16,
+    busy_in_a_row: u16,
 }
 
-impl Turns {
+impl SlotRotation {
     /// A wish for any of so many slots, one at least.
     pub fn new(slots: u16) -> Self {
-        Turns { slots: slots.max(1), busy: 0 }
+        SlotRotation { slots: slots.max(1), busy_in_a_row: 0 }
     }
 
     /// What a refusal at a slot means: the slot to try at once, or none, to wait where it is. Only what somebody else has is a reason
     /// to look elsewhere; to leave a slot for any other and ask there anew would undo the back-off that ends duels.
-    pub fn refused(&mut self, slot: u16, why: Refusal) -> Option<u16> {
-        self.busy = if why == Refusal::Busy { self.busy + 1 } else { 0 };
-        if why == Refusal::Busy && self.busy < self.slots {
+    pub fn next_slot(&mut self, slot: u16, refusal: Refusal) -> Option<u16> {
+        self.busy_in_a_row = if refusal == Refusal::Busy { self.busy_in_a_row + 1 } else { 0 };
+        if refusal == Refusal::Busy && self.busy_in_a_row < self.slots {
             return Some((slot + 1) % self.slots);
         }
-        self.busy = 0;
+        self.busy_in_a_row = 0;
         None
     }
 }
--- a/crates/lease/src/tasks.rs
+++ b/crates/lease/src/tasks.rs
@@ -39,57 +39,64 @@
     /// Its zone.
     pub zone: String,
     /// The tasks that it says it runs.
-    pub runs: Vec<u32>,
+    pub running: Vec<u32>,
 }
 
 /// How long a node waits for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct TakeoverDelays {
     /// So long nobody says that a task runs until the second wants it; twice as long until the third does, and so on.
-    pub unheard: Duration,
+    pub takeover: Duration,
     /// So long another has to be preferred until a task is handed over to it; twice as long each further time.
-    pub settled: Duration,
+    pub handover: Duration,
 }
 
-impl Patience {
+impl TakeoverDelays {
     /// What suits leases that live for so long.
-    pub fn of(ttl: Duration) -> Self {
-        Patience { unheard: ttl * 2, settled: (ttl * 3).max(Duration::from_secs(10)) }
+    pub fn for_ttl(ttl: Duration) -> Self {
+        TakeoverDelays { takeover: ttl * 2, handover: (ttl * 3).max(Duration::from_secs(10)) }
     }
 }
 
 /// What a node should do about a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Advice {
+pub enum Decision {
     /// Want its lease, or go on wanting or holding it.
-    Want,
+    Acquire,
     /// Leave it to others.
-    Forgo,
+    Skip,
     /// End it and give the lease back: it is another's.
     HandOver,
 }
 
 /// Most doublings of [`Patience::settled`].
-const DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 
 /// One node's view of one task.
 #[derive(Clone, Debug)]
 pub struct Preference {
     task: Task,
     own: String,
-    patience: Patience,
+    delays: TakeoverDelays,
     /// Since when nobody has said that it runs.
-    unheard: Option<Time>,
+    unclaimed_since: Option<Time>,
     /// Who is preferred, and since when.
-    first: Option<(String, Time)>,
+    preferred: Option<(String, Time)>,
     /// To whom it was handed over last, and how often.
-    handed: Option<(String, u32)>,
+    last_handover: Option<(String, u32)>,
 }
 
 impl Preference {
     /// A task as the node of that name sees it.
-    pub fn new(task: Task, own: &str, patience: Patience) -> Self {
-        Preference { task, own: own.to_owned(), patience, unheard: None, first: None, handed: None }
+    pub fn new(task: Task, own: &str, delays: TakeoverDelays) -> Self {
+        Preference {
+            task,
+            own: own.to_owned(),
+            delays,
+            unclaimed_since: None,
+            preferred: None,
+            last_handover: None,
+        }
     }
 
     /// The task.
@@ -98,45 +105,45 @@
     }
 
     /// Members in the order in which they should run it.
-    fn order<'a>(&self, peers: &'a [Peer]) -> Vec<&'a Peer> {
-        let mut order: Vec<&Peer> = peers.iter().collect();
+    fn ranked<'a>(&self, peers: &'a [Peer]) -> Vec<&'a Peer> {
+        let mut ranked: Vec<&Peer> = peers.iter().collect();
         let hash = |p: &Peer| xxh3_64(format!("{} {}", self.task.name, p.name).as_bytes());
-        order.sort_by_key(|p| (p.zone != self.task.zone, std::cmp::Reverse(hash(p)), p.name.clone()));
-        order
+        ranked.sort_by_key(|p| (p.zone != self.task.zone, std::cmp::Reverse(hash(p)), p.name.clone()));
+        ranked
     }
 
     /// What to do about it now, among these.
-    pub fn look(&mut self, now: Time, peers: &[Peer], holds: bool) -> Advice {
-        let order = self.order(peers);
-        let Some(rank) = order.iter().position(|p| p.name == self.own) else { return Advice::Forgo };
-        let first = &order[0].name;
-        let since = match &self.first {
-            Some((before, since)) if before == first => *since,
+    pub fn decide(&mut self, now: Time, peers: &[Peer], holds: bool) -> Decision {
+        let ranked = self.ranked(peers);
+        let Some(rank) = ranked.iter().position(|p| p.name == self.own) else { return Decision::Skip };
+        let preferred = &ranked[0].name;
+        let since = match &self.preferred {
+            Some((before, since)) if before == preferred => *since,
             _ => now,
         };
-        self.first = Some((first.clone(), since));
+        self.preferred = Some((preferred.clone(), since));
         if rank == 0 || !holds && rank <= self.task.standbys {
-            return Advice::Want;
+            return Decision::Acquire;
         }
         if holds {
-            let times = self.handed.as_ref().filter(|h| h.0 == *first).map_or(0, |h| h.1);
-            if now < since + self.patience.settled * (1 << times.min(DOUBLINGS)) {
-                return Advice::Want;
+            let handovers = self.last_handover.as_ref().filter(|h| h.0 == *preferred).map_or(0, |h| h.1);
+            if now < since + self.delays.handover * (1 << handovers.min(MAX_DOUBLINGS)) {
+                return Decision::Acquire;
             }
-            self.handed = Some((first.clone(), times + 1));
-            self.first = Some((first.clone(), now));
-            self.unheard = None;
-            return Advice::HandOver;
+            self.last_handover = Some((preferred.clone(), handovers + 1));
+            self.preferred = Some((preferred.clone(), now));
+            self.unclaimed_since = None;
+            return Decision::HandOver;
         }
-        let runs = |p: &&Peer| p.name != self.own && p.runs.contains(&self.task.id());
-        if peers.iter().any(|p| runs(&p)) {
-            self.unheard = None;
-            return Advice::Forgo;
+        let running = |p: &&Peer| p.name != self.own && p.running.contains(&self.task.id());
+        if peers.iter().any(|p| running(&p)) {
+            self.unclaimed_since = None;
+            return Decision::Skip;
         }
-        let unheard = *self.unheard.get_or_insert(now);
-        match now >= unheard + self.patience.unheard * rank as u32 {
-            true => Advice::Want,
-            false => Advice::Forgo,
+        let unclaimed_since = *self.unclaimed_since.get_or_insert(now);
+        match now >= unclaimed_since + self.delays.takeover * rank as u32 {
+            true => Decision::Acquire,
+            false => Decision::Skip,
         }
     }
 }
--- a/crates/lease/src/terms.rs
+++ b/crates/lease/src/terms.rs
@@ -48,7 +48,7 @@
     Voters(usize),
     /// One counts twice.
     #[error("`voters` names {0} twice")]
-    Twice(SocketAddr),
+    Duplicate(SocketAddr),
     /// A time lies outside what works.
     #[error("`{0}` has to be {1}")]
     Time(&'static str, &'static str),
@@ -66,9 +66,9 @@
         if !matches!(self.voters.len(), 3 | 5 | 7) {
             return Err(TermsError::Voters(self.voters.len()));
         }
-        let twice = self.voters.iter().enumerate().find(|(n, v)| self.voters[..*n].contains(v));
-        if let Some((_, voter)) = twice {
-            return Err(TermsError::Twice(*voter));
+        let duplicate = self.voters.iter().enumerate().find(|(n, v)| self.voters[..*n].contains(v));
+        if let Some((_, voter)) = duplicate {
+            return Err(TermsError::Duplicate(*voter));
         }
         if self.ttl < Duration::from_secs(1) || self.ttl > Duration::from_secs(600) {
             return Err(TermsError::Time("ttl", "1s to 10m"));
@@ -100,7 +100,7 @@
     }
 
     /// For how long a holder holds, by its own clock, from before it asked: its clock may be the slowest and a voter's the fastest.
-    pub fn held(&self) -> Duration {
+    pub fn hold_time(&self) -> Duration {
         match self.safeguards.margin {
             true => self.ttl * (1000 - self.drift) / (1000 + self.drift),
             false => self.ttl,
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,6 +1,6 @@
 //! One voter: what it promised and granted, in memory alone.
 
-use crate::message::{Ballot, CandidateId, Key, Request, Response, Wish, Word};
+use crate::message::{Ballot, CandidateId, Key, Op, Reply, Request, Response};
 use crate::terms::Terms;
 use crate::Time;
 use std::collections::BTreeMap;
@@ -10,25 +10,25 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Most keys that a voter keeps.
-const KEYS: usize = 4096;
+const MAX_KEYS: usize = 4096;
 /// Most candidates that wait for a word when a key becomes free.
-const WAITING: usize = 16;
+const MAX_WAITING: usize = 16;
 
 /// What a voter holds of one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Entry {
+struct KeyState {
     /// No ballot of a lower number.
     promised: Option<Ballot>,
     /// Until then no other candidate's ballot either: tries that cross each other would all fail.
-    reserved: Time,
+    reserved_until: Time,
     /// Whose it is, and until when.
     accepted: Option<(Ballot, Time)>,
     /// Who waits, whoever asked last at the end.
     waiting: Vec<(CandidateId, SocketAddr)>,
 }
 
-impl Entry {
-    fn live(&self, now: Time) -> Option<(Ballot, Time)> {
+impl KeyState {
+    fn live_grant(&self, now: Time) -> Option<(Ballot, Time)> {
         self.accepted.filter(|(_, until)| now < *until)
     }
 }
@@ -38,30 +38,32 @@
 pub struct Voter {
     terms: Arc<Terms>,
     /// Of the terms: it comes with every question.
-    sum: u64,
-    abstains: Time,
+    checksum: u64,
+    abstain_until: Time,
     /// Ballots up to this number may have been granted and forgotten.
     floor: u64,
-    entries: BTreeMap<Key, Entry>,
+    entries: BTreeMap<Key, KeyState>,
 }
 
 impl Voter {
     /// A voter that starts from nothing. `floor` has to lie above every token that was granted before all voters' memory was lost; the
     /// time of day does, unless it was set back.
     pub fn new(terms: Arc<Terms>, floor: u64, now: Time) -> Self {
-        let abstains = now + terms.abstention();
+        let abstain_until = now + terms.abstention();
         let floor = if terms.safeguards.floor { floor } else { 0 };
-        Voter { sum: terms.checksum(), terms, abstains, floor, entries: BTreeMap::new() }
+        Voter { checksum: terms.checksum(), terms, abstain_until, floor, entries: BTreeMap::new() }
     }
 
     /// How long it still abstains.
-    pub fn abstains(&self, now: Time) -> Option<Time> {
-        self.abstains.checked_sub(now).filter(|left| !left.is_zero())
+    pub fn abstention_left(&self, now: Time) -> Option<Time> {
+        self.abstain_until.checked_sub(now).filter(|left| !left.is_zero())
     }
 
     /// Keys that it holds to be somebody's, with token and time left.
     pub fn granted(&self, now: Time) -> impl Iterator<Item = (&Key, Ballot, Time)> {
-        self.entries.iter().filter_map(move |(key, e)| e.live(now).map(|(b, until)| (key, b, until - now)))
+        self.entries
+            .iter()
+            .filter_map(move |(key, e)| e.live_grant(now).map(|(b, until)| (key, b, until - now)))
     }
 
     /// Answers a question, and sends word to others where a key became free.
@@ -69,47 +71,61 @@
         &mut self,
         now: Time,
         from: SocketAddr,
-        sum: u64,
-        ask: &Request,
+        checksum: u64,
+        request: &Request,
         out: &mut Vec<(SocketAddr, Response)>,
     ) {
-        let mut say = |to, ballot, word| {
-            out.push((to, Response { key: ask.key.clone(), ballot, turn: ask.turn, wish: ask.wish, word }));
+        let mut respond = |to, ballot, reply| {
+            out.push((
+                to,
+                Response {
+                    key: request.key.clone(),
+                    ballot,
+                    sequence: request.sequence,
+                    op: request.op,
+                    reply,
+                },
+            ));
         };
-        if sum != self.sum {
-            return say(from, ask.ballot, Word::Elsewhere(self.sum));
+        if checksum != self.checksum {
+            return respond(from, request.ballot, Reply::TermsMismatch(self.checksum));
         }
-        if let Some(left) = self.abstains(now) {
-            return say(from, ask.ballot, Word::Abstains(left));
+        if let Some(left) = self.abstention_left(now) {
+            return respond(from, request.ballot, Reply::Abstaining(left));
         }
-        if !self.entries.contains_key(&ask.key) && self.entries.len() >= KEYS && !self.forget(now) {
-            return say(from, ask.ballot, Word::Full);
+        if !self.entries.contains_key(&request.key)
+            && self.entries.len() >= MAX_KEYS
+            && !self.evict_free_key(now)
+        {
+            return respond(from, request.ballot, Reply::Full);
         }
         let floor = self.floor;
-        let entry = self.entries.entry(ask.key.clone()).or_default();
-        match ask.wish {
-            Wish::Prepare => {
-                let word = entry.prepare(now, ask.ballot, floor, &self.terms);
-                if matches!(word, Word::Busy(_)) {
-                    entry.wait(ask.ballot.life, from);
+        let state = self.entries.entry(request.key.clone()).or_default();
+        match request.op {
+            Op::Prepare => {
+                let reply = state.prepare(now, request.ballot, floor, &self.terms);
+                if matches!(reply, Reply::Busy(_)) {
+                    state.add_waiter(request.ballot.candidate, from);
                 }
-                say(from, ask.ballot, word);
+                respond(from, request.ballot, reply);
             }
-            Wish::Propose => say(from, ask.ballot, entry.propose(now, ask.ballot, floor, &self.terms)),
-            Wish::Release | Wish::Yield => {
-                if entry.promised == Some(ask.ballot) {
-                    entry.reserved = Time::ZERO;
+            Op::Propose => {
+                respond(from, request.ballot, state.propose(now, request.ballot, floor, &self.terms))
+            }
+            Op::Release | Op::Yield => {
+                if state.promised == Some(request.ballot) {
+                    state.reserved_until = Time::ZERO;
                 }
-                let had = entry.live(now).is_some_and(|(b, _)| b == ask.ballot);
-                if had {
-                    entry.accepted = None;
+                let was_held = state.live_grant(now).is_some_and(|(b, _)| b == request.ballot);
+                if was_held {
+                    state.accepted = None;
                 }
-                if ask.wish == Wish::Release {
-                    entry.waiting.retain(|(life, _)| *life != ask.ballot.life);
+                if request.op == Op::Release {
+                    state.waiting.retain(|(candidate, _)| *candidate != request.ballot.candidate);
                     // Only what was held comes free. Were others told of every try that failed, each would try at once, and
                     // they would fail one another for as long as there are many.
-                    if let Some((life, to)) = entry.next(ask.ballot).filter(|_| had) {
-                        say(to, Ballot { number: ask.ballot.number, life }, Word::Free);
+                    if let Some((candidate, to)) = state.pick_waiter(request.ballot).filter(|_| was_held) {
+                        respond(to, Ballot { number: request.ballot.number, candidate }, Reply::Available);
                     }
                 }
             }
@@ -117,8 +133,8 @@
     }
 
     /// Makes room: of a key that nobody has, the floor keeps all that matters. False: all are somebody's.
-    fn forget(&mut self, now: Time) -> bool {
-        let free = |e: &Entry| e.live(now).is_none() && e.reserved <= now;
+    fn evict_free_key(&mut self, now: Time) -> bool {
+        let free = |e: &KeyState| e.live_grant(now).is_none() && e.reserved_until <= now;
         let Some(key) = self.entries.iter().find(|(_, e)| free(e)).map(|(k, _)| k.clone()) else {
             return false;
         };
@@ -128,57 +144,58 @@
     }
 }
 
-impl Entry {
+impl KeyState {
     /// Who is told that a ballot was given up. Questions reach each voter in an order of its own: whoever came first there would be
     /// another at each, and their tries would cross. So it is drawn by what all voters know.
-    fn next(&self, given_up: Ballot) -> Option<(CandidateId, SocketAddr)> {
-        let drawn =
-            |life: CandidateId| xxh3_64(&[life.0.to_le_bytes(), given_up.number.to_le_bytes()].concat());
-        self.waiting.iter().copied().min_by_key(|(life, _)| drawn(*life))
+    fn pick_waiter(&self, given_up: Ballot) -> Option<(CandidateId, SocketAddr)> {
+        let rank = |candidate: CandidateId| {
+            xxh3_64(&[candidate.0.to_le_bytes(), given_up.number.to_le_bytes()].concat())
+        };
+        self.waiting.iter().copied().min_by_key(|(candidate, _)| rank(*candidate))
     }
 
-    fn wait(&mut self, life: CandidateId, from: SocketAddr) {
-        self.waiting.retain(|(l, _)| *l != life);
+    fn add_waiter(&mut self, candidate: CandidateId, from: SocketAddr) {
+        self.waiting.retain(|(l, _)| *l != candidate);
         // Who asked longest ago may have gone since: who waits asks again.
-        if self.waiting.len() >= WAITING {
+        if self.waiting.len() >= MAX_WAITING {
             self.waiting.remove(0);
         }
-        self.waiting.push((life, from));
+        self.waiting.push((candidate, from));
     }
 
-    fn prepare(&mut self, now: Time, ballot: Ballot, floor: u64, terms: &Terms) -> Word {
+    fn prepare(&mut self, now: Time, ballot: Ballot, floor: u64, terms: &Terms) -> Reply {
         if self.promised == Some(ballot) || !terms.safeguards.promises {
-            return Word::Promised;
+            return Reply::Promised;
         }
-        if let Some((_, until)) = self.live(now).filter(|(b, _)| b.life != ballot.life) {
-            return Word::Busy(until - now);
+        if let Some((_, until)) = self.live_grant(now).filter(|(b, _)| b.candidate != ballot.candidate) {
+            return Reply::Busy(until - now);
         }
         let promised = self.promised.map_or(0, |p| p.number).max(floor);
         if ballot.number <= promised {
-            return Word::Above(promised);
+            return Reply::BallotTooLow(promised);
         }
-        if self.reserved > now && self.promised.is_some_and(|p| p.life != ballot.life) {
-            return Word::Busy(self.reserved - now);
+        if self.reserved_until > now && self.promised.is_some_and(|p| p.candidate != ballot.candidate) {
+            return Reply::Busy(self.reserved_until - now);
         }
-        (self.promised, self.reserved) = (Some(ballot), now + terms.round);
-        Word::Promised
+        (self.promised, self.reserved_until) = (Some(ballot), now + terms.round);
+        Reply::Promised
     }
 
-    fn propose(&mut self, now: Time, ballot: Ballot, floor: u64, terms: &Terms) -> Word {
-        let above = |p: Ballot| ballot.number > p.number || ballot == p;
-        let fits = ballot.number > floor && self.promised.is_none_or(above);
-        if !fits && terms.safeguards.promises {
-            return Word::Above(self.promised.map_or(0, |p| p.number).max(floor));
+    fn propose(&mut self, now: Time, ballot: Ballot, floor: u64, terms: &Terms) -> Reply {
+        let is_current = |p: Ballot| ballot.number > p.number || ballot == p;
+        let acceptable = ballot.number > floor && self.promised.is_none_or(is_current);
+        if !acceptable && terms.safeguards.promises {
+            return Reply::BallotTooLow(self.promised.map_or(0, |p| p.number).max(floor));
         }
-        if let Some((_, until)) = self.live(now).filter(|(b, _)| b.life != ballot.life) {
+        if let Some((_, until)) = self.live_grant(now).filter(|(b, _)| b.candidate != ballot.candidate) {
             if terms.safeguards.promises {
-                return Word::Busy(until - now);
+                return Reply::Busy(until - now);
             }
         }
         self.promised = Some(ballot);
-        self.reserved = Time::ZERO;
+        self.reserved_until = Time::ZERO;
         self.accepted = Some((ballot, now + terms.ttl));
-        self.waiting.retain(|(life, _)| *life != ballot.life);
-        Word::Accepted
+        self.waiting.retain(|(candidate, _)| *candidate != ballot.candidate);
+        Reply::Accepted
     }
 }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -29,18 +29,18 @@
     steps: u32,
     voters: Vec<Voter>,
     candidates: Vec<Candidate>,
-    wire: BTreeSet<Packet>,
+    network: BTreeSet<Packet>,
     crashes: u8,
     /// The highest token that was granted, and whether one was not above those before it.
-    highest: u64,
-    fell: bool,
+    highest_token: u64,
+    token_regressed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Event {
     Deliver(Packet),
     Wake(usize),
-    Want(usize),
+    Acquire(usize),
     Step,
     CrashVoter(usize),
     CrashCandidate(usize),
@@ -52,11 +52,11 @@
     crashes: u8,
     steps: u32,
     /// How it begins.
-    begins: Begins,
+    start: Start,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Begins {
+enum Start {
     /// All candidates want the lease.
     Fresh,
     /// The first holds it, and everything that was said for it is still on its way. The others want it.
@@ -74,7 +74,7 @@
 }
 
 fn key() -> Key {
-    Key::new("task", 0).expect("a sound name")
+    Key::new("task", 0).expect("a valid name")
 }
 
 impl Electorate {
@@ -88,51 +88,51 @@
         u64::from(state.steps + state.crashes as u32 + 1) << 8
     }
 
-    fn carry_out(&self, state: &mut State, n: usize, actions: Vec<Action>) {
+    fn apply_actions(&self, state: &mut State, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(to, ask) => {
+                Action::Send(to, request) => {
                     let voter = (0..VOTERS).find(|v| address(*v) == to).expect("a voter");
-                    state.wire.insert(Packet::Request(n, voter, ask));
+                    state.network.insert(Packet::Request(n, voter, request));
                 }
-                Action::Granted(held) => {
-                    state.fell |= held.token <= state.highest;
-                    state.highest = state.highest.max(held.token);
+                Action::Granted(grant) => {
+                    state.token_regressed |= grant.token <= state.highest_token;
+                    state.highest_token = state.highest_token.max(grant.token);
                 }
-                Action::Extended(held) => state.highest = state.highest.max(held.token),
+                Action::Extended(grant) => state.highest_token = state.highest_token.max(grant.token),
                 Action::Lost(_) | Action::Refused(..) => {}
             }
         }
     }
 
-    fn want(&self, state: &mut State, n: usize) {
+    fn acquire(&self, state: &mut State, n: usize) {
         let (clock, mut out) = (self.clock(state, false), Vec::new());
         state.candidates[n].acquire(clock, key(), &mut out);
-        self.carry_out(state, n, out);
+        self.apply_actions(state, n, out);
     }
 
     fn deliver(&self, state: &mut State, packet: &Packet) {
         match packet {
-            Packet::Request(from, voter, ask) => {
+            Packet::Request(from, voter, request) => {
                 let mut out = Vec::new();
                 let clock = self.clock(state, true);
                 state.voters[*voter].handle_request(
                     clock,
                     address(VOTERS + from),
                     self.terms.checksum(),
-                    ask,
+                    request,
                     &mut out,
                 );
-                for (to, answer) in out {
+                for (to, response) in out {
                     let to = (0..self.candidates).find(|c| address(VOTERS + c) == to).expect("a candidate");
-                    state.wire.insert(Packet::Response(*voter, to, answer));
+                    state.network.insert(Packet::Response(*voter, to, response));
                 }
             }
-            Packet::Response(voter, to, answer) => {
+            Packet::Response(voter, to, response) => {
                 let mut out = Vec::new();
                 let clock = self.clock(state, false);
-                state.candidates[*to].handle_response(clock, address(*voter), answer, &mut out);
-                self.carry_out(state, *to, out);
+                state.candidates[*to].handle_response(clock, address(*voter), response, &mut out);
+                self.apply_actions(state, *to, out);
             }
         }
     }
@@ -149,10 +149,10 @@
             steps: 0,
             voters: (0..VOTERS).map(|_| Voter::new(self.terms.clone(), 0, long_ago)).collect(),
             candidates: Vec::new(),
-            wire: BTreeSet::new(),
+            network: BTreeSet::new(),
             crashes: 0,
-            highest: 0,
-            fell: false,
+            highest_token: 0,
+            token_regressed: false,
         };
         for n in 0..self.candidates {
             state.candidates.push(Candidate::new(
@@ -161,21 +161,21 @@
                 (1 << 32) + n as u64,
             ));
         }
-        if self.begins != Begins::Fresh {
-            self.want(&mut state, 0);
+        if self.start != Start::Fresh {
+            self.acquire(&mut state, 0);
             for _ in 0..4 {
-                for packet in state.wire.clone() {
+                for packet in state.network.clone() {
                     self.deliver(&mut state, &packet);
                 }
             }
             assert_eq!(state.candidates[0].held(self.clock(&state, false)).count(), 1);
         }
-        match self.begins {
-            Begins::Fresh => (0..self.candidates).for_each(|n| self.want(&mut state, n)),
-            Begins::Held => (1..self.candidates).for_each(|n| self.want(&mut state, n)),
-            Begins::Quiet => state.wire.clear(),
-            Begins::Late => {
-                state.wire.clear();
+        match self.start {
+            Start::Fresh => (0..self.candidates).for_each(|n| self.acquire(&mut state, n)),
+            Start::Held => (1..self.candidates).for_each(|n| self.acquire(&mut state, n)),
+            Start::Quiet => state.network.clear(),
+            Start::Late => {
+                state.network.clear();
                 state.steps = 3;
             }
         }
@@ -183,14 +183,14 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Event>) {
-        actions.extend(state.wire.iter().cloned().map(Event::Deliver));
+        actions.extend(state.network.iter().cloned().map(Event::Deliver));
         let clock = self.clock(state, false);
         for (n, candidate) in state.candidates.iter().enumerate() {
             if candidate.next_wake() <= clock {
                 actions.push(Event::Wake(n));
             }
             if candidate.next_wake() == Duration::MAX {
-                actions.push(Event::Want(n));
+                actions.push(Event::Acquire(n));
             }
         }
         if state.steps < self.steps {
@@ -210,9 +210,9 @@
                 let mut out = Vec::new();
                 let clock = self.clock(&state, false);
                 state.candidates[n].wake(clock, &mut out);
-                self.carry_out(&mut state, n, out);
+                self.apply_actions(&mut state, n, out);
             }
-            Event::Want(n) => self.want(&mut state, n),
+            Event::Acquire(n) => self.acquire(&mut state, n),
             Event::Step => state.steps += 1,
             Event::CrashVoter(n) => {
                 state.crashes += 1;
@@ -221,12 +221,12 @@
             }
             Event::CrashCandidate(n) => {
                 state.crashes += 1;
-                let life = CandidateId(n as u64 + 1 + 100 * u64::from(state.crashes));
-                let mut candidate = Candidate::new(self.terms.clone(), life, 0);
+                let id = CandidateId(n as u64 + 1 + 100 * u64::from(state.crashes));
+                let mut candidate = Candidate::new(self.terms.clone(), id, 0);
                 let mut out = Vec::new();
                 candidate.acquire(self.clock(&state, false), key(), &mut out);
                 state.candidates[n] = candidate;
-                self.carry_out(&mut state, n, out);
+                self.apply_actions(&mut state, n, out);
             }
         }
         (state != *before).then_some(state)
@@ -238,7 +238,7 @@
                 let clock = model.clock(state, false);
                 state.candidates.iter().filter(|c| c.held(clock).next().is_some()).count() <= 1
             }),
-            Property::always("tokens rise", |_, state: &State| !state.fell),
+            Property::always("tokens rise", |_, state: &State| !state.token_regressed),
         ]
     }
 }
@@ -251,32 +251,32 @@
     (checker.unique_state_count(), checker.discoveries().into_keys().collect())
 }
 
-fn electorate(safeguards: Safeguards, crashes: u8, steps: u32, begins: Begins) -> Electorate {
-    Electorate { terms: terms(safeguards), candidates: 2, crashes, steps, begins }
+fn electorate(safeguards: Safeguards, crashes: u8, steps: u32, start: Start) -> Electorate {
+    Electorate { terms: terms(safeguards), candidates: 2, crashes, steps, start }
 }
 
-fn sound(all: &[(u8, u32, Begins, usize)]) {
-    for (crashes, steps, begins, depth) in all {
-        let (states, found) = check(electorate(Safeguards::ALL, *crashes, *steps, *begins), *depth);
+fn check_all(all: &[(u8, u32, Start, usize)]) {
+    for (crashes, steps, start, depth) in all {
+        let (states, violations) = check(electorate(Safeguards::ALL, *crashes, *steps, *start), *depth);
         println!("{states} states up to depth {depth}");
-        assert_eq!(found, Vec::<&str>::new(), "of {states} states");
+        assert_eq!(violations, Vec::<&str>::new(), "of {states} states");
     }
 }
 
 /// Two tries in any order; from a lease that is held, with everything that was said for it still on its way, starts from nothing and
 /// time in any order.
 #[test]
-fn two_never_hold_in_any_order() {
-    use Begins::*;
-    sound(&[(0, 0, Fresh, 11), (1, 4, Held, 6), (2, 2, Held, 5), (2, 0, Quiet, 9), (0, 4, Quiet, 10)]);
+fn at_most_one_holder_in_any_order() {
+    use Start::*;
+    check_all(&[(0, 0, Fresh, 11), (1, 4, Held, 6), (2, 2, Held, 5), (2, 0, Quiet, 9), (0, 4, Quiet, 10)]);
 }
 
 /// Some minutes: `cargo test --release -p birchswitch-lease --test model -- --ignored --nocapture`.
 #[test]
 #[ignore = "millions of states"]
-fn two_never_hold_in_any_longer_order() {
-    use Begins::*;
-    sound(&[
+fn at_most_one_holder_in_any_longer_order() {
+    use Start::*;
+    check_all(&[
         (0, 0, Fresh, 15),
         (1, 4, Held, 9),
         (2, 2, Held, 8),
@@ -288,16 +288,16 @@
 
 /// Each by the shortest order of events that there is.
 #[test]
-fn each_safeguard_taken_away_is_found() {
+fn removing_any_safeguard_is_detected() {
     let all = Safeguards::ALL;
-    for (what, less, crashes, steps, begins, depth) in [
-        ("abstention", Safeguards { abstention: false, ..all }, 2, 0, Begins::Quiet, 13),
-        ("margin", Safeguards { margin: false, ..all }, 0, 4, Begins::Late, 12),
-        ("majority", Safeguards { majority: false, ..all }, 0, 0, Begins::Fresh, 11),
-        ("promises", Safeguards { promises: false, ..all }, 0, 0, Begins::Quiet, 11),
+    for (what, safeguards, crashes, steps, start, depth) in [
+        ("abstention", Safeguards { abstention: false, ..all }, 2, 0, Start::Quiet, 13),
+        ("margin", Safeguards { margin: false, ..all }, 0, 4, Start::Late, 12),
+        ("majority", Safeguards { majority: false, ..all }, 0, 0, Start::Fresh, 11),
+        ("promises", Safeguards { promises: false, ..all }, 0, 0, Start::Quiet, 11),
     ] {
-        let (states, found) = check(electorate(less, crashes, steps, begins), depth);
-        println!("{what}: {found:?} after {states} states");
-        assert!(!found.is_empty(), "{what} is there for nothing, of {states} states");
+        let (states, violations) = check(electorate(safeguards, crashes, steps, start), depth);
+        println!("{what}: {violations:?} after {states} states");
+        assert!(!violations.is_empty(), "removing {what} broke nothing in {states} states");
     }
 }
--- a/crates/lease/tests/tasks.rs
+++ b/crates/lease/tests/tasks.rs
@@ -1,10 +1,11 @@
 //! Who wants which task: one each, spread over the fleet, and another where the first does not come to it.
 
-use birchswitch_lease::{Advice, Patience, Peer, Preference, Task};
+use birchswitch_lease::{Decision, Peer, Preference, TakeoverDelays, Task};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-const PATIENCE: Patience = Patience { unheard: Duration::from_secs(4), settled: Duration::from_secs(10) };
+const DELAYS: TakeoverDelays =
+    TakeoverDelays { takeover: Duration::from_secs(4), handover: Duration::from_secs(10) };
 
 fn task(n: usize) -> Task {
     Task { name: format!("task{n}"), zone: format!("z{}", n % 3), standbys: 0 }
@@ -12,23 +13,23 @@
 
 fn fleet(size: usize) -> Vec<Peer> {
     let zone = |n: usize| if n % 4 == 3 { "elsewhere".to_owned() } else { format!("z{}", n % 4) };
-    (0..size).map(|n| Peer { name: format!("n{n}"), zone: zone(n), runs: Vec::new() }).collect()
+    (0..size).map(|n| Peer { name: format!("n{n}"), zone: zone(n), running: Vec::new() }).collect()
 }
 
 /// Who wants a task at once.
-fn wanted_by(task: &Task, fleet: &[Peer]) -> Vec<String> {
-    let wants = |p: &&Peer| {
-        Preference::new(task.clone(), &p.name, PATIENCE).look(SECOND, fleet, false) == Advice::Want
+fn preferred_nodes(task: &Task, fleet: &[Peer]) -> Vec<String> {
+    let acquires = |p: &&Peer| {
+        Preference::new(task.clone(), &p.name, DELAYS).decide(SECOND, fleet, false) == Decision::Acquire
     };
-    fleet.iter().filter(wants).map(|p| p.name.clone()).collect()
+    fleet.iter().filter(acquires).map(|p| p.name.clone()).collect()
 }
 
 #[test]
-fn each_task_has_one_that_wants_it_in_its_zone_and_no_node_has_them_all() {
+fn each_task_has_one_preferred_node_in_its_zone_and_tasks_spread() {
     let fleet = fleet(40);
     let mut held = std::collections::BTreeMap::<String, usize>::new();
     for n in 0..60 {
-        let [by] = &wanted_by(&task(n), &fleet)[..] else { panic!("one wants it") };
+        let [by] = &preferred_nodes(&task(n), &fleet)[..] else { panic!("not exactly one node") };
         let zone = &fleet.iter().find(|p| p.name == *by).expect("a member").zone;
         assert_eq!(*zone, task(n).zone);
         *held.entry(by.clone()).or_default() += 1;
@@ -38,49 +39,50 @@
 }
 
 #[test]
-fn one_that_dies_passes_its_tasks_on_and_no_others_move() {
+fn only_the_tasks_of_a_dead_node_move() {
     let fleet = fleet(40);
-    let before: Vec<_> = (0..60).map(|n| wanted_by(&task(n), &fleet)).collect();
+    let before: Vec<_> = (0..60).map(|n| preferred_nodes(&task(n), &fleet)).collect();
     let dead = before[0][0].clone();
-    let left: Vec<Peer> = fleet.into_iter().filter(|p| p.name != dead).collect();
+    let remaining: Vec<Peer> = fleet.into_iter().filter(|p| p.name != dead).collect();
     for (n, by) in before.iter().enumerate() {
-        let after = wanted_by(&task(n), &left);
+        let after = preferred_nodes(&task(n), &remaining);
         assert_eq!(after.len(), 1);
-        assert_eq!(after == *by, by[0] != dead, "only the dead one's tasks move");
+        assert_eq!(after == *by, by[0] != dead, "only the dead node's tasks move");
     }
 }
 
 /// The first lives and can't have the lease: the second takes it after a while, and hands it over ever more seldom.
 #[test]
-fn the_next_stands_in_for_a_first_that_does_not_come_to_it() {
+fn the_second_node_takes_over_when_the_first_does_not_run_the_task() {
     let mut fleet = fleet(12);
     let by = |n: usize, fleet: &[Peer]| {
-        let gone: Vec<String> = (0..n).fold(Vec::new(), |mut gone, _| {
-            let left: Vec<Peer> = fleet.iter().filter(|p| !gone.contains(&p.name)).cloned().collect();
-            gone.extend(wanted_by(&task(0), &left));
-            gone
+        let excluded: Vec<String> = (0..n).fold(Vec::new(), |mut excluded, _| {
+            let remaining: Vec<Peer> =
+                fleet.iter().filter(|p| !excluded.contains(&p.name)).cloned().collect();
+            excluded.extend(preferred_nodes(&task(0), &remaining));
+            excluded
         });
-        gone[n - 1].clone()
+        excluded[n - 1].clone()
     };
     let second = by(2, &fleet);
-    let mut own = Preference::new(task(0), &second, PATIENCE);
+    let mut own = Preference::new(task(0), &second, DELAYS);
     let mut waited = 1;
-    while own.look(SECOND * waited, &fleet, false) == Advice::Forgo {
+    while own.decide(SECOND * waited, &fleet, false) == Decision::Skip {
         waited += 1;
     }
-    assert_eq!(waited, 5, "four seconds after it looked first");
-    let mut handed = Vec::new();
+    assert_eq!(waited, 5, "four seconds after the first decision");
+    let mut handovers = Vec::new();
     for second in waited..200 {
-        if own.look(SECOND * second, &fleet, true) == Advice::HandOver {
-            handed.push(second);
+        if own.decide(SECOND * second, &fleet, true) == Decision::HandOver {
+            handovers.push(second);
         }
     }
-    assert_eq!(handed, [11, 31, 71, 151], "after 10, 20, 40 and 80 s");
+    assert_eq!(handovers, [11, 31, 71, 151], "after 10, 20, 40 and 80 s");
     // Whoever says that it runs keeps the others away.
     let third = by(3, &fleet);
-    fleet.iter_mut().find(|p| p.name == second).expect("a member").runs.push(task(0).id());
-    let mut own = Preference::new(task(0), &third, PATIENCE);
-    assert!((1..100).all(|s| own.look(SECOND * s, &fleet, false) == Advice::Forgo));
+    fleet.iter_mut().find(|p| p.name == second).expect("a member").running.push(task(0).id());
+    let mut own = Preference::new(task(0), &third, DELAYS);
+    assert!((1..100).all(|s| own.decide(SECOND * s, &fleet, false) == Decision::Skip));
     // Who does not know itself wants nothing.
-    assert_eq!(Preference::new(task(0), "stranger", PATIENCE).look(SECOND, &fleet, false), Advice::Forgo);
+    assert_eq!(Preference::new(task(0), "stranger", DELAYS).decide(SECOND, &fleet, false), Decision::Skip);
 }
