--- a/crates/cluster-host/src/lib.rs
+++ b/crates/cluster-host/src/lib.rs
@@ -278,8 +278,8 @@
                 LocalEvent::Refuted { claimed, incarnation } => {
                     tracing::info!(target: "cluster", kind = "refuted", held = state_name(*claimed), incarnation);
                 }
-                LocalEvent::DuplicateName(other) => {
-                    tracing::error!(target: "cluster", kind = "twin", other = %other)
+                LocalEvent::DuplicateName(at) => {
+                    tracing::error!(target: "cluster", kind = "twin", other = %at)
                 }
                 LocalEvent::Yielded(to) => tracing::error!(target: "cluster", kind = "yielded", to = %to),
                 LocalEvent::Standing(standing) => {
--- a/crates/cluster/src/exchange.rs
+++ b/crates/cluster/src/exchange.rs
@@ -75,9 +75,8 @@
             let mut targets = std::mem::take(&mut self.sync.unknown_addresses);
             let seeds = self.settings.seeds.len();
             let offset = (self.random() * seeds as f64) as usize;
-            let is_known = |at: &SocketAddr| {
-                self.table.iter().any(|(_, m)| m.record.address == *at && m.state.is_live())
-            };
+            let is_known =
+                |a: &SocketAddr| self.table.iter().any(|(_, m)| m.record.address == *a && m.state.is_live());
             let unknown =
                 (0..seeds).map(|n| self.settings.seeds[(n + offset) % seeds]).filter(|at| !is_known(at));
             targets.extend(unknown.take(if is_alone { SEEDS_PER_JOIN } else { 1 }));
--- a/crates/cluster/tests/core.rs
+++ b/crates/cluster/tests/core.rs
@@ -28,9 +28,9 @@
     }
 }
 
-fn message(n: u8, body: Body, encoded: Vec<Vec<u8>>) -> Message {
+fn message(n: u8, body: Body, updates: Vec<Vec<u8>>) -> Message {
     let Record { generation, incarnation, .. } = record(n, 1, 1);
-    Message { sender: Sender { id: record(n, 1, 1).id(), generation, incarnation }, body, updates: encoded }
+    Message { sender: Sender { id: record(n, 1, 1).id(), generation, incarnation }, body, updates }
 }
 
 fn with_checksum(rest: Vec<u8>) -> Vec<u8> {
--- a/crates/health/src/suppressor.rs
+++ b/crates/health/src/suppressor.rs
@@ -18,17 +18,16 @@
 pub struct ProbeSuppressor {
     /// Whose last sign was silence.
     silent: FxHashMap<u64, SilentServer>,
-    reported_silent: FxHashSet<ShortId>,
+    reported: FxHashSet<ShortId>,
 }
 
 impl ProbeSuppressor {
     /// From now on just these are told of as silent. Returns servers of which that was told and is no more, and whose last sign to this
     /// node was silence: one question of its own to each shows it whether they are back.
     pub fn update_silent(&mut self, silent: impl Iterator<Item = ShortId>) -> Vec<u64> {
-        let previous = std::mem::replace(&mut self.reported_silent, silent.collect());
-        let no_longer_reported = |name: &u64| {
-            previous.contains(&ShortId::from_hash(*name))
-                && !self.reported_silent.contains(&ShortId::from_hash(*name))
+        let previous = std::mem::replace(&mut self.reported, silent.collect());
+        let no_longer_reported = |n: &u64| {
+            previous.contains(&ShortId::from_hash(*n)) && !self.reported.contains(&ShortId::from_hash(*n))
         };
         let mut recovered: Vec<u64> = self.silent.keys().copied().filter(no_longer_reported).collect();
         recovered.sort_unstable();
@@ -48,10 +47,10 @@
             self.silent.remove(&name);
             return false;
         }
-        let reported_silent = self.reported_silent.contains(&ShortId::from_hash(name));
+        let reported = self.reported.contains(&ShortId::from_hash(name));
         let server = self.silent.entry(name).or_insert(SilentServer { last_checked: now, last_report: None });
         server.last_checked = now;
-        if reported_silent || server.last_report.is_some_and(|at| now < at + REPORT_INTERVAL) {
+        if reported || server.last_report.is_some_and(|at| now < at + REPORT_INTERVAL) {
             return false;
         }
         server.last_report = Some(now);
@@ -61,9 +60,7 @@
     /// Whether a question to a server is spared. If not it goes out now.
     pub fn should_suppress(&mut self, now: Time, name: u64) -> bool {
         let Some(server) = self.silent.get_mut(&name) else { return false };
-        if now < server.last_checked + MAX_SUPPRESSION
-            && self.reported_silent.contains(&ShortId::from_hash(name))
-        {
+        if now < server.last_checked + MAX_SUPPRESSION && self.reported.contains(&ShortId::from_hash(name)) {
             return true;
         }
         server.last_checked = now;
--- a/crates/lease-host/src/lib.rs
+++ b/crates/lease-host/src/lib.rs
@@ -309,10 +309,8 @@
                     self.send(to, Message::Response(response));
                 }
             }
-            Message::Response(response) => {
-                self.with(response.ballot.candidate, |claim, now, out| {
-                    claim.candidate.handle_response(now, from, response, out)
-                });
+            Message::Response(m) => {
+                self.with(m.ballot.candidate, |c, now, out| c.candidate.handle_response(now, from, m, out));
             }
         }
     }
--- a/crates/lease-host/src/tasks.rs
+++ b/crates/lease-host/src/tasks.rs
@@ -65,10 +65,10 @@
     }
 
     /// This node takes part in a task from now on, for good.
-    pub fn register(self: &Rc<Self>, task: Task, task_impl: impl SingletonTask + 'static) {
+    pub fn register(self: &Rc<Self>, task: Task, runner: impl SingletonTask + 'static) {
         let delays = TakeoverDelays::for_ttl(self.leases.terms.ttl);
         let own = self.cluster.core().own().name.clone();
-        spawn_local(self.clone().follow(Preference::new(task, &own, delays), task_impl));
+        spawn_local(self.clone().follow(Preference::new(task, &own, delays), runner));
     }
 
     /// Who lives, as this node sees it.
@@ -83,7 +83,7 @@
         others.chain([peer(core.own())]).collect()
     }
 
-    async fn follow(self: Rc<Self>, mut preference: Preference, task_impl: impl SingletonTask) {
+    async fn follow(self: Rc<Self>, mut preference: Preference, runner: impl SingletonTask) {
         let mut interval = tokio::time::interval(POLL_INTERVAL);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut handle: Option<LeaseHandle> = None;
@@ -97,7 +97,7 @@
                 (None, _, Decision::Acquire) => self.leases.acquire(&preference.task().name, 1).ok(),
                 (None, ..) => None,
                 (Some(handle), Some(State::Held(_)), _) => {
-                    self.run_task(handle, &mut preference, &task_impl).await;
+                    self.run_task(handle, &mut preference, &runner).await;
                     None
                 }
                 (Some(handle), Some(State::Waiting(_)), Decision::Acquire) => Some(handle),
@@ -111,18 +111,13 @@
     }
 
     /// Runs a task for as long as its lease is had.
-    async fn run_task(
-        &self,
-        handle: LeaseHandle,
-        preference: &mut Preference,
-        task_impl: &impl SingletonTask,
-    ) {
+    async fn run_task(&self, handle: LeaseHandle, preference: &mut Preference, runner: &impl SingletonTask) {
         let task = preference.task().clone();
         let (handle, (stop, stopping)) = (Rc::new(handle), watch::channel(false));
         let Some((grant, _)) = handle.guard() else { return };
         tracing::info!(target: "lease", kind = "task_begun", lease = %grant.key, token = grant.token);
         self.advertise(task.id(), true);
-        let mut future = task_impl.run(TaskLease { handle: handle.clone(), stopping });
+        let mut future = runner.run(TaskLease { handle: handle.clone(), stopping });
         let why = loop {
             let Some(left) = handle.remaining() else { break "out of time" };
             tokio::select! {
@@ -131,10 +126,10 @@
             }
             // Extended at a third of its time it has more than that unless voters do not answer.
             let short = handle.remaining().is_none_or(|left| left < self.leases.terms.hold_time() / 4);
-            let handed_over = !*stop.borrow()
+            let handed = !*stop.borrow()
                 && preference.decide(self.leases.now(), &self.peers(), true) == Decision::HandOver;
-            if (short || handed_over || handle.is_ending()) && !*stop.borrow() {
-                tracing::info!(target: "lease", kind = "task_told", lease = %grant.key, short, handed = handed_over);
+            if (short || handed || handle.is_ending()) && !*stop.borrow() {
+                tracing::info!(target: "lease", kind = "task_told", lease = %grant.key, short, handed);
                 stop.send_replace(true);
             }
         };
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -148,9 +148,7 @@
     /// Who is told that a ballot was given up. Questions reach each voter in an order of its own: whoever came first there would be
     /// another at each, and their tries would cross. So it is drawn by what all voters know.
     fn pick_waiter(&self, given_up: Ballot) -> Option<(CandidateId, SocketAddr)> {
-        let rank = |candidate: CandidateId| {
-            xxh3_64(&[candidate.0.to_le_bytes(), given_up.number.to_le_bytes()].concat())
-        };
+        let rank = |id: CandidateId| xxh3_64(&[id.0.to_le_bytes(), given_up.number.to_le_bytes()].concat());
         self.waiting.iter().copied().min_by_key(|(candidate, _)| rank(*candidate))
     }
 
