--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -36,7 +36,7 @@
 
 impl ShortId {
     /// Of a name's hash. Two servers share one in so few fleets, and then only a question is spared that claim 2 makes up for.
-    pub fn from_hash(name: u64) -> Self {
+    pub fn of(name: u64) -> Self {
         ShortId((name >> 32) as u32)
     }
 }
--- a/crates/health/src/scheduler.rs
+++ b/crates/health/src/scheduler.rs
@@ -72,7 +72,7 @@
 
     /// Who is silent.
     pub fn silent(&self) -> impl Iterator<Item = ShortId> + '_ {
-        self.servers.iter().filter(|(_, s)| s.silent).map(|(name, _)| ShortId::from_hash(*name))
+        self.servers.iter().filter(|(_, s)| s.silent).map(|(name, _)| ShortId::of(*name))
     }
 
     /// When [`ProbeScheduler::due`] has somebody again.
--- a/crates/health/src/suppressor.rs
+++ b/crates/health/src/suppressor.rs
@@ -26,9 +26,8 @@
     /// node was silence: one question of its own to each shows it whether they are back.
     pub fn update_silent(&mut self, silent: impl Iterator<Item = ShortId>) -> Vec<u64> {
         let previous = std::mem::replace(&mut self.reported, silent.collect());
-        let no_longer_reported = |n: &u64| {
-            previous.contains(&ShortId::from_hash(*n)) && !self.reported.contains(&ShortId::from_hash(*n))
-        };
+        let no_longer_reported =
+            |n: &u64| previous.contains(&ShortId::of(*n)) && !self.reported.contains(&ShortId::of(*n));
         let mut recovered: Vec<u64> = self.silent.keys().copied().filter(no_longer_reported).collect();
         recovered.sort_unstable();
         recovered
@@ -47,7 +46,7 @@
             self.silent.remove(&name);
             return false;
         }
-        let reported = self.reported.contains(&ShortId::from_hash(name));
+        let reported = self.reported.contains(&ShortId::of(name));
         let server = self.silent.entry(name).or_insert(SilentServer { last_checked: now, last_report: None });
         server.last_checked = now;
         if reported || server.last_report.is_some_and(|at| now < at + REPORT_INTERVAL) {
@@ -60,7 +59,7 @@
     /// Whether a question to a server is spared. If not it goes out now.
     pub fn should_suppress(&mut self, now: Time, name: u64) -> bool {
         let Some(server) = self.silent.get_mut(&name) else { return false };
-        if now < server.last_checked + MAX_SUPPRESSION && self.reported.contains(&ShortId::from_hash(name)) {
+        if now < server.last_checked + MAX_SUPPRESSION && self.reported.contains(&ShortId::of(name)) {
             return true;
         }
         server.last_checked = now;
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -193,16 +193,12 @@
                 lease.state = State::Pending(self.start(now, key, ballot, Op::Prepare, out));
             }
             State::Waiting(_) => {}
-            State::Pending(attempt) if now >= attempt.started + self.terms.round => {
-                self.fail(now, key, lease, out)
-            }
-            State::Pending(attempt) => self.resend(now, key, attempt, out),
+            State::Pending(a) if now >= a.started + self.terms.round => self.fail(now, key, lease, out),
+            State::Pending(a) => self.resend(now, key, a, out),
             State::Holding { ballot, renew_at, extending, .. } => match extending {
-                Some(attempt) if now < attempt.started + self.terms.round => {
-                    self.resend(now, key, attempt, out)
-                }
+                Some(a) if now < a.started + self.terms.round => self.resend(now, key, a, out),
                 // An upgrade that failed is tried anew with a higher ballot still.
-                Some(attempt) if attempt.op == Op::Prepare || attempt.ballot != *ballot => {
+                Some(a) if a.op == Op::Prepare || a.ballot != *ballot => {
                     let higher = self.next_ballot();
                     *extending = Some(self.start(now, key, higher, Op::Prepare, out));
                 }
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -75,7 +75,7 @@
         request: &Request,
         out: &mut Vec<(SocketAddr, Response)>,
     ) {
-        let mut respond = |to, ballot, reply| {
+        let mut send = |to, ballot, reply| {
             out.push((
                 to,
                 Response {
@@ -88,16 +88,16 @@
             ));
         };
         if checksum != self.checksum {
-            return respond(from, request.ballot, Reply::TermsMismatch(self.checksum));
+            return send(from, request.ballot, Reply::TermsMismatch(self.checksum));
         }
         if let Some(left) = self.abstention_left(now) {
-            return respond(from, request.ballot, Reply::Abstaining(left));
+            return send(from, request.ballot, Reply::Abstaining(left));
         }
         if !self.entries.contains_key(&request.key)
             && self.entries.len() >= MAX_KEYS
             && !self.evict_free_key(now)
         {
-            return respond(from, request.ballot, Reply::Full);
+            return send(from, request.ballot, Reply::Full);
         }
         let floor = self.floor;
         let state = self.entries.entry(request.key.clone()).or_default();
@@ -107,11 +107,9 @@
                 if matches!(reply, Reply::Busy(_)) {
                     state.add_waiter(request.ballot.candidate, from);
                 }
-                respond(from, request.ballot, reply);
-            }
-            Op::Propose => {
-                respond(from, request.ballot, state.propose(now, request.ballot, floor, &self.terms))
+                send(from, request.ballot, reply);
             }
+            Op::Propose => send(from, request.ballot, state.propose(now, request.ballot, floor, &self.terms)),
             Op::Release | Op::Yield => {
                 if state.promised == Some(request.ballot) {
                     state.reserved_until = Time::ZERO;
@@ -125,7 +123,7 @@
                     // Only what was held comes free. Were others told of every try that failed, each would try at once, and
                     // they would fail one another for as long as there are many.
                     if let Some((candidate, to)) = state.pick_waiter(request.ballot).filter(|_| was_held) {
-                        respond(to, Ballot { number: request.ballot.number, candidate }, Reply::Available);
+                        send(to, Ballot { number: request.ballot.number, candidate }, Reply::Available);
                     }
                 }
             }
