--- a/crates/cluster-host/src/lib.rs
+++ b/crates/cluster-host/src/lib.rs
@@ -1,7 +1,9 @@
-//! Runs a [`Core`] on one UDP socket and one timer of tokio, and writes what changes as structured events.
+//! Runs a [`Core`] on a tokio UDP socket and timer, and logs membership changes as structured
+//! events.
 //!
-//! It decides nothing. Datagrams that the socket would not take are lost like others on the way. All of it runs on the node's
-//! own thread: when that is held up the core notices, and distrusts itself before others.
+//! This crate makes no decisions of its own. Datagrams that the socket does not accept are dropped,
+//! as if they had been lost in transit. Everything runs on the node's own thread: if that thread is
+//! held up, the core notices and distrusts itself before it distrusts others.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -26,45 +28,46 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// What the system may hold for this process while it is busy; it may give less.
+/// Requested size of the socket's receive buffer, for datagrams that arrive while the process is
+/// busy. The system may grant less.
 const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
-/// Datagrams taken in a row before others on this thread have their turn.
+/// Datagrams handled in a row before other tasks on this thread get a turn.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// Between steps towards the node's place on the ring.
+/// Interval between updates of the node's position on the ring.
 const RING_STEP_INTERVAL: Duration = Duration::from_millis(500);
-/// After a socket's error.
+/// Pause after a socket error.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// Why a member can't be started.
+/// Why a member could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// The socket can't be had.
+    /// The socket could not be bound.
     #[error("cluster: cannot listen on {address}: {source}")]
     Bind {
-        /// Where.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The node's name is none for a member.
+    /// The node's name cannot be used as a member name.
     #[error("cluster: the node's name {0:?} is not a valid member name: set `node`")]
     Name(String),
-    /// The settings make no sense.
+    /// The settings are invalid.
     #[error("cluster: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Who starts: for the member's record.
+/// The identity of the starting node, for its record.
 pub struct Identity<'a> {
     /// The node's name.
     pub name: &'a str,
     /// Version of the program.
     pub program: &'a str,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// A member that runs.
+/// A running cluster member.
 pub struct Cluster {
     name: String,
     core: RefCell<Core>,
@@ -76,18 +79,19 @@
     lanes: RefCell<Vec<(u8, Rc<LaneHandler>)>>,
 }
 
-/// Takes what came for another part of the program, and whence.
+/// Handles the payloads that arrive on a lane; called with the sender's address and the payload.
 pub type LaneHandler = dyn Fn(SocketAddr, &[u8]);
 
 impl Cluster {
-    /// Binds the socket; nothing is sent before [`Cluster::run`]. Has to be called inside a runtime.
+    /// Binds the socket. Nothing is sent before [`Cluster::run`]. Must be called inside a tokio
+    /// runtime.
     pub fn open(settings: &ClusterSettings, identity: &Identity) -> Result<Rc<Self>, ClusterError> {
         let bind = |source| ClusterError::Bind { address: settings.bind, source };
         let socket = bind_socket(settings.bind).map_err(bind)?;
         let local = socket.local_addr().map_err(bind)?;
         let name = settings.node.clone().unwrap_or_else(|| identity.name.to_owned());
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        // The seed is the platform's and may be the same at each start: two processes must differ all the same.
+        // The platform may pass the same seed at each start, and two processes must still differ.
         let draw = (since.as_nanos() as u32) ^ std::process::id().rotate_left(16) ^ identity.seed as u32;
         let record = Record {
             name: name.clone(),
@@ -117,7 +121,8 @@
         }))
     }
 
-    /// Takes part for good. `placed` is told the node's place on the ring whenever it moved, with the nodes as last agreed.
+    /// Runs the member indefinitely. `on_position` is called with the node's position on the ring
+    /// and the agreed fleet size whenever the position has changed.
     pub async fn run(self: Rc<Self>, on_position: impl Fn(f64, u32)) {
         let mut buffer = [0; 2048];
         let mut next_step = Instant::now() + RING_STEP_INTERVAL;
@@ -140,7 +145,7 @@
         }
     }
 
-    /// Takes a datagram and others that are there already.
+    /// Handles a received datagram and any others that are already waiting.
     async fn receive_batch(&self, from: SocketAddr, buffer: &mut [u8], length: usize) {
         let mut received = Ok((length, from));
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
@@ -159,7 +164,7 @@
         self.core.borrow_mut().handle(self.started.elapsed(), event, &mut actions);
         for action in actions {
             match action {
-                // What does not go is lost, as on the way.
+                // A datagram that cannot be sent now counts as lost in transit.
                 Action::Send { to, bytes } => drop(self.socket.try_send_to(&bytes, to)),
                 Action::PayloadReceived { from, lane, bytes } => {
                     let handler = self.lanes.borrow().iter().find(|l| l.0 == lane).map(|l| l.1.clone());
@@ -172,7 +177,7 @@
 
     fn update_position(&self, on_position: &impl Fn(f64, u32)) {
         let (core, now) = (self.core.borrow(), self.started.elapsed());
-        // Who hears nobody, or is no member, stays where it was.
+        // A node that is cut off or is not a member keeps its position.
         if !self.ring || !matches!(core.standing(), Standing::Majority | Standing::Minority) {
             return;
         }
@@ -187,23 +192,23 @@
         }
     }
 
-    /// Tells others something of this node.
+    /// Publishes a value in this node's record.
     pub fn publish(&self, topic: Topic, bytes: Vec<u8>) {
         self.handle(Event::Publish { topic, bytes });
         self.wake_early.notify_one();
     }
 
-    /// From now on what comes on that lane is handed over.
+    /// Registers the handler of a lane.
     pub fn open_lane(&self, lane: u8, handler: Rc<LaneHandler>) {
         self.lanes.borrow_mut().push((lane, handler));
     }
 
-    /// Sends something to another part of a program, once.
+    /// Sends a payload to another component, once and without a delivery guarantee.
     pub fn send_payload(&self, to: SocketAddr, lane: u8, bytes: Vec<u8>) {
         self.handle(Event::SendPayload { to, lane, bytes });
     }
 
-    /// Says farewell. False: it was no member any more.
+    /// Leaves the cluster. Returns false if the node was no longer a member.
     pub fn leave(&self) -> bool {
         let member = self.core.borrow().standing() != Standing::Gone;
         self.handle(Event::Leave);
@@ -215,13 +220,14 @@
         &self.name
     }
 
-    /// The member.
+    /// The membership core.
     pub fn core(&self) -> std::cell::Ref<'_, Core> {
         self.core.borrow()
     }
 
-    /// All members, a line each, this node's first: name, state, seconds since, zone, address, program, life, incarnation, and
-    /// the list of servers that it holds.
+    /// All members, one line each, starting with this node: name, state, seconds in that state,
+    /// zone, address, program version, start time, incarnation, and the revision of the server list
+    /// that the member holds.
     pub fn members_text(&self) -> String {
         let (core, now) = (self.core.borrow(), self.started.elapsed());
         let standing = format!("{:?}", core.standing()).to_lowercase();
@@ -235,7 +241,7 @@
             let list = list.map_or("-".to_owned(), |l| l.to_string());
             let Record { name, zone, address, program, generation, .. } = record;
             let since = now.saturating_sub(since).as_secs();
-            // Writing to a string never fails.
+            // Writing to a string cannot fail.
             let _ = writeln!(
                 text,
                 "{name} {state} {since} {zone} {address} {program} {} {incarnation} {list}",
@@ -292,7 +298,7 @@
     }
 }
 
-/// How operators and logs read a state.
+/// The name of a state in logs and in operators' tables.
 fn state_name(state: State) -> &'static str {
     match state {
         State::Alive => "alive",
@@ -305,7 +311,7 @@
 fn bind_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_nonblocking(true)?;
-    // Less is no reason not to start.
+    // A smaller buffer is no reason not to start.
     let _ = socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
     socket.bind(&address.into())?;
     UdpSocket::from_std(socket.into())
--- a/crates/cluster-host/src/settings.rs
+++ b/crates/cluster-host/src/settings.rs
@@ -1,4 +1,4 @@
-//! The `[cluster]` table of an operator's file.
+//! The `[cluster]` table of the operator's file.
 
 use birchswitch_cluster::{Settings, SettingsError};
 use serde::Deserialize;
@@ -7,31 +7,31 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// A time with its unit, such as `400ms` or `1h`.
+/// A duration with a unit, such as `400ms` or `1h`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(transparent)]
 pub struct HumanDuration(#[serde(with = "humantime_serde")] Duration);
 
-/// Where in a table settings are that others are checked beside.
+/// Positions of a table's settings in the file, for errors found in checks across settings.
 #[derive(Debug)]
 pub struct SettingSpans {
     spans: Vec<(&'static str, Range<usize>)>,
 }
 
 impl SettingSpans {
-    /// Knows of one setting, which stands for those that are not given.
+    /// Starts with one setting, whose position also stands for settings that are not given.
     pub fn new<T>(key: &'static str, setting: &Spanned<T>) -> Self {
         SettingSpans { spans: vec![(key, setting.span())] }
     }
 
-    /// Knows of a setting, if it is given; which is then returned.
+    /// Records the position of a setting if it is given, and returns its value.
     pub fn record<'a, T>(&mut self, key: &'static str, given: &'a Option<Spanned<T>>) -> Option<&'a T> {
         let given = given.as_ref()?;
         self.spans.push((key, given.span()));
         Some(given.get_ref())
     }
 
-    /// Takes up a time, if it is given.
+    /// Records the position of a duration and assigns its value to `time`, if it is given.
     pub fn apply_duration(
         &mut self,
         key: &'static str,
@@ -41,14 +41,14 @@
         self.record(key, given).iter().for_each(|given| *time = given.0);
     }
 
-    /// What is wrong with a setting.
+    /// An error at the position of a setting.
     pub fn error_at(&self, key: &str, problem: impl ToString) -> SettingError {
         let span = self.spans.iter().find(|s| s.0 == key).unwrap_or(&self.spans[0]).1.clone();
         SettingError { span, problem: problem.to_string() }
     }
 }
 
-/// What tests take away of a part's safeguards.
+/// Safeguards that a test switches off.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drill<S> {
@@ -57,13 +57,13 @@
 }
 
 impl<S: PartialEq> Drill<S> {
-    /// Whether a safeguard is on: all are where nothing is said.
+    /// Whether a safeguard is enabled. All are unless the drill lists them.
     pub fn enabled(drill: &Option<Self>, safeguard: S) -> bool {
         drill.as_ref().is_none_or(|d| !d.without.contains(&safeguard))
     }
 }
 
-/// The table as it is written.
+/// The table as written in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterTable {
@@ -88,34 +88,34 @@
     true
 }
 
-/// What is wrong, and where in the file, in bytes from its beginning.
+/// An error and its position in the file, in bytes from the beginning.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingError {
-    /// From where to where.
+    /// The byte range of the offending text.
     pub span: Range<usize>,
-    /// What, in one line.
+    /// A one-line description.
     pub problem: String,
 }
 
-/// The table, checked.
+/// The checked table.
 #[derive(Clone, Debug)]
 pub struct ClusterSettings {
-    /// The member's own settings.
+    /// Settings of the membership core.
     pub settings: Settings,
-    /// Its name, if it isn't the node's.
+    /// The member's name, if different from the node's.
     pub node: Option<String>,
-    /// Where it listens.
+    /// The address to listen on.
     pub bind: SocketAddr,
-    /// Where others send to, if not where it listens.
+    /// The address that others send to, if different from the listening one.
     pub advertise: Option<SocketAddr>,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// Its place on the ring of servers comes from the living members.
+    /// Whether the position on the ring of servers follows from the live members.
     pub ring: bool,
 }
 
 impl ClusterTable {
-    /// Checks each setting by itself and beside the others.
+    /// Checks each setting by itself and against the others.
     pub fn compile(self) -> Result<ClusterSettings, SettingError> {
         let seeds = self.seeds.as_ref().map(|s| s.get_ref().clone()).unwrap_or_default();
         let mut settings = Settings::new(self.name.get_ref().clone(), seeds);
@@ -156,7 +156,7 @@
                         .to_owned();
                 return Err(SettingError { span: self.bind.span(), problem });
             }
-            // A port that the system chooses is told to others as it comes.
+            // A port chosen by the system is advertised once it is known.
             None => {}
         }
         Ok(ClusterSettings {
--- a/crates/cluster-host/tests/settings.rs
+++ b/crates/cluster-host/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The `[cluster]` table: what is taken, and where in the file a mistake is.
+//! The `[cluster]` table: accepted settings, and positions of errors in the file.
 
 use birchswitch_cluster_host::{ClusterSettings, ClusterTable, SettingError};
 use std::time::Duration;
@@ -23,7 +23,7 @@
     assert!(!given.ring && given.node.as_deref() == Some("x"));
 }
 
-/// What is wrong alone and beside others, each at its own place.
+/// Settings that are invalid by themselves or in combination are reported at their own position.
 #[test]
 fn errors_point_at_the_invalid_setting() {
     let too_many_seeds = format!("[{}]", vec!["\"10.0.0.1:1\""; 65].join(","));
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -1,15 +1,20 @@
-//! Whether servers answer, asked by one node for all of its fleet. No I/O, no clock, no globals.
+//! Health checks of servers, made by one node on behalf of its fleet. No I/O, no clock and no
+//! global state.
 //!
-//! A server that fell silent is asked again and again by every node that deals with it. Here one node asks for all
-//! ([`ProbeScheduler`]) and tells who is silent; the others spare their own questions to those ([`ProbeSuppressor`]).
+//! Without this crate, every node that uses a server keeps probing it after it falls silent. Here
+//! one node probes for all ([`ProbeScheduler`]) and reports the silent servers; the others suppress
+//! their own probes of those ([`ProbeSuppressor`]).
 //!
-//! What it claims:
+//! Guarantees:
 //!
-//! 1. **Nobody believes a word against its own eyes.** A question is spared only to a server whose last sign to this node was
-//!    silence. Whom the one node can't reach and others can, they go on using.
-//! 2. **No word holds for ever.** A node asks by itself at the latest every [`OWN`], whatever it was told.
-//! 3. **No answer is made up but silence**: a spared question ends as one that met nobody, as it last did.
-//! 4. **Memory is bounded** by the list of servers, and what is told by [`TOLD`].
+//! 1. **A node's own observations take precedence.** A probe is suppressed only if the server was
+//!    silent when this node last contacted it. Servers that only the probing node cannot reach stay
+//!    in use by the others.
+//! 2. **Reports do not hold forever.** A node probes a server itself at the latest after
+//!    [`MAX_SUPPRESSION`], whatever was reported.
+//! 3. **Only silence is ever assumed**: a suppressed probe ends as unanswered, like the last one
+//!    did.
+//! 4. **Memory is bounded** by the list of servers, and reports by [`MAX_REPORTED`].
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -22,33 +27,35 @@
 
 use std::time::Duration;
 
-/// A point on a monotonic clock of the caller's, from any origin.
+/// A point in time on a monotonic clock that the caller provides, relative to any origin.
 pub type Time = Duration;
 
-/// Most servers that are told of: what a member's values have room for. Of more the rest is asked by all, as without this.
+/// Most servers in a report, limited by the size of a member's values. Further servers are probed
+/// by all nodes, as without this crate.
 pub const MAX_REPORTED: usize = 44;
-/// A node asks a server by itself after this time, whatever it was told.
+/// A node probes a server itself after this time, whatever was reported.
 pub const MAX_SUPPRESSION: Duration = Duration::from_secs(30);
 
-/// A server as it is told of: a part of the hash of its name, the same at all nodes.
+/// Identifies a server in reports by a part of the hash of its name, the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShortId(pub u32);
 
 impl ShortId {
-    /// Of a name's hash. Two servers share one in so few fleets, and then only a question is spared that claim 2 makes up for.
+    /// The short id for a name's hash. Collisions are rare, and only cause a suppressed probe for
+    /// which [`MAX_SUPPRESSION`] makes up.
     pub fn of(name: u64) -> Self {
         ShortId((name >> 32) as u32)
     }
 }
 
-/// What is told of silent servers, as bytes.
+/// Encodes a report of silent servers.
 pub fn encode(silent: impl Iterator<Item = ShortId>) -> Vec<u8> {
     let list: Vec<[u8; 4]> = silent.take(MAX_REPORTED).map(|s| s.0.to_le_bytes()).collect();
-    // Four bytes each and their number: it can't fail.
+    // A list of at most [`MAX_REPORTED`] four-byte values: encoding cannot fail.
     postcard::to_stdvec(&list).unwrap_or_default()
 }
 
-/// What another told; nothing where that can't be read.
+/// Decodes another node's report; empty if it is invalid.
 pub fn decode(bytes: &[u8]) -> Vec<ShortId> {
     let list: Vec<[u8; 4]> = postcard::from_bytes(bytes).unwrap_or_default();
     list.into_iter().take(MAX_REPORTED).map(|s| ShortId(u32::from_le_bytes(s))).collect()
--- a/crates/health/src/scheduler.rs
+++ b/crates/health/src/scheduler.rs
@@ -1,16 +1,17 @@
-//! The one node's side: whom to ask when, and who is silent.
+//! The probing node's side: which servers to probe when, and which of them are silent.
 
 use crate::{ShortId, Time};
 use rustc_hash::FxHashSet;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often a silent server is asked: after the first time, doubling up to the second.
+/// Intervals between probes of a silent server: `least` after the first probe, doubling up to
+/// `most`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeIntervals {
-    /// First.
+    /// The first interval.
     pub least: Duration,
-    /// In the end.
+    /// The longest interval.
     pub most: Duration,
 }
 
@@ -23,11 +24,11 @@
 struct Server {
     next: Time,
     pause: Duration,
-    /// It was asked in vain.
+    /// A probe was not answered.
     silent: bool,
 }
 
-/// Questions to servers that others found silent, each by the hash of its name.
+/// Schedules probes of servers that nodes reported as silent, by the hashes of their names.
 #[derive(Default)]
 pub struct ProbeScheduler {
     intervals: ProbeIntervals,
@@ -35,23 +36,24 @@
 }
 
 impl ProbeScheduler {
-    /// Nobody to ask yet.
+    /// A scheduler without servers.
     pub fn new(intervals: ProbeIntervals) -> Self {
         ProbeScheduler { intervals, servers: BTreeMap::new() }
     }
 
-    /// From now on there are just these servers.
+    /// Replaces the list of servers: unlisted ones are no longer probed.
     pub fn retain_listed(&mut self, names: &FxHashSet<u64>) {
         self.servers.retain(|name, _| names.contains(name));
     }
 
-    /// Somebody heard nothing of a server that is listed: it is asked at once.
+    /// A listed server did not answer some node; it is probed at once.
     pub fn report(&mut self, now: Time, name: u64) {
         let new = Server { next: now, pause: self.intervals.least, silent: false };
         self.servers.entry(name).or_insert(new);
     }
 
-    /// Whom to ask now; each is owed [`ProbeScheduler::record_answer`].
+    /// The servers to probe now. The result of each has to be passed to
+    /// [`ProbeScheduler::record_answer`].
     pub fn due(&mut self, now: Time) -> Vec<u64> {
         let (most, mut due) = (self.intervals.most, Vec::new());
         for (name, server) in self.servers.iter_mut().filter(|(_, s)| now >= s.next) {
@@ -62,7 +64,7 @@
         due
     }
 
-    /// What came of a question. True: who is silent has changed.
+    /// Records the result of a probe. Returns true if the set of silent servers changed.
     pub fn record_answer(&mut self, name: u64, answered: bool) -> bool {
         if answered {
             return self.servers.remove(&name).is_some_and(|s| s.silent);
@@ -70,12 +72,12 @@
         self.servers.get_mut(&name).is_some_and(|s| !std::mem::replace(&mut s.silent, true))
     }
 
-    /// Who is silent.
+    /// The silent servers.
     pub fn silent(&self) -> impl Iterator<Item = ShortId> + '_ {
         self.servers.iter().filter(|(_, s)| s.silent).map(|(name, _)| ShortId::of(*name))
     }
 
-    /// When [`ProbeScheduler::due`] has somebody again.
+    /// When [`ProbeScheduler::due`] returns servers again.
     pub fn next_due(&self) -> Option<Time> {
         self.servers.values().map(|s| s.next).min()
     }
--- a/crates/health/src/suppressor.rs
+++ b/crates/health/src/suppressor.rs
@@ -1,29 +1,32 @@
-//! Every node's side: whom it found silent, which of its own questions are spared, and whom to ask once it is said to be back.
+//! Every node's side: which servers it found silent, which of its own probes are suppressed, and
+//! which servers to probe once they are no longer reported.
 
 use crate::{ShortId, Time, MAX_SUPPRESSION};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
 
-/// A server that this node found silent is reported again after this time, for as long as nobody tells of it.
+/// A server that this node found silent is reported again after this time, for as long as no report
+/// contains it.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 struct SilentServer {
-    /// When this node last looked by itself: asked, or met that silence.
+    /// When this node last probed the server itself or observed its silence.
     last_checked: Time,
     last_report: Option<Time>,
 }
 
-/// What this node met at servers, and what it was told of them.
+/// What this node observed about servers, and what was reported to it.
 #[derive(Default)]
 pub struct ProbeSuppressor {
-    /// Whose last sign was silence.
+    /// Servers that were silent when this node last contacted them.
     silent: FxHashMap<u64, SilentServer>,
     reported: FxHashSet<ShortId>,
 }
 
 impl ProbeSuppressor {
-    /// From now on just these are told of as silent. Returns servers of which that was told and is no more, and whose last sign to this
-    /// node was silence: one question of its own to each shows it whether they are back.
+    /// Replaces the set of servers reported as silent. Returns servers that are no longer reported
+    /// and were silent when this node last contacted them: a single probe of its own to each shows
+    /// whether they have recovered.
     pub fn update_silent(&mut self, silent: impl Iterator<Item = ShortId>) -> Vec<u64> {
         let previous = std::mem::replace(&mut self.reported, silent.collect());
         let no_longer_reported =
@@ -33,16 +36,16 @@
         recovered
     }
 
-    /// From now on there are just these servers, by the hashes of their names.
+    /// Replaces the list of servers, given by the hashes of their names.
     pub fn retain_listed(&mut self, names: &FxHashSet<u64>) {
         self.silent.retain(|name, _| names.contains(name));
     }
 
-    /// An attempt or a question of this node's own ended: the server said something, or nothing came. True: this is to be
-    /// reported.
+    /// Records the outcome of an attempt or probe of this node's own: whether the server sent
+    /// anything. Returns true if the server has to be reported as silent.
     pub fn record_outcome(&mut self, now: Time, name: u64, answered: bool) -> bool {
         if answered {
-            // Of those that answer nothing need be kept.
+            // Nothing needs to be kept about servers that answer.
             self.silent.remove(&name);
             return false;
         }
@@ -56,7 +59,7 @@
         true
     }
 
-    /// Whether a question to a server is spared. If not it goes out now.
+    /// Whether a probe of a server is suppressed. If not, it is sent now.
     pub fn should_suppress(&mut self, now: Time, name: u64) -> bool {
         let Some(server) = self.silent.get_mut(&name) else { return false };
         if now < server.last_checked + MAX_SUPPRESSION && self.reported.contains(&ShortId::of(name)) {
--- a/crates/health/tests/health.rs
+++ b/crates/health/tests/health.rs
@@ -1,4 +1,5 @@
-//! One node asks; the others spare what they may, and never what their own eyes speak against.
+//! One node probes; the others suppress probes where allowed, and never against their own
+//! observations.
 
 use birchswitch_health::{
     decode, encode, ProbeIntervals, ProbeScheduler, ProbeSuppressor, ShortId, MAX_REPORTED, MAX_SUPPRESSION,
@@ -15,7 +16,7 @@
 fn silent_servers_are_probed_with_backoff_and_reported_until_they_answer() {
     let (mut scheduler, names) = (ProbeScheduler::new(INTERVALS), [1 << 32, 2 << 32]);
     names.iter().for_each(|n| scheduler.report(Duration::ZERO, *n));
-    // One that answers was another's trouble, and is asked no more.
+    // A server that answers was unreachable only for the reporting node, and is not probed again.
     assert_eq!(scheduler.due(Duration::ZERO), names);
     assert!(!scheduler.record_answer(names[0], true));
     assert!(scheduler.record_answer(names[1], false), "the first silence changes the report");
@@ -69,7 +70,8 @@
 }
 
 proptest! {
-    /// Whatever comes from others, a server is asked at least every [`OWN`] by a node that wants to ask it all the time.
+    /// Whatever others report, a node that constantly wants to probe a server does so at least
+    /// every [`MAX_SUPPRESSION`].
     #[test]
     fn no_report_suppresses_probes_for_longer_than_the_limit(steps in prop::collection::vec((0u8..8, any::<bool>()), 1..200)) {
         let (mut suppressor, name, mut now, mut last) = (ProbeSuppressor::default(), 3 << 32, SECOND, SECOND);
@@ -80,7 +82,7 @@
                 1 => drop(suppressor.record_outcome(now, name, flag)),
                 _ => {}
             }
-            // Silence that it meets is a look of its own too.
+            // Silence observed by the node itself counts as a probe, too.
             if !suppressor.should_suppress(now, name) || what == 1 {
                 last = now;
             }
--- a/crates/lease-host/src/lib.rs
+++ b/crates/lease-host/src/lib.rs
@@ -1,7 +1,9 @@
-//! Runs a [`Voter`] where this node is one, and a [`Candidate`] for each wish, through the socket of a [`Cluster`].
+//! Runs a [`Voter`] if this node is one, and a [`Candidate`] for each claim, over the socket of a
+//! [`Cluster`].
 //!
-//! It decides nothing. Its clock is the system's since boot, which goes on while a machine is suspended. Every wish is a life of its own, so
-//! that two on one node stand to each other like two on different nodes.
+//! This crate makes no decisions of its own. Its clock is the system's time since boot, which keeps
+//! running while the machine is suspended. Each claim is a candidate of its own, so that two claims
+//! on one node compete like claims on different nodes.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -27,21 +29,21 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The cluster's lane for leases.
+/// The cluster lane for lease messages.
 const LANE: u8 = 1;
-/// Most wishes of one node at a time.
+/// Most claims of one node at a time.
 pub const MAX_CLAIMS: usize = 256;
-/// Tokens that fit into a millisecond of the floor, as a power of two.
+/// Binary logarithm of the number of tokens per millisecond of the floor.
 const FLOOR_BITS: u32 = 20;
 
-/// How a wish stands.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not held yet; what the last try met, if there was one.
+    /// Not held yet, with the refusal of the last attempt, if any.
     Waiting(Option<Refusal>),
     /// Held.
     Held(Grant),
-    /// Held once, and over for good.
+    /// No longer held, permanently.
     Lost,
 }
 
@@ -51,53 +53,53 @@
     rotation: SlotRotation,
     key: Key,
     state: State,
-    /// Whoever has it is to end what it does and release it.
+    /// The holder has been asked to finish its work and release the lease.
     ending: bool,
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Leases granted to this node.
     pub granted: u64,
-    /// Lost without having been given up.
+    /// Leases that expired without having been released.
     pub lost: u64,
-    /// Tries that came to nothing.
+    /// Failed attempts.
     pub refused: u64,
-    /// Grants that this node voted for, extensions included.
+    /// Grants that this node voted for, including renewals.
     pub votes: u64,
 }
 
-/// The leases of a node. Runs on a `LocalSet`.
+/// The leases of a node. Has to run on a `LocalSet`.
 pub struct Leases {
     terms: Arc<Terms>,
-    /// Of the terms: it goes with every question.
+    /// Checksum of the terms, sent with each request.
     checksum: u64,
     rate: u32,
     cluster: Rc<Cluster>,
     own: SocketAddr,
     voter: RefCell<Option<Voter>>,
     claims: RefCell<BTreeMap<CandidateId, Claim>>,
-    /// What this node says to itself.
+    /// Messages from this node to itself.
     local: RefCell<VecDeque<Message>>,
     claims_made: Cell<u64>,
     seed: u64,
     floor: u64,
     changed: Notify,
     counts: Cell<Counts>,
-    /// This node leaves: nothing more is wanted.
+    /// This node is leaving and acquires nothing more.
     closed: Cell<bool>,
 }
 
-/// A lease that is waited for or held. Dropped without [`LeaseHandle::release`] it is extended no more and runs out by itself: what was done
-/// under it may go on.
+/// A lease that is waited for or held. If dropped without [`LeaseHandle::release`], the lease is no
+/// longer renewed and expires by itself, because work done under it may still be going on.
 pub struct LeaseHandle {
     leases: Rc<Leases>,
     id: CandidateId,
 }
 
 impl Leases {
-    /// Takes up the lane. This node votes if its address among the members is one of the voters'.
+    /// Registers the lease lane. This node votes if its member address is one of the voters'.
     pub fn open(settings: &LeaseSettings, cluster: &Rc<Cluster>, seed: u64) -> Rc<Self> {
         let terms = Arc::new(settings.terms.clone());
         let own = cluster.core().own().address;
@@ -135,14 +137,14 @@
         leases
     }
 
-    /// By this process's own clock, which counts suspended time too.
+    /// The current time on this process's lease clock, which includes suspended time.
     fn now(&self) -> Time {
         let now = clock_gettime(ClockId::Boottime);
         let now = Duration::new(now.tv_sec as u64, now.tv_nsec as u32);
         now * self.rate / 1000
     }
 
-    /// Does what is due, for good.
+    /// Runs indefinitely and processes what is due.
     pub async fn run(self: Rc<Self>) {
         loop {
             let next = self.claims.borrow().values().map(|c| c.candidate.next_wake()).min();
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Wants one of so many slots of a name from now on.
+    /// Claims one of `slots` slots of a name.
     pub fn acquire(self: &Rc<Self>, name: &str, slots: u16) -> Result<LeaseHandle, String> {
         Key::new(name, 0).map_err(|e: KeyError| e.to_string())?;
         if self.closed.get() {
@@ -171,7 +173,7 @@
         self.claims_made.set(self.claims_made.get() + 1);
         let id =
             CandidateId(xxh3_64(&[self.seed.to_le_bytes(), self.claims_made.get().to_le_bytes()].concat()));
-        // Waiting candidates begin at different slots.
+        // Waiting candidates start at different slots.
         let slot = (id.0 % u64::from(slots.max(1))) as u16;
         let key = Key::new(name, slot).map_err(|e| e.to_string())?;
         let candidate = Candidate::new(self.terms.clone(), id, self.floor);
@@ -189,14 +191,15 @@
         Ok(LeaseHandle { leases: self.clone(), id })
     }
 
-    /// Tells whoever has a lease of that name here, or any where none is named, to end what it does. How many were told.
+    /// Asks the holders of leases with this name on this node to finish, or all holders if no name
+    /// is given. Returns their number.
     pub fn request_end(&self, name: Option<&str>) -> usize {
         let mut claims = self.claims.borrow_mut();
         let matching = claims.values_mut().filter(|c| name.is_none_or(|n| c.name == n));
         matching.map(|c| c.ending = true).count()
     }
 
-    /// The node leaves: whoever has a lease here is told to end what it does, and nothing more is wanted.
+    /// The node is leaving: asks all holders to finish and accepts no more claims.
     pub fn close(&self) {
         self.closed.set(true);
         self.request_end(None);
@@ -237,7 +240,7 @@
                     tracing::warn!(target: "lease", kind = "lost", lease = %key);
                     if let Some(claim) = self.claims.borrow_mut().get_mut(&id) {
                         claim.state = State::Lost;
-                        // Whoever used it has to begin anew.
+                        // A lost claim is not resumed; its user has to claim again.
                         claim.candidate.release(self.now(), &key, &mut Vec::new());
                     }
                 }
@@ -258,7 +261,7 @@
         }
     }
 
-    /// One that would take any slot goes on to the next; after all of them it waits.
+    /// Moves a claim for any of several slots on to the next one. After all of them it waits.
     fn handle_refusal(&self, id: CandidateId, key: &Key, refusal: Refusal) {
         tracing::debug!(target: "lease", kind = "refused", lease = %key, why = ?refusal);
         let mut out = Vec::new();
@@ -283,7 +286,7 @@
         }
     }
 
-    /// Hands over what this node said to itself, and looks at the time anew.
+    /// Processes the messages from this node to itself and reschedules the timer.
     fn deliver_local(&self) {
         loop {
             let message = self.local.borrow_mut().pop_front();
@@ -315,23 +318,23 @@
         }
     }
 
-    /// What was counted.
+    /// The counters.
     pub fn counts(&self) -> Counts {
         self.counts.get()
     }
 
-    /// Wishes that are held, and those that are not.
+    /// The numbers of claims that are held and that are not.
     pub fn held_and_waiting(&self) -> [usize; 2] {
         let (claims, now) = (self.claims.borrow(), self.now());
         let held = claims.values().filter(|c| c.candidate.held(now).next().is_some()).count();
         [held, claims.len() - held]
     }
 
-    /// A line each: what is held or waited for here, and, where this node votes, what it granted.
+    /// One line for each claim of this node and, if this node votes, for each lease it granted.
     pub fn status_text(&self) -> String {
         let now = self.now();
         let mut text = String::from("# lease where state token left_ms\n");
-        // Writing to a string never fails.
+        // Writing to a string cannot fail.
         for claim in self.claims.borrow().values() {
             let (key, ms) = (&claim.key, |until: Time| until.saturating_sub(now).as_millis());
             let _ = match &claim.state {
@@ -356,7 +359,7 @@
 }
 
 impl LeaseHandle {
-    /// How it stands, by the clock as it is now.
+    /// The state at the current time.
     pub fn state(&self) -> State {
         let (claims, now) = (self.leases.claims.borrow(), self.leases.now());
         let Some(claim) = claims.get(&self.id).filter(|c| !c.ending) else { return State::Lost };
@@ -366,12 +369,13 @@
         }
     }
 
-    /// Gives it up: what was done under it is over.
+    /// Releases the lease; work done under it has ended.
     pub fn release(self) {
         self.leases.release(self.id);
     }
 
-    /// For how long what was begun under it may still go on, to come to its end. None: it is not held, or its guard is over.
+    /// How long work that has begun may still go on in order to finish. `None` if the lease is not
+    /// held or its guard has ended.
     pub fn remaining(&self) -> Option<Duration> {
         let (claims, now) = (self.leases.claims.borrow(), self.leases.now());
         let State::Held(grant) = &claims.get(&self.id)?.state else { return None };
@@ -379,12 +383,13 @@
         Some(left * 1000 / self.leases.rate)
     }
 
-    /// Whether whoever has it was told to end what it does.
+    /// Whether the holder has been asked to finish.
     pub fn is_ending(&self) -> bool {
         self.leases.claims.borrow().get(&self.id).is_none_or(|c| c.ending)
     }
 
-    /// For how long an act may still go on. None: it is not held, or its guard is over.
+    /// How long an operation may still go on. `None` if the lease is not held or its guard has
+    /// ended.
     pub fn guard(&self) -> Option<(Grant, Duration)> {
         let State::Held(grant) = self.state() else { return None };
         let left = grant.guard.checked_sub(self.leases.now()).filter(|l| !l.is_zero())?;
--- a/crates/lease-host/src/settings.rs
+++ b/crates/lease-host/src/settings.rs
@@ -1,4 +1,4 @@
-//! The `[lease]` table of an operator's file.
+//! The `[lease]` table of the operator's file.
 
 use birchswitch_cluster_host::{HumanDuration, SettingError, SettingSpans};
 use birchswitch_lease::{Safeguards, Terms, TermsError};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// The table as it is written.
+/// The table as written in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseTable {
@@ -17,7 +17,7 @@
     drill: Option<Spanned<Drill>>,
 }
 
-/// What tests take away, and how fast they make a process's clock run.
+/// Safeguards that a test switches off, and the rate of this process's clock.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drill {
@@ -36,17 +36,17 @@
     Floor,
 }
 
-/// The table, checked.
+/// The checked table.
 #[derive(Clone, Debug)]
 pub struct LeaseSettings {
-    /// The electorate's terms.
+    /// The terms of the electorate.
     pub terms: Terms,
-    /// Thousandths of true time at which this process's lease clock runs: 1000 but in drills.
+    /// Rate of this process's lease clock in thousandths of true time: 1000 except in drills.
     pub rate: u32,
 }
 
 impl LeaseTable {
-    /// Checks each setting by itself and beside the others.
+    /// Checks each setting by itself and against the others.
     pub fn compile(self) -> Result<LeaseSettings, SettingError> {
         let mut terms = Terms::new(self.voters.get_ref().clone());
         let mut spans = SettingSpans::new("voters", &self.voters);
--- a/crates/lease-host/src/tasks.rs
+++ b/crates/lease-host/src/tasks.rs
@@ -1,4 +1,5 @@
-//! Tasks of which the fleet runs one each: begun when their lease is had, told before it ends, stopped by its guard, and begun again on
+//! Tasks of which exactly one instance runs in the fleet. A task starts when its lease is acquired,
+//! is asked to stop before the lease ends, is dropped at the end of the guard, and starts again on
 //! another node.
 
 use crate::{LeaseHandle, Leases, State};
@@ -14,64 +15,66 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Between looks at a task that runs or waits.
+/// Interval between checks of a running or waiting task.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Most tasks that a member says it runs.
+/// Most running tasks that a member announces.
 const MAX_ADVERTISED: usize = 8;
 
-/// What a task does while it is this node's.
+/// The work of a task while this node holds its lease.
 pub trait SingletonTask {
-    /// Does it. Has to come to its end soon after [`TaskLease::stop_requested`], and is dropped, wherever it is, when the guard is over. One that
-    /// ends by itself gives the lease back and begins anew, here or elsewhere.
+    /// Runs the task. Has to finish soon after [`TaskLease::stop_requested`]; when the guard ends,
+    /// the future is dropped wherever it is. If it finishes by itself, the lease is released and
+    /// the task starts again, here or elsewhere.
     fn run(&self, lease: TaskLease) -> Pin<Box<dyn Future<Output = ()>>>;
 }
 
-/// One node's time with a task.
+/// The lease under which a task runs.
 pub struct TaskLease {
     handle: Rc<LeaseHandle>,
     stopping: watch::Receiver<bool>,
 }
 
 impl TaskLease {
-    /// The token, and for how long an act may still go on: to be asked before each. None: there is no time left.
+    /// The fencing token, and how long an operation may still take. To be checked before each
+    /// operation; `None` if no time is left.
     pub fn guard(&self) -> Option<(Grant, Duration)> {
         self.handle.guard()
     }
 
-    /// Until it is to end.
+    /// Completes when the task has to stop.
     pub async fn stop_requested(&mut self) {
-        // Whoever tells it is gone: then so is the task.
+        // If the sender is gone, the task has ended anyway.
         let _ = self.stopping.wait_for(|stopping| *stopping).await;
     }
 }
 
-/// The tasks of a node. Runs on a `LocalSet`.
+/// The tasks of a node. Has to run on a `LocalSet`.
 pub struct Tasks {
     leases: Rc<Leases>,
     cluster: Rc<Cluster>,
     running: RefCell<BTreeSet<u32>>,
 }
 
-/// The tasks that a member says it runs, by [`Task::id`].
+/// Ids of the tasks that a member announces to run; see [`Task::id`].
 pub fn running_tasks(record: &Record) -> Vec<u32> {
     let bytes = record.value(Topic::Tasks).unwrap_or_default();
     bytes.chunks_exact(4).take(MAX_ADVERTISED).map(|b| u32::from_le_bytes([b[0], b[1], b[2], b[3]])).collect()
 }
 
 impl Tasks {
-    /// No tasks yet.
+    /// Creates an empty set of tasks.
     pub fn new(leases: &Rc<Leases>, cluster: &Rc<Cluster>) -> Rc<Self> {
         Rc::new(Tasks { leases: leases.clone(), cluster: cluster.clone(), running: RefCell::default() })
     }
 
-    /// This node takes part in a task from now on, for good.
+    /// Takes part in a task from now on, permanently.
     pub fn register(self: &Rc<Self>, task: Task, runner: impl SingletonTask + 'static) {
         let delays = TakeoverDelays::for_ttl(self.leases.terms.ttl);
         let own = self.cluster.core().own().name.clone();
         spawn_local(self.clone().follow(Preference::new(task, &own, delays), runner));
     }
 
-    /// Who lives, as this node sees it.
+    /// The live members, as this node sees them.
     fn peers(&self) -> Vec<Peer> {
         let core = self.cluster.core();
         if core.standing() == Standing::Gone {
@@ -93,7 +96,8 @@
             let holds = matches!(state, Some(State::Held(_)));
             let decision = preference.decide(self.leases.now(), &self.peers(), holds);
             handle = match (handle.take(), state, decision) {
-                // A node that is full or leaves takes part in nothing more.
+                // A node that has reached its limit of claims or is leaving does not compete for
+                // tasks.
                 (None, _, Decision::Acquire) => self.leases.acquire(&preference.task().name, 1).ok(),
                 (None, ..) => None,
                 (Some(handle), Some(State::Held(_)), _) => {
@@ -110,7 +114,7 @@
         }
     }
 
-    /// Runs a task for as long as its lease is had.
+    /// Runs a task for as long as its lease is held.
     async fn run_task(&self, handle: LeaseHandle, preference: &mut Preference, runner: &impl SingletonTask) {
         let task = preference.task().clone();
         let (handle, (stop, stopping)) = (Rc::new(handle), watch::channel(false));
@@ -124,7 +128,8 @@
                 () = &mut future => break "done",
                 () = tokio::time::sleep(POLL_INTERVAL.min(left)) => {}
             }
-            // Extended at a third of its time it has more than that unless voters do not answer.
+            // Renewal starts after a third of the hold time, so less than a quarter is left only if
+            // voters do not answer.
             let short = handle.remaining().is_none_or(|left| left < self.leases.terms.hold_time() / 4);
             let handed = !*stop.borrow()
                 && preference.decide(self.leases.now(), &self.peers(), true) == Decision::HandOver;
@@ -136,7 +141,8 @@
         drop(future);
         self.advertise(task.id(), false);
         tracing::info!(target: "lease", kind = "task_ended", lease = %grant.key, token = grant.token, why);
-        // What was done is over: who waits need not wait for the lease's end. A task that kept its term lets it run out.
+        // The work has ended, so others need not wait for the lease to expire. If the task kept its
+        // `TaskLease`, the lease expires by itself.
         if let Some(handle) = Rc::into_inner(handle) {
             handle.release();
         }
--- a/crates/lease-host/tests/settings.rs
+++ b/crates/lease-host/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The `[lease]` table: what is taken, and where in the file a mistake is.
+//! The `[lease]` table: accepted settings, and positions of errors in the file.
 
 use birchswitch_cluster_host::SettingError;
 use birchswitch_lease_host::{LeaseSettings, LeaseTable};
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -1,4 +1,4 @@
-//! One process that wants leases, waits for them and holds them.
+//! The candidate: acquires leases, waits for them and renews them.
 
 use crate::message::{Ballot, CandidateId, Key, Op, Reply, Request, Response};
 use crate::terms::Terms;
@@ -9,74 +9,74 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A guard ends by this part of the lease's time before it.
+/// The guard ends before the lease by this fraction of the hold time.
 const GUARD_FRACTION: u32 = 10;
-/// An extension begins when this part of the time is over.
+/// Renewal starts after this fraction of the hold time.
 const RENEW_FRACTION: u32 = 3;
-/// A question is sent again so many times in a round.
+/// How often a request is resent per round.
 const RESENDS_PER_ROUND: u32 = 3;
-/// The wait after failures doubles up to this power.
+/// Highest power of two by which the pause after failures grows.
 const MAX_BACKOFF_POWER: u32 = 4;
 
-/// A lease as it is held.
+/// A lease held by this candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// Which.
+    /// The lease's key.
     pub key: Key,
-    /// Higher than any before it.
+    /// The fencing token; higher than any granted before for the key.
     pub token: u64,
-    /// Until then nobody else holds it, by this process's own clock.
+    /// Nobody else holds the lease before this time, on this process's own clock.
     pub until: Time,
-    /// Until then an act may begin, and has to be over.
+    /// Operations under the lease have to be finished before this time.
     pub guard: Time,
 }
 
-/// Why a try came to nothing.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// Somebody else has it, or is about to.
+    /// Another candidate holds the lease or is about to.
     Busy,
-    /// Others were ahead.
+    /// The ballot was too low: other candidates are ahead.
     Behind,
-    /// Voters that started not long ago abstain.
+    /// Recently started voters abstain.
     Abstaining,
-    /// Voters go by other terms, or name other voters.
+    /// Voters use other terms or another list of voters.
     Elsewhere,
-    /// Voters keep no more leases.
+    /// Voters have no room for more leases.
     Full,
     /// Too few voters answered.
     Unheard,
 }
 
-/// What a candidate wants done.
+/// Output of a candidate, to be executed in this order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Ask a voter.
+    /// Send a request to a voter.
     Send(SocketAddr, Request),
-    /// A lease is held from now on.
+    /// A lease has been acquired.
     Granted(Grant),
-    /// It is held for longer; its token may have risen.
+    /// The lease has been renewed; its token may have increased.
     Extended(Grant),
-    /// It is over without having been given up.
+    /// The lease has expired without having been released.
     Lost(Key),
-    /// A try came to nothing; there will be another.
+    /// An attempt failed; another one will follow.
     Refused(Key, Refusal),
 }
 
-/// A question to all voters.
+/// A request to all voters, and the replies so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Attempt {
     ballot: Ballot,
     sequence: u32,
     op: Op,
-    /// When the first of its questions was about to be sent.
+    /// When the first request was about to be sent.
     started: Time,
     resend_at: Time,
-    /// Voters that agreed and that refused, a bit each.
+    /// Bitmaps of the voters that agreed and that refused.
     yes: u8,
     no: u8,
     refusal: Refusal,
-    /// The soonest that a refusal let hope for.
+    /// The longest wait that a refusal asked for.
     retry_after: Option<Duration>,
 }
 
@@ -93,12 +93,12 @@
     failures: u32,
 }
 
-/// See the crate's own words.
+/// The candidate state machine; see the crate documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     terms: Arc<Terms>,
     id: CandidateId,
-    /// Highest number heard of or used.
+    /// Highest ballot number used or received.
     highest_number: u64,
     sequence: u32,
     leases: BTreeMap<Key, Lease>,
@@ -107,18 +107,19 @@
 type Out<'a> = &'a mut Vec<Action>;
 
 impl Candidate {
-    /// One that wants nothing yet. `floor` is a first guess at numbers, and never has to be right.
+    /// Creates a candidate without leases. `floor` is an initial guess of the ballot numbers in
+    /// use; it need not be right.
     pub fn new(terms: Arc<Terms>, id: CandidateId, floor: u64) -> Self {
         Candidate { terms, id, highest_number: floor, sequence: 0, leases: BTreeMap::new() }
     }
 
-    /// Wants a lease from now on, until it is [given up](Candidate::release).
+    /// Acquires a lease and keeps renewing it until it is [released](Candidate::release).
     pub fn acquire(&mut self, now: Time, key: Key, out: Out) {
         self.leases.entry(key).or_insert(Lease { state: State::Waiting(now), failures: 0 });
         self.wake(now, out);
     }
 
-    /// Gives up a lease, or the wish for it.
+    /// Releases a lease or stops waiting for it.
     pub fn release(&mut self, now: Time, key: &Key, out: Out) {
         self.expire(now, out);
         let Some(lease) = self.leases.remove(key) else { return };
@@ -129,7 +130,8 @@
                 extending.iter().map(|attempt| attempt.ballot).chain([*ballot]).collect()
             }
         };
-        // Who waits is told at once: the newest ballot last, so that it finds all others gone.
+        // Waiting candidates are notified at once. The current ballot goes last, so that an
+        // unfinished attempt is withdrawn before.
         for ballot in ballots.into_iter().rev() {
             self.broadcast(key, ballot, Op::Release, out);
         }
@@ -147,7 +149,8 @@
         self.leases.values().map(next).min().unwrap_or(Time::MAX)
     }
 
-    /// What is held now. Nothing is whose time is over, whether or not that was noticed.
+    /// The leases held now. Expired ones are left out even if the expiry has not been processed
+    /// yet.
     pub fn held(&self, now: Time) -> impl Iterator<Item = Grant> + '_ {
         self.leases.iter().filter_map(move |(key, lease)| match lease.state {
             State::Holding { ballot, until, .. } if now < until => Some(self.grant(key, ballot, until)),
@@ -155,7 +158,7 @@
         })
     }
 
-    /// Wanted and not held.
+    /// Keys that are wanted but not held.
     pub fn waiting(&self) -> impl Iterator<Item = &Key> {
         self.leases.iter().filter(|(_, l)| !matches!(l.state, State::Holding { .. })).map(|(k, _)| k)
     }
@@ -165,7 +168,7 @@
         Grant { key: key.clone(), token: ballot.number, until, guard }
     }
 
-    /// Ends what is over by its own clock, before anything else is looked at.
+    /// Ends expired leases before anything else is processed.
     fn expire(&mut self, now: Time, out: Out) {
         for (key, lease) in &mut self.leases {
             if matches!(lease.state, State::Holding { until, .. } if now >= until) {
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Processes everything that is due.
     pub fn wake(&mut self, now: Time, out: Out) {
         self.expire(now, out);
         let keys: Vec<Key> = self.leases.keys().cloned().collect();
@@ -197,7 +200,7 @@
             State::Pending(a) => self.resend(now, key, a, out),
             State::Holding { ballot, renew_at, extending, .. } => match extending {
                 Some(a) if now < a.started + self.terms.round => self.resend(now, key, a, out),
-                // An upgrade that failed is tried anew with a higher ballot still.
+                // A failed upgrade to a higher ballot is retried with an even higher one.
                 Some(a) if a.op == Op::Prepare || a.ballot != *ballot => {
                     let higher = self.next_ballot();
                     *extending = Some(self.start(now, key, higher, Op::Prepare, out));
@@ -234,7 +237,8 @@
         attempt
     }
 
-    /// Sends the question to all that have not agreed. The time from which it counts stays that of the first.
+    /// Sends the request to all voters that have not agreed. The start of the attempt stays that of
+    /// the first request.
     fn resend(&self, now: Time, key: &Key, attempt: &mut Attempt, out: Out) {
         if now < attempt.resend_at {
             return;
@@ -258,13 +262,14 @@
         }
     }
 
-    /// A try is over without a majority: gives back what it was promised, and waits.
+    /// Handles an attempt without a majority: withdraws it from the voters and waits.
     fn fail(&mut self, now: Time, key: &Key, lease: &mut Lease, out: Out) {
         let State::Pending(attempt) = &lease.state else { return };
         let (refusal, ballot, retry_after) = (attempt.refusal, attempt.ballot, attempt.retry_after);
         self.broadcast(key, ballot, Op::Yield, out);
         out.push(Action::Refused(key.clone(), refusal));
-        // Of many that wait for one lease none asks again before it can be free, and not all then.
+        // The pause lasts at least until the lease may be free, and its random part keeps waiting
+        // candidates from all asking at once.
         let round = self.terms.round;
         let spread = round * (1 << lease.failures.min(MAX_BACKOFF_POWER));
         let pause = retry_after.unwrap_or(Duration::ZERO).min(self.terms.ttl);
@@ -272,13 +277,13 @@
         lease.state = State::Waiting(now + pause + round / 10 + self.jitter(key, ballot, spread));
     }
 
-    /// A part of a time that differs between processes, keys and tries.
+    /// A share of `max` that differs between candidates, keys and ballots.
     fn jitter(&self, key: &Key, ballot: Ballot, max: Duration) -> Duration {
         let text = format!("{key} {} {}", self.id.0, ballot.number);
         max * (xxh3_64(text.as_bytes()) >> 48) as u32 / (1 << 16)
     }
 
-    /// Takes in a voter's answer.
+    /// Processes a voter's response.
     pub fn handle_response(&mut self, now: Time, from: SocketAddr, response: &Response, out: Out) {
         self.expire(now, out);
         let Some(mut lease) = self.leases.remove(&response.key) else { return };
@@ -294,7 +299,7 @@
         }
         if response.reply == Reply::Available {
             if let State::Waiting(at) = &mut lease.state {
-                // Others may have been told too.
+                // Other candidates may have been notified, too.
                 let ballot = Ballot { number: self.highest_number, candidate: self.id };
                 *at = (*at).min(now + self.jitter(&response.key, ballot, self.terms.round / 20));
                 lease.failures = 0;
@@ -333,7 +338,8 @@
         } else if no > terms.voters.len() - terms.majority() {
             match &mut lease.state {
                 State::Pending(_) => self.fail(now, key, lease, out),
-                // Voters that started since know higher floors: the token rises while the lease is held.
+                // Voters that restarted have a higher floor: upgrade to a higher token while the
+                // lease is held.
                 State::Holding { extending, .. } if matches!(response.reply, Reply::BallotTooLow(_)) => {
                     let higher = self.next_ballot();
                     *extending = Some(self.start(now, key, higher, Op::Prepare, out));
@@ -343,7 +349,7 @@
         }
     }
 
-    /// A majority agreed to a try.
+    /// Handles an attempt that a majority agreed to.
     fn majority_reached(&mut self, now: Time, key: &Key, lease: &mut Lease, out: Out) {
         let (attempt, first) = match &lease.state {
             State::Pending(attempt) => (attempt.clone(), true),
@@ -351,7 +357,7 @@
             _ => return,
         };
         if attempt.op == Op::Prepare {
-            // A promise that is older than a round may have been forgotten by a voter that abstained since.
+            // Voters that restarted since may have forgotten a promise older than a round.
             if now >= attempt.started + self.terms.round {
                 return;
             }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,19 +1,26 @@
-//! Leases for tasks of a whole fleet, granted by a majority of voters that have no disks. No I/O, no clock, no globals.
+//! Leases for fleet-wide tasks, granted by a majority of diskless voters. No I/O, no clock and no
+//! global state.
 //!
-//! On PaxosLease (Trencséni, Gazsó, Reinhardt 2012), with what diskless voters need laid round it: who starts abstains until
-//! everything that it may have granted before is over. [`Voter`] and [`Candidate`] take the time and what came, and append what is to
-//! be sent and what changed. The same code runs in a node, under the model checker and in simulated fleets.
+//! Based on PaxosLease (Trencséni, Gazsó, Reinhardt 2012), extended for voters without disks: a
+//! restarted voter abstains until everything that it may have granted before has expired. [`Voter`]
+//! and [`Candidate`] take the current time and an input, and append what has to be sent and what
+//! changed. The same code runs in a node, under the model checker and in simulated fleets.
 //!
-//! What it claims, each with a checker (`docs/design/lease.md`):
+//! Guarantees, each with a checker (`docs/design/lease.md`):
 //!
-//! 1. **At no moment two hold** the same [`Key`], through loss, delay, doubling, pauses, crashes and starts from nothing of any number
-//!    of processes, if clocks run at rates that differ from true time by no more than [`Terms::drift`] says. Times of day don't count.
-//! 2. **Tokens rise** over all grants of a key. Across a loss of a majority of voters at once this asks one thing more: that the floor a
-//!    voter starts with ([`Voter::new`]) lies above every earlier token.
-//! 3. **A guard ends before its lease does** ([`Held::guard`]), whatever the process was doing meanwhile.
-//! 4. **Memory is bounded**: keys, waiting candidates and names have limits, and what is over them is refused.
+//! 1. **At most one holder** of a [`Key`] at any time, despite loss, delay, duplication, pauses,
+//!    crashes and restarts without state of any number of processes, provided that clock rates
+//!    deviate from true time by no more than [`Terms::drift`]. Wall-clock times do not matter.
+//! 2. **Tokens increase** over all grants of a key. If a majority of voters loses its memory at
+//!    once, this also requires that the floor a voter starts with ([`Voter::new`]) is above every
+//!    earlier token.
+//! 3. **A guard ends before its lease** ([`Grant::guard`]), whatever the process was doing in
+//!    between.
+//! 4. **Bounded memory**: keys, waiting candidates and names are limited, and whatever exceeds a
+//!    limit is refused.
 //!
-//! Membership is no part of it: an electorate is a list of addresses, each of which belongs to one process at a time.
+//! Leases do not depend on membership: an electorate is a list of addresses, each used by one
+//! process at a time.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -34,5 +41,5 @@
 pub use terms::{Safeguards, Terms, TermsError};
 pub use voter::Voter;
 
-/// A point on a monotonic clock of the caller's, from any origin.
+/// A point in time on a monotonic clock that the caller provides, relative to any origin.
 pub type Time = std::time::Duration;
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,4 +1,4 @@
-//! What candidates ask and voters answer.
+//! Messages between candidates and voters.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -7,24 +7,25 @@
 /// Longest name of a lease, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// A process, told apart from all others by a random draw at its start.
+/// Identifies a candidate by a number drawn at random when it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CandidateId(pub u64);
 
-/// What a lease is on: a name, and one of its slots. Slots are leases of their own: of k no more than k are held.
+/// The key of a lease: a name and one of its slots. Each slot is a lease of its own, so a name with
+/// k slots has at most k holders.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     name: String,
     slot: u16,
 }
 
-/// Why a name is none.
+/// An invalid lease name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a lease's name has to be 1 to {MAX_NAME_BYTES} visible ASCII characters")]
 pub struct KeyError;
 
 impl Key {
-    /// A slot of a name, counted from 0.
+    /// The key of a slot, counted from 0.
     pub fn new(name: &str, slot: u16) -> Result<Self, KeyError> {
         let key = Key { name: name.to_owned(), slot };
         key.is_valid().then_some(key).ok_or(KeyError)
@@ -51,94 +52,95 @@
     }
 }
 
-/// A try for a lease. Its number is the token of what it is granted.
+/// A ballot, as in Paxos. Its number becomes the token of the lease it is granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Rises; no two grants of a key have the same.
+    /// Increases; no two grants of a key have the same number.
     pub number: u64,
-    /// Whose.
+    /// The candidate that owns the ballot.
     pub candidate: CandidateId,
 }
 
-/// What a candidate wants of a voter.
+/// The operations that a candidate requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Op {
-    /// Take no ballot of a lower number from now on.
+    /// Promise to accept no lower ballot from now on.
     Prepare,
-    /// Hold the lease to be mine for [`Terms::ttl`](crate::Terms::ttl) from now on. Also extends it.
+    /// Grant the lease for [`Terms::ttl`](crate::Terms::ttl) from now on. Also renews it.
     Propose,
-    /// It is over, and no longer wanted.
+    /// The lease is released, or no longer wanted.
     Release,
-    /// A try is over without a majority; its candidate waits on.
+    /// An attempt found no majority and is withdrawn; its candidate keeps waiting.
     Yield,
 }
 
-/// A question to a voter.
+/// A request to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Request {
-    /// Of which lease.
+    /// The requested lease.
     pub key: Key,
-    /// Which try.
+    /// The candidate's ballot.
     pub ballot: Ballot,
-    /// Tells an extension's answers from those to the one before it.
+    /// Tells the responses to a renewal from those to an earlier one.
     pub sequence: u32,
-    /// What.
+    /// The requested operation.
     pub op: Op,
 }
 
-/// A voter's word on a question.
+/// A voter's reply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Reply {
-    /// To `Prepare`: so be it.
+    /// `Prepare` succeeded.
     Promised,
-    /// To `Propose`: so be it.
+    /// `Propose` succeeded.
     Accepted,
-    /// Somebody else has it, or is about to, for so long by the voter's clock.
+    /// Another candidate holds the lease or is about to, for this long on the voter's clock.
     Busy(Duration),
-    /// Only ballots of higher numbers than this.
+    /// Only ballots above this number are considered.
     BallotTooLow(u64),
-    /// It started not long ago and grants nothing for so long.
+    /// The voter started recently and abstains for this long.
     Abstaining(Duration),
-    /// It belongs to another electorate or has other terms, whose sum this is.
+    /// The voter uses other terms; this is their checksum.
     TermsMismatch(u64),
-    /// It keeps as many leases as it may.
+    /// The voter has no room for more leases.
     Full,
-    /// What was waited for is free: try now.
+    /// A lease that the candidate waits for is available: retry now.
     Available,
 }
 
-/// A voter's answer.
+/// A voter's response.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Response {
-    /// Of which lease.
+    /// The requested lease.
     pub key: Key,
-    /// To which try.
+    /// The ballot of the request.
     pub ballot: Ballot,
-    /// As asked.
+    /// The sequence number of the request.
     pub sequence: u32,
-    /// To which wish of it.
+    /// The operation of the request.
     pub op: Op,
-    /// What.
+    /// The reply.
     pub reply: Reply,
 }
 
-/// What travels.
+/// A message between candidates and voters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// To a voter, by a candidate that goes by terms of this sum.
+    /// From a candidate to a voter, with the checksum of the candidate's terms.
     Request(u64, Request),
-    /// Back.
+    /// From a voter to a candidate.
     Response(Response),
 }
 
 impl Message {
-    /// As it travels.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Nothing in these types can fail to be written to memory.
+        // Serializing these types to memory cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads one; none: it makes no sense. What follows it is a newer program's and skipped.
+    /// Decodes a message; `None` if it is invalid. Trailing bytes come from newer programs and are
+    /// ignored.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (message, _): (Message, _) = postcard::take_from_bytes(bytes).ok()?;
         let (Message::Request(_, Request { key, .. }) | Message::Response(Response { key, .. })) = &message;
--- a/crates/lease/src/slots.rs
+++ b/crates/lease/src/slots.rs
@@ -1,23 +1,24 @@
-//! A wish for any of several slots of a name: which one is tried next.
+//! Selection of the next slot when any slot of a name will do.
 
 use crate::candidate::Refusal;
 
-/// Where such a wish stands.
+/// State of the search for a free slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotRotation {
     slots: u16,
-    /// Slots found busy in a row.
+    /// Consecutive slots found busy.
     busy_in_a_row: u16,
 }
 
 impl SlotRotation {
-    /// A wish for any of so many slots, one at least.
+    /// A search among this many slots, at least one.
     pub fn new(slots: u16) -> Self {
         SlotRotation { slots: slots.max(1), busy_in_a_row: 0 }
     }
 
-    /// What a refusal at a slot means: the slot to try at once, or none, to wait where it is. Only what somebody else has is a reason
-    /// to look elsewhere; to leave a slot for any other and ask there anew would undo the back-off that ends duels.
+    /// The slot to try immediately after a refusal; `None` means to wait at the current one. Only a
+    /// busy slot is a reason to move on: retrying at another slot after any other refusal would
+    /// bypass the back-off that keeps candidates from blocking each other.
     pub fn next_slot(&mut self, slot: u16, refusal: Refusal) -> Option<u16> {
         self.busy_in_a_row = if refusal == Refusal::Busy { self.busy_in_a_row + 1 } else { 0 };
         if refusal == Refusal::Busy && self.busy_in_a_row < self.slots {
--- a/crates/lease/src/tasks.rs
+++ b/crates/lease/src/tasks.rs
@@ -1,58 +1,65 @@
-//! Which of a fleet's tasks a node should want: each node by itself, so that every task has one that wants it and no node all of them.
+//! Decides which fleet-wide tasks a node should run. Each node decides by itself, such that every
+//! task has one preferred node and the tasks are spread over the fleet.
 //!
-//! By rendezvous hashing (Thaler and Ravishankar 1998): of those alive a task prefers its own zone's, and of these the one whose name
-//! hashes highest with the task's. Only the first wants it; the next do when nobody says for a while that it runs it. This is about
-//! who should, and may be wrong on any node at any time: that one at most does is the lease's affair alone.
+//! Uses rendezvous hashing (Thaler and Ravishankar 1998): among the live members, a task prefers
+//! those of its own zone, and among these the one whose name hashes highest together with the
+//! task's name. Only the preferred node acquires the task; the next ones do when nobody has
+//! announced for a while that it runs the task. These decisions are about preference and may be
+//! wrong on any node at any time; that at most one node runs the task is guaranteed by the lease
+//! alone.
 
 use crate::Time;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A task of which the fleet runs one.
+/// A task that exactly one node of the fleet should run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Task {
-    /// Its name, and its lease's.
+    /// The name of the task and of its lease.
     pub name: String,
-    /// The zone whose members it prefers.
+    /// The zone whose members are preferred.
     pub zone: String,
-    /// So many beside the first want it all the time, so that one of them has it as soon as its lease comes free.
+    /// How many nodes besides the preferred one always compete for the lease, so that one of them
+    /// takes over as soon as it is free.
     pub standbys: usize,
 }
 
 impl Task {
-    /// How members say that they run it.
+    /// The id by which members announce that they run the task.
     pub fn id(&self) -> u32 {
         task_id(&self.name)
     }
 }
 
-/// How members say that they run the task of a name.
+/// The id by which members announce that they run the task with this name.
 pub fn task_id(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// A member that lives, oneself among them.
+/// A live member, possibly this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// The tasks that it says it runs.
+    /// Ids of the tasks that the member announces to run.
     pub running: Vec<u32>,
 }
 
-/// How long a node waits for others.
+/// How long a node waits before it takes over a task or hands it over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TakeoverDelays {
-    /// So long nobody says that a task runs until the second wants it; twice as long until the third does, and so on.
+    /// How long nobody announces the task before the second node acquires it. The third waits twice
+    /// as long, and so on.
     pub takeover: Duration,
-    /// So long another has to be preferred until a task is handed over to it; twice as long each further time.
+    /// How long another node has to be preferred before the task is handed over to it. Doubles with
+    /// each further handover.
     pub handover: Duration,
 }
 
 impl TakeoverDelays {
-    /// What suits leases that live for so long.
+    /// Delays that suit leases with this TTL.
     pub fn for_ttl(ttl: Duration) -> Self {
         TakeoverDelays { takeover: ttl * 2, handover: (ttl * 3).max(Duration::from_secs(10)) }
     }
@@ -61,15 +68,15 @@
 /// What a node should do about a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Want its lease, or go on wanting or holding it.
+    /// Acquire the lease, or keep waiting for it or holding it.
     Acquire,
-    /// Leave it to others.
+    /// Leave the task to other nodes.
     Skip,
-    /// End it and give the lease back: it is another's.
+    /// Stop the task and release the lease, as another node is preferred.
     HandOver,
 }
 
-/// Most doublings of [`Patience::settled`].
+/// Most doublings of [`TakeoverDelays::handover`].
 const MAX_DOUBLINGS: u32 = 6;
 
 /// One node's view of one task.
@@ -78,16 +85,16 @@
     task: Task,
     own: String,
     delays: TakeoverDelays,
-    /// Since when nobody has said that it runs.
+    /// Since when no member has announced the task.
     unclaimed_since: Option<Time>,
-    /// Who is preferred, and since when.
+    /// The preferred node, and since when it is.
     preferred: Option<(String, Time)>,
-    /// To whom it was handed over last, and how often.
+    /// The node that the task was last handed over to, and how many times.
     last_handover: Option<(String, u32)>,
 }
 
 impl Preference {
-    /// A task as the node of that name sees it.
+    /// The view of a task by the node with the name `own`.
     pub fn new(task: Task, own: &str, delays: TakeoverDelays) -> Self {
         Preference {
             task,
@@ -104,7 +111,7 @@
         &self.task
     }
 
-    /// Members in the order in which they should run it.
+    /// The members in the order in which they should run the task.
     fn ranked<'a>(&self, peers: &'a [Peer]) -> Vec<&'a Peer> {
         let mut ranked: Vec<&Peer> = peers.iter().collect();
         let hash = |p: &Peer| xxh3_64(format!("{} {}", self.task.name, p.name).as_bytes());
@@ -112,7 +119,7 @@
         ranked
     }
 
-    /// What to do about it now, among these.
+    /// Decides what to do about the task now, given the live members.
     pub fn decide(&mut self, now: Time, peers: &[Peer], holds: bool) -> Decision {
         let ranked = self.ranked(peers);
         let Some(rank) = ranked.iter().position(|p| p.name == self.own) else { return Decision::Skip };
--- a/crates/lease/src/terms.rs
+++ b/crates/lease/src/terms.rs
@@ -1,67 +1,69 @@
-//! What an electorate agreed on: who votes, for how long it grants, and what it trusts of clocks.
+//! The terms that voters and candidates share: the voters, the lease times and the assumed clock
+//! drift.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The same for all voters and candidates: their sum travels with every question.
+/// The terms of an electorate. All voters and candidates need the same ones, so their checksum
+/// accompanies each request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
-    /// Where voters are. Three, five or seven, each an address that one process has at a time.
+    /// Addresses of the voters: three, five or seven, each used by one process at a time.
     pub voters: Vec<SocketAddr>,
-    /// For how long a voter holds to a grant, by its own clock.
+    /// How long a voter honours a grant, on its own clock.
     pub ttl: Duration,
     /// How much faster or slower than true time any clock may run, in thousandths.
     pub drift: u32,
-    /// A try that takes longer is given up.
+    /// Timeout of an attempt.
     pub round: Duration,
-    /// All on but in tests that show what each is for.
+    /// All enabled except in tests that demonstrate what each one prevents.
     pub safeguards: Safeguards,
 }
 
-/// What safety rests on, each to be taken away by tests alone.
+/// Safeguards that the safety of leases rests on. Only tests switch them off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Safeguards {
-    /// A voter that starts grants nothing while earlier grants may live.
+    /// A restarted voter grants nothing while its earlier grants may still be valid.
     pub abstention: bool,
-    /// A holder ends its lease by so much earlier as clocks may differ.
+    /// A holder ends its lease early by the amount that clocks may differ.
     pub margin: bool,
     /// More than half of the voters have to agree.
     pub majority: bool,
-    /// A voter keeps to what it promised and accepted.
+    /// A voter honours what it promised and accepted.
     pub promises: bool,
     /// Ballots have to be above the voter's floor.
     pub floor: bool,
 }
 
 impl Safeguards {
-    /// All of them.
+    /// All safeguards enabled.
     pub const ALL: Safeguards =
         Safeguards { abstention: true, margin: true, majority: true, promises: true, floor: true };
 }
 
-/// Why terms make no sense.
+/// Why terms are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TermsError {
-    /// An even number, too few or too many.
+    /// The number of voters is even, too small or too large.
     #[error("`voters` has to name 3, 5 or 7 addresses, not {0}")]
     Voters(usize),
-    /// One counts twice.
+    /// An address is listed twice.
     #[error("`voters` names {0} twice")]
     Duplicate(SocketAddr),
-    /// A time lies outside what works.
+    /// A duration is out of range.
     #[error("`{0}` has to be {1}")]
     Time(&'static str, &'static str),
 }
 
 impl Terms {
-    /// The terms that are meant for use: 10 s, clocks that are right to 5%.
+    /// The default terms: 10 s, and clocks accurate to 5%.
     pub fn new(voters: Vec<SocketAddr>) -> Self {
         let (ttl, round) = (Duration::from_secs(10), Duration::from_millis(500));
         Terms { voters, ttl, drift: 50, round, safeguards: Safeguards::ALL }
     }
 
-    /// Checks each by itself and beside the others.
+    /// Checks each term by itself and against the others.
     pub fn check(&self) -> Result<(), TermsError> {
         if !matches!(self.voters.len(), 3 | 5 | 7) {
             return Err(TermsError::Voters(self.voters.len()));
@@ -82,7 +84,8 @@
         Ok(())
     }
 
-    /// A sum over all that has to be the same everywhere; the voters' order does not count.
+    /// Checksum over everything that has to be the same everywhere, regardless of the voters'
+    /// order.
     pub fn checksum(&self) -> u64 {
         let mut voters: Vec<String> = self.voters.iter().map(SocketAddr::to_string).collect();
         voters.sort();
@@ -94,12 +97,13 @@
         hash.digest()
     }
 
-    /// Voters that have to agree.
+    /// Number of voters that have to agree.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + usize::from(self.safeguards.majority)
     }
 
-    /// For how long a holder holds, by its own clock, from before it asked: its clock may be the slowest and a voter's the fastest.
+    /// How long a holder may use a lease, on its own clock and counted from before it sent the
+    /// request. Allows for the slowest clock at the holder and the fastest at a voter.
     pub fn hold_time(&self) -> Duration {
         match self.safeguards.margin {
             true => self.ttl * (1000 - self.drift) / (1000 + self.drift),
@@ -107,8 +111,9 @@
         }
     }
 
-    /// For how long a voter abstains after its start: until no grant that it may have forgotten is held, nor a try under way that counts
-    /// on a promise that it has forgotten. Its clock may be the fastest and the others' the slowest.
+    /// How long a restarted voter abstains: until no grant that it may have forgotten is in use,
+    /// and no attempt in progress relies on a promise that it has forgotten. Allows for the fastest
+    /// clock at the voter and the slowest elsewhere.
     pub fn abstention(&self) -> Duration {
         match self.safeguards.abstention {
             true => (self.ttl + self.round * 2) * (1000 + self.drift) / (1000 - self.drift),
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,4 +1,4 @@
-//! One voter: what it promised and granted, in memory alone.
+//! A voter: keeps its promises and grants in memory only.
 
 use crate::message::{Ballot, CandidateId, Key, Op, Reply, Request, Response};
 use crate::terms::Terms;
@@ -11,19 +11,20 @@
 
 /// Most keys that a voter keeps.
 const MAX_KEYS: usize = 4096;
-/// Most candidates that wait for a word when a key becomes free.
+/// Most candidates per key that are remembered for notification when the lease becomes available.
 const MAX_WAITING: usize = 16;
 
-/// What a voter holds of one key.
+/// A voter's state for one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct KeyState {
-    /// No ballot of a lower number.
+    /// The highest ballot promised; lower ones are refused.
     promised: Option<Ballot>,
-    /// Until then no other candidate's ballot either: tries that cross each other would all fail.
+    /// Until then, ballots of other candidates are refused, too: attempts that interleave would all
+    /// fail.
     reserved_until: Time,
-    /// Whose it is, and until when.
+    /// The accepted ballot and the end of its grant.
     accepted: Option<(Ballot, Time)>,
-    /// Who waits, whoever asked last at the end.
+    /// Waiting candidates, the latest request last.
     waiting: Vec<(CandidateId, SocketAddr)>,
 }
 
@@ -33,11 +34,11 @@
     }
 }
 
-/// See the crate's own words.
+/// The voter state machine; see the crate documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     terms: Arc<Terms>,
-    /// Of the terms: it comes with every question.
+    /// Checksum of the terms, compared with that of each request.
     checksum: u64,
     abstain_until: Time,
     /// Ballots up to this number may have been granted and forgotten.
@@ -46,27 +47,27 @@
 }
 
 impl Voter {
-    /// A voter that starts from nothing. `floor` has to lie above every token that was granted before all voters' memory was lost; the
-    /// time of day does, unless it was set back.
+    /// A voter without any state. `floor` has to be above every token granted before the voters
+    /// lost their memory; the wall-clock time is, unless the clock was set back.
     pub fn new(terms: Arc<Terms>, floor: u64, now: Time) -> Self {
         let abstain_until = now + terms.abstention();
         let floor = if terms.safeguards.floor { floor } else { 0 };
         Voter { checksum: terms.checksum(), terms, abstain_until, floor, entries: BTreeMap::new() }
     }
 
-    /// How long it still abstains.
+    /// How long the voter still abstains.
     pub fn abstention_left(&self, now: Time) -> Option<Time> {
         self.abstain_until.checked_sub(now).filter(|left| !left.is_zero())
     }
 
-    /// Keys that it holds to be somebody's, with token and time left.
+    /// Keys with a valid grant, with the token and the remaining time.
     pub fn granted(&self, now: Time) -> impl Iterator<Item = (&Key, Ballot, Time)> {
         self.entries
             .iter()
             .filter_map(move |(key, e)| e.live_grant(now).map(|(b, until)| (key, b, until - now)))
     }
 
-    /// Answers a question, and sends word to others where a key became free.
+    /// Responds to a request, and notifies a waiting candidate if a lease became available.
     pub fn handle_request(
         &mut self,
         now: Time,
@@ -120,8 +121,9 @@
                 }
                 if request.op == Op::Release {
                     state.waiting.retain(|(candidate, _)| *candidate != request.ballot.candidate);
-                    // Only what was held comes free. Were others told of every try that failed, each would try at once, and
-                    // they would fail one another for as long as there are many.
+                    // Notify only if the lease was actually held. If others were notified of each
+                    // failed attempt, they would all retry at once and keep failing each other for
+                    // as long as there are many of them.
                     if let Some((candidate, to)) = state.pick_waiter(request.ballot).filter(|_| was_held) {
                         send(to, Ballot { number: request.ballot.number, candidate }, Reply::Available);
                     }
@@ -130,7 +132,8 @@
         }
     }
 
-    /// Makes room: of a key that nobody has, the floor keeps all that matters. False: all are somebody's.
+    /// Evicts a key that nobody holds; the floor preserves all that matters of it. Returns false if
+    /// all keys are in use.
     fn evict_free_key(&mut self, now: Time) -> bool {
         let free = |e: &KeyState| e.live_grant(now).is_none() && e.reserved_until <= now;
         let Some(key) = self.entries.iter().find(|(_, e)| free(e)).map(|(k, _)| k.clone()) else {
@@ -143,8 +146,10 @@
 }
 
 impl KeyState {
-    /// Who is told that a ballot was given up. Questions reach each voter in an order of its own: whoever came first there would be
-    /// another at each, and their tries would cross. So it is drawn by what all voters know.
+    /// Selects the waiting candidate to notify after a release. Requests arrive at each voter in a
+    /// different order, so picking the first one would notify a different candidate at each voter,
+    /// and their attempts would interleave. The choice therefore depends only on what all voters
+    /// know.
     fn pick_waiter(&self, given_up: Ballot) -> Option<(CandidateId, SocketAddr)> {
         let rank = |id: CandidateId| xxh3_64(&[id.0.to_le_bytes(), given_up.number.to_le_bytes()].concat());
         self.waiting.iter().copied().min_by_key(|(candidate, _)| rank(*candidate))
@@ -152,7 +157,7 @@
 
     fn add_waiter(&mut self, candidate: CandidateId, from: SocketAddr) {
         self.waiting.retain(|(l, _)| *l != candidate);
-        // Who asked longest ago may have gone since: who waits asks again.
+        // The oldest entry may be gone; a candidate that still waits asks again.
         if self.waiting.len() >= MAX_WAITING {
             self.waiting.remove(0);
         }
--- a/crates/lease/tests/core.rs
+++ b/crates/lease/tests/core.rs
@@ -1,4 +1,4 @@
-//! Single words of voters, and what candidates make of them.
+//! Tests of voters' replies and of how candidates react to them.
 
 use birchswitch_lease::{
     Action, Ballot, Candidate, CandidateId, Key, Message, Op, Refusal, Reply, Request, Response, Safeguards,
@@ -102,7 +102,7 @@
         candidate.handle_response(NOW, address(n), &response, &mut out);
     }
     assert!(out.contains(&Action::Refused(key("a"), Refusal::Elsewhere)), "{out:?}");
-    // A stranger's word counts for nothing.
+    // A response from an unknown address is ignored.
     out.clear();
     let response = Response {
         key: key("a"),
@@ -128,7 +128,7 @@
     assert!(with(|t| t.round = Duration::from_secs(4)).contains("`round`"));
 }
 
-/// Who waits is told at once when the holder gives the lease back.
+/// A waiting candidate is notified as soon as the holder releases the lease.
 #[test]
 fn a_released_lease_is_offered_to_a_waiting_candidate() {
     let terms = terms();
@@ -149,8 +149,9 @@
     );
 }
 
-/// What made two candidates fail each other for half a minute: refused for another reason than that somebody has it, a wish for one
-/// slot went on to the next, which is the same, and asked there at once.
+/// Guards against two candidates that refused each other for half a minute: after any refusal other
+/// than busy, a claim for the only slot moved on to the next slot, which is the same one, and
+/// retried immediately.
 #[test]
 fn only_a_busy_slot_moves_on_to_the_next() {
     use Refusal::{Abstaining, Behind, Busy, Elsewhere, Full, Unheard};
@@ -164,7 +165,8 @@
     assert_eq!(three.next_slot(1, Busy), Some(2), "the rotation starts over after a wait");
 }
 
-/// Carries what one candidate wants to all voters, and their words to whoever they are for, until nothing more is said. Grants come back.
+/// Delivers a candidate's requests to all voters and the responses to their recipients, until no
+/// messages are left. Returns the candidates that were granted a lease.
 fn deliver_all(
     voters: &mut [Voter],
     candidates: &mut [Candidate],
@@ -203,7 +205,8 @@
     granted
 }
 
-/// Candidates whose tries failed go on waiting: one of them has the lease as soon as it is given back, long before it would have asked again.
+/// Candidates keep waiting after failed attempts: one of them gets the lease as soon as it is
+/// released, long before it would have retried.
 #[test]
 fn a_waiting_candidate_gets_the_lease_soon_after_release() {
     let terms = terms();
@@ -233,7 +236,8 @@
     assert_eq!(granted.len(), 1, "exactly one of the waiting candidates");
 }
 
-/// Names beyond what is kept push out those that nobody has, and never one that somebody holds; the floor rises for what was pushed out.
+/// When too many names are in use, unheld ones are evicted and held ones never; the floor rises for
+/// those evicted.
 #[test]
 fn memory_is_bounded_and_grants_are_kept() {
     let terms = terms();
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,8 +1,11 @@
-//! Every order of events up to a depth, for three voters and two candidates: the core itself under a model checker.
+//! Model checking of the lease core: all orders of events up to a depth, with three voters and two
+//! candidates.
 //!
-//! The network keeps what was sent and may deliver it at any time and any number of times: that is loss, doubling, reordering and
-//! delay for longer than a lease at once. Time moves in steps of a quarter lease; voters' clocks are the fastest that the terms allow
-//! and candidates' the slowest, which is the worst for safety. Voters and candidates crash and start from nothing.
+//! The network keeps every message and may deliver it at any time and any number of times. This
+//! covers loss, duplication, reordering, and delays longer than a lease. Time advances in steps of
+//! a quarter lease; voters' clocks are the fastest that the terms allow and candidates' the
+//! slowest, which is the worst case for safety. Voters and candidates crash and restart without
+//! state.
 
 use birchswitch_lease::{Action, Candidate, CandidateId, Key, Request, Response, Safeguards, Terms, Voter};
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -31,7 +34,7 @@
     candidates: Vec<Candidate>,
     network: BTreeSet<Packet>,
     crashes: u8,
-    /// The highest token that was granted, and whether one was not above those before it.
+    /// The highest token granted, and whether a grant failed to exceed the earlier ones.
     highest_token: u64,
     token_regressed: bool,
 }
@@ -51,7 +54,7 @@
     candidates: usize,
     crashes: u8,
     steps: u32,
-    /// How it begins.
+    /// The initial state.
     start: Start,
 }
 
@@ -59,17 +62,18 @@
 enum Start {
     /// All candidates want the lease.
     Fresh,
-    /// The first holds it, and everything that was said for it is still on its way. The others want it.
+    /// The first candidate holds the lease, and all its messages are still in the network. The
+    /// others want the lease.
     Held,
-    /// The first holds it. The others may want it at any time.
+    /// The first candidate holds the lease. The others may request it at any time.
     Quiet,
-    /// The same, three quarters of its time later.
+    /// As `Quiet`, but three quarters of the lease's time have passed.
     Late,
 }
 
 fn terms(safeguards: Safeguards) -> Arc<Terms> {
     let voters = (0..VOTERS).map(address).collect();
-    // Rounds as long as two steps: a try can span one.
+    // A round as long as a step, so that an attempt can span one.
     Arc::new(Terms { round: STEP, safeguards, ..Terms::new(voters) })
 }
 
@@ -83,7 +87,8 @@
         Duration::from_secs(1000) + STEP * state.steps * rate / 1000
     }
 
-    /// Tokens of a millisecond fit above any of the one before; time of day moves with the steps.
+    /// Floors leave room for the tokens of each earlier one; the wall clock advances with the
+    /// steps.
     fn floor(&self, state: &State) -> u64 {
         u64::from(state.steps + state.crashes as u32 + 1) << 8
     }
@@ -143,7 +148,7 @@
     type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
-        // Voters have run for long: what they abstained for is over.
+        // The voters started long ago, so their abstention is over.
         let long_ago = Duration::from_secs(900);
         let mut state = State {
             steps: 0,
@@ -243,7 +248,7 @@
     }
 }
 
-/// States, and what of the claims broke.
+/// The number of states, and the properties that were violated.
 fn check(model: Electorate, depth: usize) -> (usize, Vec<&'static str>) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = model.checker().threads(threads).target_max_depth(depth).finish_when(HasDiscoveries::Any);
@@ -263,15 +268,16 @@
     }
 }
 
-/// Two tries in any order; from a lease that is held, with everything that was said for it still on its way, starts from nothing and
-/// time in any order.
+/// Two competing attempts in any order; then a held lease whose messages are still in the network,
+/// with restarts and time steps in any order.
 #[test]
 fn at_most_one_holder_in_any_order() {
     use Start::*;
     check_all(&[(0, 0, Fresh, 11), (1, 4, Held, 6), (2, 2, Held, 5), (2, 0, Quiet, 9), (0, 4, Quiet, 10)]);
 }
 
-/// Some minutes: `cargo test --release -p birchswitch-lease --test model -- --ignored --nocapture`.
+/// Takes some minutes: `cargo test --release -p birchswitch-lease --test model -- --ignored
+/// --nocapture`.
 #[test]
 #[ignore = "millions of states"]
 fn at_most_one_holder_in_any_longer_order() {
@@ -286,7 +292,7 @@
     ]);
 }
 
-/// Each by the shortest order of events that there is.
+/// Each violation is found by the shortest sequence of events.
 #[test]
 fn removing_any_safeguard_is_detected() {
     let all = Safeguards::ALL;
--- a/crates/lease/tests/tasks.rs
+++ b/crates/lease/tests/tasks.rs
@@ -1,4 +1,5 @@
-//! Who wants which task: one each, spread over the fleet, and another where the first does not come to it.
+//! Task preference: one node per task, spread over the fleet, and a takeover when the preferred
+//! node does not run the task.
 
 use birchswitch_lease::{Decision, Peer, Preference, TakeoverDelays, Task};
 use std::time::Duration;
@@ -16,7 +17,7 @@
     (0..size).map(|n| Peer { name: format!("n{n}"), zone: zone(n), running: Vec::new() }).collect()
 }
 
-/// Who wants a task at once.
+/// The nodes that would acquire a task at once.
 fn preferred_nodes(task: &Task, fleet: &[Peer]) -> Vec<String> {
     let acquires = |p: &&Peer| {
         Preference::new(task.clone(), &p.name, DELAYS).decide(SECOND, fleet, false) == Decision::Acquire
@@ -34,7 +35,7 @@
         assert_eq!(*zone, task(n).zone);
         *held.entry(by.clone()).or_default() += 1;
     }
-    // Thirty members of the three zones for sixty tasks.
+    // Sixty tasks for the thirty members of the three zones.
     assert!(held.len() > 20 && held.values().all(|n| *n <= 8), "{held:?}");
 }
 
@@ -51,7 +52,8 @@
     }
 }
 
-/// The first lives and can't have the lease: the second takes it after a while, and hands it over ever more seldom.
+/// The preferred node is alive but cannot get the lease: the second node takes over after a while
+/// and hands over at doubling intervals.
 #[test]
 fn the_second_node_takes_over_when_the_first_does_not_run_the_task() {
     let mut fleet = fleet(12);
@@ -78,11 +80,11 @@
         }
     }
     assert_eq!(handovers, [11, 31, 71, 151], "after 10, 20, 40 and 80 s");
-    // Whoever says that it runs keeps the others away.
+    // A member that announces the task keeps the others from acquiring it.
     let third = by(3, &fleet);
     fleet.iter_mut().find(|p| p.name == second).expect("a member").running.push(task(0).id());
     let mut own = Preference::new(task(0), &third, DELAYS);
     assert!((1..100).all(|s| own.decide(SECOND * s, &fleet, false) == Decision::Skip));
-    // Who does not know itself wants nothing.
+    // A node that is not among the members acquires nothing.
     assert_eq!(Preference::new(task(0), "stranger", DELAYS).decide(SECOND, &fleet, false), Decision::Skip);
 }
