--- a/crates/cluster/src/exchange.rs
+++ b/crates/cluster/src/exchange.rs
@@ -120,7 +120,7 @@
     }
 
     /// Answers a message with datagrams of at most `limit` bytes. A sender that is not a known
-    /// member never gets a datagram longer than its own, which rules out amplification.
+    /// member never gets a datagram longer than its own, to prevent amplification.
     pub(crate) fn reply(
         &mut self,
         now: Time,
--- a/crates/cluster/src/probing.rs
+++ b/crates/cluster/src/probing.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 
-/// Relays asked in the first failed round, and in those after it.
+/// Relays asked in a target's first failing round, and in those after it.
 const RELAYS_PER_ROUND: [usize; 2] = [2, 3];
 /// Most pings relayed for others at a time.
 const MAX_RELAYED_PINGS: usize = 256;
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -41,8 +41,8 @@
 pub struct ShortId(pub u32);
 
 impl ShortId {
-    /// The short id for a name's hash. Collisions are rare, and only cause a suppressed probe for
-    /// which [`MAX_SUPPRESSION`] makes up.
+    /// The short id for a name's hash. Two servers rarely share one, and then only a probe is
+    /// suppressed, for which guarantee 2 makes up.
     pub fn of(name: u64) -> Self {
         ShortId((name >> 32) as u32)
     }
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -130,8 +130,8 @@
                 extending.iter().map(|attempt| attempt.ballot).chain([*ballot]).collect()
             }
         };
-        // Waiting candidates are notified at once. The current ballot goes last, so that an
-        // unfinished attempt is withdrawn before.
+        // Waiting candidates are notified at once. The newest ballot is released last, so that the
+        // older one is gone by then.
         for ballot in ballots.into_iter().rev() {
             self.broadcast(key, ballot, Op::Release, out);
         }
