--- a/crates/cluster-host/src/lib.rs
+++ b/crates/cluster-host/src/lib.rs
@@ -50,7 +50,7 @@
         source: io::Error,
     },
     /// The node's name cannot be used as a member name.
-    #[error("cluster: the node's name {0:?} is not a valid member name: set `node`")]
+    #[error("cluster: the node's name {0:?} can't be a member's: name one with `node`")]
     Name(String),
     /// The settings are invalid.
     #[error("cluster: {0}")]
