--- a/crates/lab/src/allowed.rs
+++ b/crates/lab/src/allowed.rs
@@ -4,7 +4,7 @@
 //! Each node's clients come by chance, one node in eight a hundred times as often as the others, and which moves every ten seconds. What is
 //! let in is counted by true time, in every window.
 
-use crate::chance::Chance;
+use crate::rng::Rng;
 use birchswitch_cluster::{Generation, MemberId};
 use birchswitch_mesh::{Clock, ProcessId, Time};
 use birchswitch_quota::bound::max_excess;
@@ -125,7 +125,7 @@
 /// Plays it.
 pub fn play(plan: Plan, way: Way, trouble: Trouble, seed: u64) -> Came {
     let (per_s, burst) = (PER_NODE.0 * plan.nodes as f64, PER_NODE.1 * plan.nodes as f64);
-    let (mut chance, terms) = (Chance::new(seed, 9), terms());
+    let (mut chance, terms) = (Rng::new(seed, 9), terms());
     let measure = Measure::Rate { per_s, burst };
     let scope = Scope { tenant: Some(0), class: None };
     let limit = Limit { name: "l".into(), scope, measure, when_cut: WhenCut::Strict, id: 1 };
--- a/crates/lab/src/hall.rs
+++ b/crates/lab/src/hall.rs
@@ -1,6 +1,6 @@
 //! The servers with all that befalls them, and what those may ask of them who see everything.
 
-use crate::model::{Job, Model};
+use crate::model::{Job, ServerModel};
 use crate::scenario::seconds;
 use birchswitch_engine::AttemptId;
 use finchvale::{LoadReport, Rules, ServerId, Time};
@@ -25,7 +25,7 @@
 /// A server with all that befalls it.
 #[derive(Debug)]
 pub(crate) struct Machine {
-    pub(crate) model: Model,
+    pub(crate) model: ServerModel,
     pub(crate) speed: f64,
     pub(crate) zone: u8,
     pub(crate) cell: u16,
@@ -70,8 +70,11 @@
     pub(crate) fn done(&self, now: Time, server: ServerId, work: f64) -> Option<Time> {
         let m = self.machines.get(server.0 as usize)?;
         let since = since_origin(now);
-        let able =
-            m.life == Life::Up && !m.refuses && !m.fails && !m.model.fallen() && m.model.bears(since, work);
+        let able = m.life == Life::Up
+            && !m.refuses
+            && !m.fails
+            && !m.model.collapsed()
+            && m.model.bears(since, work);
         let at = now + m.model.foresee(since, work);
         (able && m.model.has_room()).then_some(at)
     }
@@ -94,7 +97,7 @@
         self.life == Life::Up && still && honest && well && self.model.warmth(now) >= 1.0
     }
 
-    pub(crate) fn new(model: Model, speed: f64, zone: u8, cell: u16, started: Option<Time>) -> Self {
+    pub(crate) fn new(model: ServerModel, speed: f64, zone: u8, cell: u16, started: Option<Time>) -> Self {
         Machine {
             model,
             speed,
--- a/crates/lab/src/leases.rs
+++ b/crates/lab/src/leases.rs
@@ -1,7 +1,7 @@
 //! Electorates and candidates for one lease in virtual time: clocks of different rates, a network that loses, doubles and holds back for
 //! longer than a lease lives, processes that crash, start from nothing and are paused at any point, and a receiver of what holders do.
 
-use crate::chance::Chance;
+use crate::rng::Rng;
 use birchswitch_lease::{Action, Candidate, CandidateId, Key, Message, Request, Response, Terms, Voter};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -156,7 +156,7 @@
     voters: usize,
     agenda: BinaryHeap<Reverse<(Nanos, u64, What)>>,
     order: u64,
-    chance: Chance,
+    chance: Rng,
     cuts: Vec<(usize, usize, Nanos)>,
     spans: Vec<Span>,
     now: Nanos,
@@ -183,7 +183,7 @@
     seed: u64,
 ) -> Outcome {
     let terms = Arc::new(Terms { voters: (0..voters).map(address).collect(), ..terms.clone() });
-    let mut chance = Chance::new(seed, 81);
+    let mut chance = Rng::new(seed, 81);
     let processes = (0..voters + candidates).map(|_| {
         let side = if chance.unit() < 0.5 { -1.0 } else { 1.0 };
         // Mostly as far off as may be: that is where margins show.
--- a/crates/lab/src/members/beats.rs
+++ b/crates/lab/src/members/beats.rs
@@ -1,6 +1,6 @@
 //! A baseline: every member tells every other that it lives, once a second, and is dead to whoever heard nothing for so long.
 
-use crate::chance::Chance;
+use crate::rng::Rng;
 
 /// Seconds without a beat until a member is given up: what a pause of 2 s and one lost beat want.
 const PATIENCE: u32 = 4;
@@ -19,7 +19,7 @@
 /// Plays so many seconds of a fleet in which so large a part of the datagrams is lost and so large a part of members is
 /// stopped for 0.4 s of each second, which delays beats and loses none.
 pub fn play(size: usize, seconds: u32, loss: f64, seed: u64) -> Beats {
-    let mut chance = Chance::new(seed, 72);
+    let mut chance = Rng::new(seed, 72);
     let mut beats = Beats { datagrams: (size - 1) as f64, ..Beats::default() };
     // Pairs know nothing of each other: one after the other, so that no table of all of them is needed.
     for _ in 0..size * (size - 1) {
--- a/crates/lab/src/members/measure.rs
+++ b/crates/lab/src/members/measure.rs
@@ -1,7 +1,7 @@
 //! What membership costs and how well it tells, in figures.
 
 use super::{name, Fleet, Network};
-use crate::chance::Chance;
+use crate::rng::Rng;
 use birchswitch_cluster::ring::RingPosition;
 use birchswitch_cluster::{Change, MemberId, Settings, Standing, State};
 use std::time::Duration;
@@ -39,7 +39,7 @@
     let mut fleet = Fleet::up(size, settings(careless), seed);
     fleet.network = lossy(loss);
     fleet.keep = died;
-    let mut chance = Chance::new(seed, 73);
+    let mut chance = Rng::new(seed, 73);
     let mut found = Detection::default();
     fleet.run(5 * SECOND);
     for _ in 0..kills {
@@ -165,7 +165,7 @@
     let mut fleet = Fleet::up_of(first, all, settings(false), seed);
     fleet.keep = |_| false;
     let mut places: Vec<Option<RingPosition>> = vec![None; all];
-    let mut chance = Chance::new(seed, 74);
+    let mut chance = Rng::new(seed, 74);
     let mut step = |fleet: &mut Fleet| {
         fleet.run(half);
         let mut lie = Vec::new();
--- a/crates/lab/src/members/mod.rs
+++ b/crates/lab/src/members/mod.rs
@@ -4,7 +4,7 @@
 pub mod beats;
 pub mod measure;
 
-use crate::chance::Chance;
+use crate::rng::Rng;
 use birchswitch_cluster::{Action, Change, Core, Event, Generation, MemberId, Record, Settings, State, Time};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -82,7 +82,7 @@
     processes: Vec<Process>,
     agenda: BinaryHeap<Reverse<(Time, u64, What)>>,
     order: u64,
-    chance: Chance,
+    chance: Rng,
     seed: u64,
     /// Whether a datagram from the first to the second is lost.
     cut: Cut,
@@ -127,7 +127,7 @@
             processes: (0..size).map(|_| process()).collect(),
             agenda: BinaryHeap::new(),
             order: 0,
-            chance: Chance::new(seed, 71),
+            chance: Rng::new(seed, 71),
             seed,
             cut: Box::new(|_, _| false),
             actions: Vec::new(),
@@ -169,7 +169,7 @@
     fn begin(&mut self, n: usize, record: Record) {
         let p = &mut self.processes[n];
         p.starts += 1;
-        let seed = Chance::new(self.seed, ((n as u64) << 20) + u64::from(p.starts)).bits();
+        let seed = Rng::new(self.seed, ((n as u64) << 20) + u64::from(p.starts)).bits();
         // The settings are the caller's own; a fleet of senseless ones is empty.
         p.core = Core::new(self.settings.clone(), record, seed, self.now).ok();
         (p.stopped_until, p.stutter) = (self.now, None);
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -21,7 +21,7 @@
     /// How much longer work takes at an empty server, as a part; evenly less up to one that is busy on all cores.
     pub cold_cache: f64,
     /// What holding many requests costs; None: nothing.
-    pub crowd: Option<Crowd>,
+    pub contention: Option<Contention>,
     /// The part of its speed that it starts with, above 0 and at most 1.
     pub cold_from: f64,
     /// How long it takes to reach all of it, evenly.
@@ -34,7 +34,7 @@
 
 /// How a crowded server loses speed: evenly, from `from` requests held on, down to the rest at twice as many.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Crowd {
+pub struct Contention {
     /// Requests held from which it is crowded.
     pub from: usize,
     /// The part of its speed that it has lost at twice as many, below 1.
@@ -48,18 +48,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It will be worked on, at once or later.
-    Taken,
+    Accepted,
     /// It never ran and won't.
-    TurnedAway,
+    Rejected,
 }
 
 /// What happened to a request inside the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// Work on it has begun: from here on it may have had its effect.
-    Begun(Job),
+    Started(Job),
     /// It is done.
-    Done(Job),
+    Completed(Job),
 }
 
 /// A server's word on its load.
@@ -75,7 +75,7 @@
 
 /// See the module's own words.
 #[derive(Debug)]
-pub struct Model {
+pub struct ServerModel {
     capacity: Capacity,
     now: Duration,
     /// When it started cold; None: it has been warm for ever.
@@ -99,10 +99,10 @@
     most_borne: f64,
 }
 
-impl Model {
+impl ServerModel {
     /// Starts at `now`; a server that is not `cold` has all its speed.
     pub fn new(capacity: Capacity, now: Duration, cold: bool) -> Self {
-        Model {
+        ServerModel {
             capacity,
             now,
             started: cold.then_some(now),
@@ -122,7 +122,7 @@
 
     /// Another of the same kind, from nothing.
     pub fn fresh(&self, now: Duration, cold: bool) -> Self {
-        Model::new(self.capacity.clone(), now, cold)
+        ServerModel::new(self.capacity.clone(), now, cold)
     }
 
     /// Offers a request with this much work, in seconds.
@@ -130,12 +130,12 @@
         self.advance(now, out);
         self.count_towards_fall(work);
         if !self.has_room() {
-            return Admission::TurnedAway;
+            return Admission::Rejected;
         }
         self.waiting.push_back((job, work));
         self.begin(out);
         self.most_waiting = self.most_waiting.max(self.waiting.len());
-        Admission::Taken
+        Admission::Accepted
     }
 
     /// Takes it no further until then: it neither works nor speaks.
@@ -151,7 +151,7 @@
     }
 
     /// Takes nothing new from now on, or does again.
-    pub fn drain(&mut self, draining: bool) {
+    pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
@@ -178,7 +178,7 @@
     /// The part of a warm core's speed that each core has when it isn't frozen.
     pub fn pace(&self, now: Duration) -> f64 {
         let slow = if now < self.slow.1 { self.slow.0 } else { 1.0 };
-        let crowded = self.capacity.crowd.map_or(1.0, |c| {
+        let crowded = self.capacity.contention.map_or(1.0, |c| {
             let beyond = self.held().saturating_sub(c.from) as f64 / c.from.max(1) as f64;
             1.0 - c.loss * beyond.min(1.0)
         });
@@ -223,7 +223,7 @@
     }
 
     /// Whether it was pushed over while it was cold.
-    pub fn fallen(&self) -> bool {
+    pub fn collapsed(&self) -> bool {
         self.fallen
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// The most that ever waited.
-    pub fn most_waiting(&self) -> usize {
+    pub fn max_queued(&self) -> usize {
         self.most_waiting
     }
 
@@ -268,14 +268,14 @@
             self.now += step;
             let done = |left: f64| left <= 1e-9;
             self.running.iter_mut().for_each(|(_, left)| *left -= work);
-            out.extend(self.running.iter().filter(|r| done(r.1)).map(|r| Progress::Done(r.0)));
+            out.extend(self.running.iter().filter(|r| done(r.1)).map(|r| Progress::Completed(r.0)));
             self.running.retain(|r| !done(r.1));
             self.begin(out);
         }
     }
 
     /// When it should be looked at next, if nothing else happens; None: it has nothing to do.
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_event(&self) -> Option<Duration> {
         match (self.frozen(self.now), self.held()) {
             (_, 0) => None,
             (true, _) => Some(self.frozen_until),
@@ -323,7 +323,7 @@
         }
         while self.running.len() < self.capacity.cores {
             let Some(next) = self.waiting.pop_front() else { return };
-            out.push(Progress::Begun(next.0));
+            out.push(Progress::Started(next.0));
             self.running.push(next);
         }
     }
@@ -358,7 +358,7 @@
             cores,
             queue,
             speed: 1.0,
-            crowd: None,
+            contention: None,
             cold_cache: 0.0,
             cold_from: 0.25,
             warm_up: 1000 * MS,
@@ -369,24 +369,24 @@
 
     #[test]
     fn works_on_so_many_at_a_time_and_turns_the_rest_away() {
-        let mut model = Model::new(capacity(2, 1), Duration::ZERO, false);
+        let mut model = ServerModel::new(capacity(2, 1), Duration::ZERO, false);
         let mut out = Vec::new();
         let taken: Vec<_> = (0..4).map(|j| model.offer(Duration::ZERO, j, 0.010, &mut out)).collect();
         use Admission::*;
-        assert_eq!(taken, [Taken, Taken, Taken, TurnedAway]);
-        assert_eq!(out, [Progress::Begun(0), Progress::Begun(1)]);
+        assert_eq!(taken, [Accepted, Accepted, Accepted, Rejected]);
+        assert_eq!(out, [Progress::Started(0), Progress::Started(1)]);
         out.clear();
         model.advance(11 * MS, &mut out);
-        assert_eq!(out, [Progress::Done(0), Progress::Done(1), Progress::Begun(2)]);
+        assert_eq!(out, [Progress::Completed(0), Progress::Completed(1), Progress::Started(2)]);
         out.clear();
         model.advance(21 * MS, &mut out);
-        assert_eq!(out, [Progress::Done(2)]);
-        assert_eq!(model.next(), None);
+        assert_eq!(out, [Progress::Completed(2)]);
+        assert_eq!(model.next_event(), None);
     }
 
     #[test]
     fn a_freeze_begins_and_ends_nothing() {
-        let mut model = Model::new(capacity(1, 4), Duration::ZERO, false);
+        let mut model = ServerModel::new(capacity(1, 4), Duration::ZERO, false);
         let mut out = Vec::new();
         model.offer(Duration::ZERO, 1, 0.010, &mut out);
         model.freeze(5 * MS, 100 * MS, &mut out);
@@ -394,19 +394,19 @@
         model.offer(6 * MS, 2, 0.010, &mut out);
         model.advance(104 * MS, &mut out);
         assert!(out.is_empty(), "{out:?}");
-        assert_eq!(model.next(), Some(105 * MS));
+        assert_eq!(model.next_event(), Some(105 * MS));
         model.advance(111 * MS, &mut out);
-        assert_eq!(out, [Progress::Done(1), Progress::Begun(2)]);
+        assert_eq!(out, [Progress::Completed(1), Progress::Started(2)]);
     }
 
     #[test]
     fn a_cold_server_is_slow_at_first() {
         let time = |cold| {
-            let mut model = Model::new(capacity(1, 4), Duration::ZERO, cold);
+            let mut model = ServerModel::new(capacity(1, 4), Duration::ZERO, cold);
             let mut out = Vec::new();
             model.offer(Duration::ZERO, 1, 0.020, &mut out);
             let mut now = Duration::ZERO;
-            while !out.contains(&Progress::Done(1)) {
+            while !out.contains(&Progress::Completed(1)) {
                 now += MS;
                 model.advance(now, &mut out);
             }
@@ -420,31 +420,31 @@
     #[test]
     fn a_cold_server_is_pushed_over_by_too_much_and_only_then() {
         let mut out = Vec::new();
-        let mut offer = |model: &mut Model, times| {
+        let mut offer = |model: &mut ServerModel, times| {
             (0..times).for_each(|job| {
                 model.offer(Duration::ZERO, job, 0.010, &mut out);
             });
-            model.fallen()
+            model.collapsed()
         };
         // 3 x 0.25 x 200 ms = 150 ms of work within 200 ms.
-        let mut model = Model::new(capacity(1, 100), Duration::ZERO, true);
+        let mut model = ServerModel::new(capacity(1, 100), Duration::ZERO, true);
         assert!(!offer(&mut model, 14));
         assert!(offer(&mut model, 2));
-        let mut warm = Model::new(capacity(1, 100), Duration::ZERO, false);
+        let mut warm = ServerModel::new(capacity(1, 100), Duration::ZERO, false);
         assert!(!offer(&mut warm, 50));
-        assert_eq!(model.offer(2000 * MS, 50, 0.010, &mut out), Admission::TurnedAway);
+        assert_eq!(model.offer(2000 * MS, 50, 0.010, &mut out), Admission::Rejected);
     }
 
     /// What is foreseen is what comes to pass where nothing else does, over a freeze and a crowd too.
     #[test]
     fn foresight_is_right_where_nothing_comes_between() {
-        let mut model = Model::new(Capacity { speed: 0.5, ..capacity(1, 9) }, Duration::ZERO, false);
+        let mut model = ServerModel::new(Capacity { speed: 0.5, ..capacity(1, 9) }, Duration::ZERO, false);
         let mut out = Vec::new();
         model.offer(Duration::ZERO, 1, 0.010, &mut out);
         model.freeze(5 * MS, 30 * MS, &mut out);
         let foreseen = 8 * MS + model.foresee(8 * MS, 0.004);
         model.offer(8 * MS, 2, 0.004, &mut out);
-        while let Some(next) = model.next() {
+        while let Some(next) = model.next_event() {
             model.advance(next, &mut out);
         }
         // 20 ms of the first, 30 of the freeze, 8 of the second.
@@ -458,14 +458,15 @@
     #[test]
     fn a_crowded_server_loses_speed_and_probes_delay_what_runs() {
         let took = |held: u64, probes: usize| {
-            let crowd = Some(Crowd { from: 4, loss: 0.5 });
-            let mut model = Model::new(Capacity { crowd, ..capacity(1, 9) }, Duration::ZERO, false);
+            let contention = Some(Contention { from: 4, loss: 0.5 });
+            let mut model =
+                ServerModel::new(Capacity { contention, ..capacity(1, 9) }, Duration::ZERO, false);
             let mut out = Vec::new();
             (0..held).for_each(|job| {
                 model.offer(Duration::ZERO, job, 0.010, &mut out);
             });
             (0..probes).for_each(|_| model.probe(MS, 0.001, &mut out));
-            while !out.contains(&Progress::Done(0)) {
+            while !out.contains(&Progress::Completed(0)) {
                 model.advance(model.now + MS / 10, &mut out);
             }
             model.now.as_secs_f64()
@@ -484,7 +485,7 @@
             cold: bool,
             events in prop::collection::vec((0u64..20, 0u8..6, 1u64..30), 1..80),
         ) {
-            let mut model = Model::new(capacity(cores, 8), Duration::ZERO, cold);
+            let mut model = ServerModel::new(capacity(cores, 8), Duration::ZERO, cold);
             let (mut now, mut out, mut taken, mut work) = (Duration::ZERO, Vec::new(), Vec::new(), 0.0);
             for (job, (wait, kind, size)) in events.into_iter().enumerate() {
                 now += wait as u32 * MS;
@@ -492,7 +493,7 @@
                     0 => model.freeze(now, size as u32 * MS, &mut out),
                     1 => model.slow(now, 0.5, size as u32 * MS, &mut out),
                     _ => {
-                        if model.offer(now, job as u64, size as f64 / 1e3, &mut out) == Admission::Taken {
+                        if model.offer(now, job as u64, size as f64 / 1e3, &mut out) == Admission::Accepted {
                             taken.push(job as u64);
                             work += size as f64 / 1e3;
                         }
@@ -501,16 +502,16 @@
                 prop_assert!(model.running.len() <= cores);
             }
             let mut looks = 0;
-            while let Some(next) = model.next() {
+            while let Some(next) = model.next_event() {
                 model.advance(next, &mut out);
                 looks += 1;
                 prop_assert!(looks < 100_000, "it never ends");
             }
             for job in &taken {
                 let at = |p| out.iter().position(|o| *o == p);
-                prop_assert_eq!(out.iter().filter(|o| **o == Progress::Begun(*job)).count(), 1);
-                prop_assert_eq!(out.iter().filter(|o| **o == Progress::Done(*job)).count(), 1);
-                prop_assert!(at(Progress::Begun(*job)) < at(Progress::Done(*job)));
+                prop_assert_eq!(out.iter().filter(|o| **o == Progress::Started(*job)).count(), 1);
+                prop_assert_eq!(out.iter().filter(|o| **o == Progress::Completed(*job)).count(), 1);
+                prop_assert!(at(Progress::Started(*job)) < at(Progress::Completed(*job)));
             }
             prop_assert!(model.now.as_secs_f64() * cores as f64 >= work - 1e-6);
         }
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -17,8 +17,8 @@
 //! - [`Peer::Oracle`]: it sees every queue, freeze and speed at the moment, and chooses whoever is done first. It
 //!   refuses what nobody can do in time.
 
-use crate::chance::Chance;
 use crate::hall::Hall;
+use crate::rng::Rng;
 use birchswitch_engine::Policy;
 use finchvale::{
     Action, Arrival, Balancer, Effect, Event, ListKind, Outcome, Refusal, RequestId, ServerEntry, ServerId,
@@ -101,7 +101,7 @@
         together: &Rc<RefCell<Together>>,
     ) -> Result<Box<dyn Policy>, SettingsError> {
         settings.check()?;
-        let chance = Chance::new(seed, 77);
+        let chance = Rng::new(seed, 77);
         let pick: Box<dyn Pick> = match self {
             Peer::Own => return Ok(Box::new(Balancer::new(settings, seed, now)?)),
             Peer::Random => Box::new(Random),
@@ -146,7 +146,7 @@
 /// How a peer chooses.
 trait Pick {
     /// A place in `choice.servers`, which is not empty; None: the request is refused.
-    fn pick(&mut self, choice: &Choice, chance: &mut Chance) -> Option<usize>;
+    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize>;
     /// An attempt went out.
     fn sent(&mut self, _: Time, _: ServerId, _: f64) {}
     /// An attempt ended after this long.
@@ -156,7 +156,7 @@
 /// The ledger that all peers share: what is listed, what is out, and when another attempt is surely allowed.
 struct Chooser {
     settings: Settings,
-    chance: Chance,
+    chance: Rng,
     pick: Box<dyn Pick>,
     ready: Vec<ServerEntry>,
     requests: FxHashMap<RequestId, Wanted>,
@@ -251,7 +251,7 @@
 struct Random;
 
 impl Pick for Random {
-    fn pick(&mut self, choice: &Choice, chance: &mut Chance) -> Option<usize> {
+    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
         Some(chance.below(choice.servers.len()))
     }
 }
@@ -262,7 +262,7 @@
 }
 
 impl Pick for LeastOutstanding {
-    fn pick(&mut self, choice: &Choice, chance: &mut Chance) -> Option<usize> {
+    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
         let out = |s: &ServerEntry| self.out.get(&s.server).copied().unwrap_or(0);
         let least = choice.servers.iter().map(out).min()?;
         let ties: Vec<usize> =
@@ -287,7 +287,7 @@
 }
 
 impl Pick for PeakEwma {
-    fn pick(&mut self, choice: &Choice, chance: &mut Chance) -> Option<usize> {
+    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
         let n = choice.servers.len();
         let a = chance.below(n);
         let b = if n > 1 { (a + 1 + chance.below(n - 1)) % n } else { a };
@@ -320,8 +320,8 @@
 }
 
 impl Pick for Subset {
-    fn pick(&mut self, choice: &Choice, _: &mut Chance) -> Option<usize> {
-        let rank = |s: &ServerEntry| Chance::new(self.rank, u64::from(s.server.0)).bits();
+    fn pick(&mut self, choice: &Choice, _: &mut Rng) -> Option<usize> {
+        let rank = |s: &ServerEntry| Rng::new(self.rank, u64::from(s.server.0)).bits();
         let mut own: Vec<usize> = (0..choice.servers.len()).collect();
         own.sort_by_key(|&i| rank(&choice.servers[i]));
         own.truncate(SUBSET);
@@ -354,10 +354,10 @@
 }
 
 impl Pick for Aperture {
-    fn pick(&mut self, choice: &Choice, chance: &mut Chance) -> Option<usize> {
+    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
         let n = choice.servers.len();
         let mut ring: Vec<usize> = (0..n).collect();
-        ring.sort_by_key(|&i| Chance::new(choice.servers[i].name, 0).bits());
+        ring.sort_by_key(|&i| Rng::new(choice.servers[i].name, 0).bits());
         ring.rotate_left(((self.begins * n as f64) as usize).min(n));
         ring.truncate(APERTURE);
         let out = |i: &usize| self.out.out.get(&choice.servers[*i].server).copied().unwrap_or(0);
@@ -392,7 +392,7 @@
 const SHUT: f64 = 1.0;
 
 impl Pick for Bounded {
-    fn pick(&mut self, choice: &Choice, chance: &mut Chance) -> Option<usize> {
+    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
         let together = self.together.borrow();
         let hall = self.hall.borrow();
         let from = chance.below(choice.servers.len());
@@ -444,7 +444,7 @@
 }
 
 impl Pick for Oracle {
-    fn pick(&mut self, choice: &Choice, _: &mut Chance) -> Option<usize> {
+    fn pick(&mut self, choice: &Choice, _: &mut Rng) -> Option<usize> {
         let hall = self.hall.borrow();
         let done = |i: usize| hall.done(choice.now, choice.servers[i].server, choice.wanted.work());
         let all = (0..choice.servers.len()).filter_map(|i| Some((done(i)?, i)));
--- a/crates/lab/src/chance.rs
+++ b/crates/lab/src/rng.rs
@@ -5,12 +5,12 @@
 
 /// A stream of random figures.
 #[derive(Clone, Debug)]
-pub struct Chance(Xoshiro256PlusPlus);
+pub struct Rng(Xoshiro256PlusPlus);
 
-impl Chance {
+impl Rng {
     /// One of many independent streams under a seed.
     pub fn new(seed: u64, stream: u64) -> Self {
-        Chance(Xoshiro256PlusPlus::seed_from_u64(seed ^ stream.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
+        Rng(Xoshiro256PlusPlus::seed_from_u64(seed ^ stream.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
     }
 
     /// Evenly from `[0, 1)`.
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -25,7 +25,7 @@
 pub use fault::{Deed, Fault};
 pub use standard::{FURTHER, STANDARD};
 
-use crate::model::{Capacity, Crowd};
+use crate::model::{Capacity, Contention};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -318,13 +318,13 @@
     /// What one server of this speed can do.
     pub fn capacity(&self, speed: f64, server: usize) -> Capacity {
         let (s, cores) = (&self.servers, self.cores_of(server));
-        let crowd = Crowd { from: s.crowd_from * cores, loss: s.crowd_loss };
+        let contention = Contention { from: s.crowd_from * cores, loss: s.crowd_loss };
         Capacity {
             cores,
             queue: s.queue * cores,
             cold_cache: s.cold_cache,
             speed,
-            crowd: (s.crowd_from > 0).then_some(crowd),
+            contention: (s.crowd_from > 0).then_some(contention),
             cold_from: s.cold_from,
             warm_up: seconds(s.warm_up),
             fall_multiple: 3.0,
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -169,7 +169,7 @@
             let successor = {
                 let m = &mut self.hall.borrow_mut().machines[server];
                 m.life = Life::Draining;
-                m.model.drain(true);
+                m.model.set_draining(true);
                 let model = m.model.fresh(Duration::ZERO, false);
                 let mut successor = Machine::new(model, m.speed, m.zone, self.next_cell, None);
                 successor.life = Life::Dead { silent: false };
@@ -193,7 +193,7 @@
     fn drain(&mut self, servers: Vec<usize>, drains: bool) {
         for &server in &servers {
             let m = &mut self.hall.borrow_mut().machines[server];
-            m.model.drain(drains);
+            m.model.set_draining(drains);
             m.life = if drains { Life::Draining } else { Life::Up };
         }
         self.changed(&servers);
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -11,10 +11,10 @@
 use self::common::{Common, Seats};
 use crate::agenda::{Agenda, Happening};
 use crate::book::{Book, Cause, Second};
-use crate::chance::Chance;
 use crate::hall::{at, since_origin, Hall, Machine, ORIGIN};
-use crate::model::{Job, Model, Progress};
+use crate::model::{Job, Progress, ServerModel};
 use crate::policy::{Peer, Together};
+use crate::rng::Rng;
 use crate::scenario::{seconds, ClassOf, Scenario, Size};
 use birchswitch_engine::{AttemptResult, Engine, Policy, ProbeId};
 use birchswitch_health::{ProbeScheduler, ProbeSuppressor};
@@ -94,8 +94,8 @@
     weights: Vec<f64>,
     orders: Vec<Order>,
     tries: Vec<Try>,
-    chance: Chance,
-    clients: Chance,
+    chance: Rng,
+    clients: Rng,
     seed: u64,
     next_job: Job,
     next_cell: u16,
@@ -133,7 +133,7 @@
 impl World {
     /// A fleet that is warm, and nodes that hold its list and no history.
     pub fn new(scenario: &Scenario, size: Size, seed: u64, peer: Peer) -> Result<Self, SettingsError> {
-        let mut chance = Chance::new(seed, 1);
+        let mut chance = Rng::new(seed, 1);
         let settings = scenario.settings(size, 0);
         let halls = scenario.network.halls;
         let mut machines: Vec<Machine> = Vec::new();
@@ -144,14 +144,14 @@
             // Cells lie inside a hall.
             let cell = (i / u32::from(halls) / u32::from(scenario.servers.cell)) as u16 * u16::from(halls)
                 + u16::from(zone);
-            let model = Model::new(scenario.capacity(speed, i as usize), Duration::ZERO, false);
+            let model = ServerModel::new(scenario.capacity(speed, i as usize), Duration::ZERO, false);
             machines.push(Machine::new(model, speed, zone, cell, None));
         }
         let next_cell = machines.iter().map(|m| m.cell + 1).max().unwrap_or(0);
         let hall = Rc::new(RefCell::new(Hall { machines, rules: settings.rules.clone() }));
         let together = Rc::new(RefCell::new(Together::default()));
         let now = Time(ORIGIN);
-        let mut even = Chance::new(seed, 3);
+        let mut even = Rng::new(seed, 3);
         let mut sum = 0.0;
         let skew = scenario.nodes.skew;
         let weights = (0..size.nodes).filter(|_| skew > 0.0).map(|_| {
@@ -175,7 +175,7 @@
             orders: Vec::new(),
             tries: Vec::new(),
             chance,
-            clients: Chance::new(seed, 2),
+            clients: Rng::new(seed, 2),
             seed,
             next_job: 0,
             next_cell,
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/world/nodes.rs
@@ -4,7 +4,7 @@
 use super::{Node, World};
 use crate::agenda::Happening;
 use crate::book::Cause;
-use crate::chance::Chance;
+use crate::rng::Rng;
 use crate::scenario::{seconds, IDLE};
 use birchswitch_engine::{Answer, AttemptId, AttemptResult, Command, Engine, SendPermit};
 use birchswitch_health::ProbeSuppressor;
@@ -20,7 +20,7 @@
     pub(super) fn begin_node(&mut self, place: usize) -> Result<usize, SettingsError> {
         let node = self.nodes.len();
         let settings = self.scenario.settings(self.size, place as u32);
-        let seed = Chance::new(self.seed, 1000 + node as u64).bits();
+        let seed = Rng::new(self.seed, 1000 + node as u64).bits();
         let decide = self.peer.decide(settings.clone(), seed, self.now, &self.hall, &self.together)?;
         self.nodes.push(Node {
             engine: Engine::new(decide, &settings),
@@ -155,8 +155,7 @@
         let t = &mut self.tries[of];
         // The same try at its n-th attempt is the same work, whatever decides.
         let order = &self.orders[t.order];
-        let mut noise =
-            Chance::new(self.seed, (1 << 40) + t.order as u64 * 16 + u64::from(t.attempts.min(15)));
+        let mut noise = Rng::new(self.seed, (1 << 40) + t.order as u64 * 16 + u64::from(t.attempts.min(15)));
         let work = order.work * noise.lognormal(1.0, self.scenario.attempt_noise);
         t.attempts += 1;
         t.sent = Some((s, self.now, work));
--- a/crates/lab/src/world/servers.rs
+++ b/crates/lab/src/world/servers.rs
@@ -24,13 +24,13 @@
         let hall = self.hall.clone();
         let mut hall = hall.borrow_mut();
         let m = &mut hall.machines[server];
-        let had_fallen = m.model.fallen();
+        let had_fallen = m.model.collapsed();
         let value = call(m, now, &mut out);
-        if m.model.fallen() && !had_fallen {
+        if m.model.collapsed() && !had_fallen {
             self.book.broken.cold += 1;
         }
         self.book.borne = self.book.borne.max(m.model.most_borne());
-        let next = m.model.next().map(|d| Time(ORIGIN) + d);
+        let next = m.model.next_event().map(|d| Time(ORIGIN) + d);
         if let Some(next) = next.filter(|n| m.wake.is_none_or(|w| *n < w || w < self.now)) {
             m.wake = Some(next.max(self.now));
             self.agenda.put(next.max(self.now), Happening::Serve(server));
@@ -44,7 +44,7 @@
         let mut done = Vec::new();
         for progress in out.drain(..) {
             match progress {
-                Progress::Begun(job) => {
+                Progress::Started(job) => {
                     if let Some((_, _, of)) = m.jobs.get(&job) {
                         let o = &mut self.orders[self.tries[*of].order];
                         let again = match self.classes[usize::from(o.class)].effect {
@@ -58,7 +58,7 @@
                         o.begun.push(cell);
                     }
                 }
-                Progress::Done(job) => {
+                Progress::Completed(job) => {
                     m.done += 1;
                     done.extend(m.jobs.remove(&job));
                 }
@@ -90,14 +90,14 @@
         let admission = self.with(server, |m, now, out| {
             m.jobs.insert(job, whose);
             let admission = m.model.offer(now, job, work, out);
-            if admission == Admission::TurnedAway {
+            if admission == Admission::Rejected {
                 m.jobs.remove(&job);
             }
             admission
         });
         match admission {
-            Admission::TurnedAway => self.tell(server, whose, Outcome::Rejected),
-            Admission::Taken => {
+            Admission::Rejected => self.tell(server, whose, Outcome::Rejected),
+            Admission::Accepted => {
                 let o = &mut self.orders[self.tries[of].order];
                 let first = *o.taken.get_or_insert(self.now);
                 // A key is remembered for so long; a repeat after that runs again.
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -7,8 +7,8 @@
 use crate::script::{Deed, Fault, NodeFault, Script, Servers};
 use crate::server::{Server, Shared};
 use crate::site::{Site, WINDOW};
-use birchswitch_lab::chance::Chance;
 use birchswitch_lab::model::Capacity;
+use birchswitch_lab::rng::Rng;
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
         cores: plan.cores,
         queue: plan.cores * 8,
         speed: 1.0,
-        crowd: None,
+        contention: None,
         cold_from: 0.2,
         warm_up: plan.warm_up,
         fall_multiple: 3.0,
@@ -242,7 +242,7 @@
     let began = Instant::now();
     let orders = spawn_local(place_orders(plan.clone(), classes, clients, shared.clone()));
     let faults = async {
-        let mut chance = Chance::new(plan.script.seed, 2);
+        let mut chance = Rng::new(plan.script.seed, 2);
         let deeds = JoinSet::new();
         let mut fleet = Fleet { plan: &plan, registry: &registry, servers: &servers, nodes, deeds };
         let mut entries = plan.script.entries.iter().filter(|e| e.at < plan.length).peekable();
@@ -314,7 +314,7 @@
         Ok(())
     }
 
-    async fn carry_out(&mut self, deed: &Deed, chance: &mut Chance) -> Result<(), FleetError> {
+    async fn carry_out(&mut self, deed: &Deed, chance: &mut Rng) -> Result<(), FleetError> {
         match *deed {
             // The rig's: whoever reads scripts for this fleet turns them down.
             Deed::Nodes(..) | Deed::Wire(_) => {}
@@ -390,7 +390,7 @@
 async fn place_orders(plan: Plan, classes: Vec<Class>, clients: Rc<Clients>, shared: Rc<Shared>) {
     let classes = Rc::new(classes);
     let rate = plan.load * (plan.servers * plan.cores) as f64 / plan.work;
-    let mut chance = Chance::new(plan.script.seed, 1);
+    let mut chance = Rng::new(plan.script.seed, 1);
     let mut at = Instant::now();
     let end = at + plan.length;
     let mut open = JoinSet::new();
--- a/crates/standin/src/rig/common.rs
+++ b/crates/standin/src/rig/common.rs
@@ -7,7 +7,7 @@
 use super::scale::measure::{usage, Usage};
 use super::wallet::{Bank, Case, Shown, ACCOUNT, SOUND};
 use crate::script::Script;
-use birchswitch_lab::chance::Chance;
+use birchswitch_lab::rng::Rng;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -42,8 +42,8 @@
 }
 
 /// Some seconds of faults on so many nodes, healed at their end.
-fn fault(chance: &mut Chance, nodes: usize) -> (&'static str, String) {
-    let node = |chance: &mut Chance| chance.below(nodes);
+fn fault(chance: &mut Rng, nodes: usize) -> (&'static str, String) {
+    let node = |chance: &mut Rng| chance.below(nodes);
     match chance.below(6) {
         0 => {
             let (a, b) = (node(chance), node(chance));
@@ -93,7 +93,7 @@
         [("safe", ACCOUNT), ("unsafe", "two"), ("keyed", ACCOUNT), ("safe", "two"), ("unsafe", ACCOUNT)];
     let orders: Vec<Order> = mix.iter().map(|(class, tenant)| order(class, tenant)).collect();
     bank.orders(EACH, &orders);
-    let (mut chance, mut faults, mut sizes) = (Chance::new(seed, 21), BTreeMap::new(), Vec::new());
+    let (mut chance, mut faults, mut sizes) = (Rng::new(seed, 21), BTreeMap::new(), Vec::new());
     let (began, mut paid) = (Instant::now(), 0);
     while began.elapsed() < Duration::from_secs(minutes * 60) {
         let (kind, script) = fault(&mut chance, nodes);
--- a/crates/standin/src/rig/mod.rs
+++ b/crates/standin/src/rig/mod.rs
@@ -29,7 +29,7 @@
 use crate::script::{Entry, Script};
 use crate::scripted::member;
 use around::{surround, Around};
-use birchswitch_lab::chance::Chance;
+use birchswitch_lab::rng::Rng;
 use history::{now, Did, History, Line};
 pub use plan::{LeasePlan, Plan};
 use rustix::process::{kill_process, Pid, Signal};
@@ -134,7 +134,7 @@
     fronts: Desks,
     starts: Vec<usize>,
     record: Rc<Record>,
-    chance: Chance,
+    chance: Rng,
     deeds: JoinSet<()>,
 }
 
@@ -153,7 +153,7 @@
         for n in 0..places {
             around.push(surround(&plan, n, &alone, &mut streams).await.map_err(io("a way for connections"))?);
         }
-        let chance = Chance::new(plan.script.seed, 3);
+        let chance = Rng::new(plan.script.seed, 3);
         let mut rig = Rig {
             wire,
             streams,
--- a/crates/standin/src/rig/streams.rs
+++ b/crates/standin/src/rig/streams.rs
@@ -5,7 +5,7 @@
 //! way is cut is taken, and led on once it passes.
 
 use super::wire;
-use birchswitch_lab::chance::Chance;
+use birchswitch_lab::rng::Rng;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -83,7 +83,7 @@
         let address = listener.local_addr()?;
         let (faults, sent) = (self.faults.subscribe(), self.sent.clone());
         self.opened += 1;
-        let mut chance = Chance::new(self.opened, 17);
+        let mut chance = Rng::new(self.opened, 17);
         self.ways.spawn_local(async move {
             let mut open = JoinSet::new();
             loop {
@@ -99,7 +99,7 @@
                             let mut gate = |pair| {
                                 let seed = (chance.unit() * 1e9) as u64;
                                 let (faults, sent) = (faults.clone(), sent.clone());
-                                Gate { faults, pair, chance: Chance::new(seed, 18), sent }
+                                Gate { faults, pair, chance: Rng::new(seed, 18), sent }
                             };
                             let (there, back) = (gate((from, to)), gate((to, from)));
                             // Its end is either side's; neither has anything more to say of it.
@@ -118,7 +118,7 @@
 struct Gate {
     faults: watch::Receiver<Faults>,
     pair: (usize, usize),
-    chance: Chance,
+    chance: Rng,
     sent: Rc<RefCell<BTreeMap<usize, u64>>>,
 }
 
--- a/crates/standin/src/rig/takeovers.rs
+++ b/crates/standin/src/rig/takeovers.rs
@@ -4,7 +4,7 @@
 use super::leases::{contend, holders, overlaps, Act, Habit};
 use super::{LeasePlan, Plan, Rig, RigError};
 use crate::script::Script;
-use birchswitch_lab::chance::Chance;
+use birchswitch_lab::rng::Rng;
 use std::cell::RefCell;
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -109,7 +109,7 @@
 /// next but one.
 pub fn random_script(seconds: u64, seed: u64) -> String {
     let [nodes, voters] = NODES;
-    let mut chance = Chance::new(seed, 91);
+    let mut chance = Rng::new(seed, 91);
     let mut faults: Vec<(f64, String)> = Vec::new();
     let mut at = 1.0;
     while at < seconds as f64 {
--- a/crates/standin/src/rig/wire.rs
+++ b/crates/standin/src/rig/wire.rs
@@ -3,7 +3,7 @@
 //! Each place has a socket that stands for it: others are told that address, and what a node sends leaves from its own place's.
 //! So a node sees its peers at one address each, whatever process runs there.
 
-use birchswitch_lab::chance::Chance;
+use birchswitch_lab::rng::Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::io;
@@ -61,7 +61,7 @@
     places: Vec<Place>,
     faults: RefCell<Faults>,
     passed: RefCell<Passed>,
-    chance: RefCell<Chance>,
+    chance: RefCell<Rng>,
 }
 
 /// The address of a place within 127.0.0.0/8, for its process and for its stand-in on the wire.
@@ -94,7 +94,7 @@
             places: all,
             faults: RefCell::default(),
             passed: RefCell::default(),
-            chance: RefCell::new(Chance::new(seed, 9)),
+            chance: RefCell::new(Rng::new(seed, 9)),
         });
         let mut tasks = JoinSet::new();
         for n in 0..places {
@@ -172,7 +172,7 @@
         passed.sent[1] += bytes.len() as u64;
         let [datagrams, sent] = self.places[from].sent.get();
         self.places[from].sent.set([datagrams + 1, sent + bytes.len() as u64]);
-        let befalls = |chance: &mut Chance, part: u32| part > 0 && chance.unit() < f64::from(part) / 1e3;
+        let befalls = |chance: &mut Rng, part: u32| part > 0 && chance.unit() < f64::from(part) / 1e3;
         if faults.cut.contains(&(from, to)) || befalls(&mut chance, faults.lose) {
             passed.lost += 1;
             return Vec::new();
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,8 +1,8 @@
-//! A server on a socket: HTTP/1.1 in the platform's terms round a [`Model`].
+//! A server on a socket: HTTP/1.1 in the platform's terms round a [`ServerModel`].
 
 use crate::book::Book;
-use birchswitch_lab::chance::Chance;
-use birchswitch_lab::model::{Admission, Capacity, Job, Model, Progress};
+use birchswitch_lab::model::{Admission, Capacity, Job, Progress, ServerModel};
+use birchswitch_lab::rng::Rng;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -84,8 +84,8 @@
 }
 
 struct State {
-    model: Model,
-    chance: Chance,
+    model: ServerModel,
+    chance: Rng,
     next_job: Job,
     open: HashMap<Job, Open>,
     progress: Vec<Progress>,
@@ -112,10 +112,10 @@
         seed: u64,
         shared: Rc<Shared>,
     ) -> Rc<Self> {
-        let model = Model::new(capacity.clone(), Duration::ZERO, false);
+        let model = ServerModel::new(capacity.clone(), Duration::ZERO, false);
         let state = State {
             model,
-            chance: Chance::new(seed, 1000 + index as u64),
+            chance: Rng::new(seed, 1000 + index as u64),
             next_job: 0,
             open: HashMap::new(),
             progress: Vec::new(),
@@ -155,7 +155,7 @@
         self.address.set(listener.local_addr()?);
         self.resetting.set(false);
         let mut state = self.state.borrow_mut();
-        state.model = Model::new(self.capacity.clone(), self.shared.now(), cold);
+        state.model = ServerModel::new(self.capacity.clone(), self.shared.now(), cold);
         let accepting = spawn_local(self.clone().accept(listener));
         let working = spawn_local(self.clone().work());
         state.tasks = vec![accepting, working];
@@ -172,7 +172,7 @@
             let open = std::mem::take(&mut state.open);
             self.forget_waiting(&open);
             let book = &mut self.shared.book.borrow_mut().servers[self.index];
-            book.most_waiting = book.most_waiting.max(state.model.most_waiting());
+            book.most_waiting = book.most_waiting.max(state.model.max_queued());
             (std::mem::take(&mut state.tasks), open)
         };
         for task in tasks {
@@ -200,7 +200,7 @@
 
     /// Takes nothing new.
     pub fn drain(&self) {
-        self.state.borrow_mut().model.drain(true);
+        self.state.borrow_mut().model.set_draining(true);
     }
 
     /// Neither works nor speaks for so long.
@@ -213,12 +213,12 @@
         self.with_model(|model, now, out| model.slow(now, factor, length, out));
     }
 
-    fn with_model<T>(&self, call: impl FnOnce(&mut Model, Duration, &mut Vec<Progress>) -> T) -> T {
+    fn with_model<T>(&self, call: impl FnOnce(&mut ServerModel, Duration, &mut Vec<Progress>) -> T) -> T {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
-        let had_fallen = state.model.fallen();
+        let had_fallen = state.model.collapsed();
         let value = call(&mut state.model, self.shared.now(), &mut state.progress);
-        if state.model.fallen() && !had_fallen {
+        if state.model.collapsed() && !had_fallen {
             self.shared.book.borrow_mut().servers[self.index].fallen += 1;
         }
         self.book_progress(state);
@@ -228,7 +228,7 @@
 
     fn book_progress(&self, state: &mut State) {
         for progress in state.progress.drain(..) {
-            let (Progress::Begun(job) | Progress::Done(job)) = progress;
+            let (Progress::Started(job) | Progress::Completed(job)) = progress;
             let claim = |key: &Option<(u16, String)>, reached| {
                 let mut keys = self.shared.keys.borrow_mut();
                 let claim = key.as_ref().and_then(|k| keys.get_mut(k));
@@ -238,13 +238,13 @@
                     .for_each(|c| c.state = reached);
             };
             match progress {
-                Progress::Begun(_) => {
+                Progress::Started(_) => {
                     if let Some(open) = state.open.get(&job) {
                         claim(&open.key, Work::Begun);
                         self.shared.book.borrow_mut().run(self.index, open.class, open.order, open.work);
                     }
                 }
-                Progress::Done(_) => {
+                Progress::Completed(_) => {
                     if let Some(open) = state.open.remove(&job) {
                         claim(&open.key, Work::Over);
                         let _ = open.done.send(()); // Whoever asked may have left.
@@ -257,7 +257,7 @@
     /// Moves the model on as time passes.
     async fn work(self: Rc<Self>) {
         loop {
-            let next = self.state.borrow().model.next();
+            let next = self.state.borrow().model.next_event();
             let at = next.map(|n| self.shared.origin + n);
             tokio::select! {
                 () = self.changed.notified() => {}
@@ -356,7 +356,7 @@
         }
         let open = Open { class, order, work, key: key.clone(), done };
         self.state.borrow_mut().open.insert(job, open);
-        if self.with_model(|model, now, out| model.offer(now, job, work, out)) == Admission::TurnedAway {
+        if self.with_model(|model, now, out| model.offer(now, job, work, out)) == Admission::Rejected {
             self.state.borrow_mut().open.remove(&job);
             if let Some(key) = &key {
                 self.shared.keys.borrow_mut().remove(key);
--- a/crates/standin/tests/stand_ins.rs
+++ b/crates/standin/tests/stand_ins.rs
@@ -19,7 +19,7 @@
         cores: 1,
         queue: 1,
         speed: 1.0,
-        crowd: None,
+        contention: None,
         cold_from: 0.5,
         warm_up: Duration::from_secs(1),
         fall_multiple: 3.0,
