--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -7,7 +7,7 @@
 use crate::process::cpu;
 use crate::registry::Registry;
 use birchswitch_thrift::write::{self, Writer};
-use birchswitch_thrift::{frame, walk, Kind, Limits, MessageType, Protocol};
+use birchswitch_thrift::{frame, walk, Limits, MessageType, Protocol, ValueType};
 use serde_json::json;
 use std::fmt;
 use std::io::{Read, Write};
@@ -90,16 +90,16 @@
 fn thrift_message(protocol: Protocol, kind: MessageType, seqid: i32) -> Vec<u8> {
     fn fill(writer: &mut impl Writer, kind: MessageType, seqid: i32) {
         writer.header(kind, "browse", seqid, true);
-        writer.field(Kind::Binary, if kind == MessageType::Call { 1 } else { 0 }, 0, None);
+        writer.field(ValueType::Binary, if kind == MessageType::Call { 1 } else { 0 }, 0, None);
         writer.binary(&[b'x'; BODY]);
         writer.stop();
     }
-    let mut bytes = vec![0; frame::HEAD];
+    let mut bytes = vec![0; frame::HEADER_LEN];
     match protocol {
         Protocol::Binary => fill(&mut write::Binary(&mut bytes), kind, seqid),
         Protocol::Compact => fill(&mut write::Compact(&mut bytes), kind, seqid),
     }
-    frame::seal(&mut bytes);
+    frame::write_length(&mut bytes);
     bytes
 }
 
@@ -107,18 +107,18 @@
 fn thrift_load(protocol: Protocol, seqid: i32) -> Vec<u8> {
     fn fill(writer: &mut impl Writer, seqid: i32) {
         writer.header(MessageType::Reply, "load", seqid, true);
-        writer.field(Kind::I32, 1, 0, None);
+        writer.field(ValueType::I32, 1, 0, None);
         writer.i32(1);
-        writer.field(Kind::Double, 2, 1, None);
+        writer.field(ValueType::Double, 2, 1, None);
         writer.double(0.3);
         writer.stop();
     }
-    let mut bytes = vec![0; frame::HEAD];
+    let mut bytes = vec![0; frame::HEADER_LEN];
     match protocol {
         Protocol::Binary => fill(&mut write::Binary(&mut bytes), seqid),
         Protocol::Compact => fill(&mut write::Compact(&mut bytes), seqid),
     }
-    frame::seal(&mut bytes);
+    frame::write_length(&mut bytes);
     bytes
 }
 
@@ -177,13 +177,13 @@
         Way::Thrift(protocol) => {
             let limits = Limits::default();
             let length = frame::length(held, &limits).ok()??;
-            let content = held.get(frame::HEAD..frame::HEAD + length)?;
+            let content = held.get(frame::HEADER_LEN..frame::HEADER_LEN + length)?;
             let header = walk::header(protocol, content, &limits).ok()?;
             let reply = match header.name {
                 "load" => thrift_load(protocol, header.seqid),
                 _ => thrift_message(protocol, MessageType::Reply, header.seqid),
             };
-            Some((frame::HEAD + length, reply))
+            Some((frame::HEADER_LEN + length, reply))
         }
     }
 }
@@ -236,8 +236,8 @@
                 Way::Thrift(protocol) => {
                     let limits = Limits::default();
                     let Ok(Some(length)) = frame::length(&buffer[..held], &limits) else { continue };
-                    if held >= frame::HEAD + length {
-                        let header = walk::header(protocol, &buffer[frame::HEAD..held], &limits);
+                    if held >= frame::HEADER_LEN + length {
+                        let header = walk::header(protocol, &buffer[frame::HEADER_LEN..held], &limits);
                         break header.is_ok_and(|h| h.kind == MessageType::Reply);
                     }
                 }
--- a/crates/thrift-proxy/benches/allocations.rs
+++ b/crates/thrift-proxy/benches/allocations.rs
@@ -6,8 +6,8 @@
 use birchswitch_membership::{list::ServerList, Directory};
 use birchswitch_standin::scripted;
 use birchswitch_thrift::write::{Binary, Writer};
-use birchswitch_thrift::{frame, Kind, MessageType};
-use birchswitch_thrift_proxy::{Front, Settings, ThriftUpstream};
+use birchswitch_thrift::{frame, MessageType, ValueType};
+use birchswitch_thrift_proxy::{Settings, ThriftFrontend, ThriftUpstream};
 use serde_json::json;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
@@ -37,13 +37,13 @@
 static ALLOCATOR: Counted = Counted;
 
 fn message(kind: MessageType, seqid: i32) -> Vec<u8> {
-    let mut bytes = vec![0; frame::HEAD];
+    let mut bytes = vec![0; frame::HEADER_LEN];
     let mut writer = Binary(&mut bytes);
     writer.header(kind, "browse", seqid, true);
-    writer.field(Kind::Binary, 1, 0, None);
+    writer.field(ValueType::Binary, 1, 0, None);
     writer.binary(&[b'x'; 128]);
     writer.stop();
-    frame::seal(&mut bytes);
+    frame::write_length(&mut bytes);
     bytes
 }
 
@@ -54,7 +54,7 @@
             let _ = stream.set_nodelay(true);
             let mut call = message(MessageType::Call, 0);
             while stream.read_exact(&mut call).is_ok() {
-                let at = frame::HEAD + 8 + "browse".len();
+                let at = frame::HEADER_LEN + 8 + "browse".len();
                 let seqid = i32::from_be_bytes(call[at..at + 4].try_into().expect("four bytes"));
                 if stream.write_all(&message(MessageType::Reply, seqid)).is_err() {
                     return;
@@ -86,7 +86,7 @@
     let compiled = Rc::new(settings.compile(&site.settings, &names).expect("settings"));
     let upstream = ThriftUpstream::new(compiled.clone(), Duration::from_secs(1), Duration::from_secs(60));
     let directory = Directory::new(names.clone());
-    let site = compiled.site(site.settings);
+    let site = compiled.site_settings(site.settings);
     let metrics = Metrics::new(&[]).expect("fixed names");
     let host = Host::new("bench".into(), site, 1, directory, upstream, metrics).expect("settings");
     host.load_cached_list(None);
@@ -98,7 +98,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let (_close, closing) = tokio::sync::watch::channel(false);
-    tokio::task::spawn_local(Front::new(host, compiled, names, closing).serve(listener));
+    tokio::task::spawn_local(ThriftFrontend::new(host, compiled, names, closing).serve(listener));
     const CALLS: i32 = 20_000;
     let run = async |calls| {
         let (done, wait) = tokio::sync::oneshot::channel();
--- a/crates/thrift-proxy/src/messages.rs
+++ b/crates/thrift-proxy/src/decoder.rs
@@ -10,21 +10,21 @@
 
 /// See the module's own words.
 #[derive(Debug)]
-pub struct Messages {
+pub struct MessageDecoder {
     held: BytesMut,
     dialect: Option<Dialect>,
     limits: Limits,
     nothing: Paths,
 }
 
-impl Messages {
+impl MessageDecoder {
     /// From a connection's first byte on. Without a dialect it is told by the first bytes.
     pub fn new(dialect: Option<Dialect>, limits: Limits) -> Self {
-        Messages { held: BytesMut::new(), dialect, limits, nothing: Paths::default() }
+        MessageDecoder { held: BytesMut::new(), dialect, limits, nothing: Paths::default() }
     }
 
     /// Where what comes is to be put.
-    pub fn room(&mut self) -> &mut BytesMut {
+    pub fn read_buffer(&mut self) -> &mut BytesMut {
         self.held.reserve(READ);
         &mut self.held
     }
@@ -42,17 +42,17 @@
     /// The next whole message without its frame; None: more has to come. A frame's content is not looked into.
     ///
     /// Errors are final: where the next message begins is not known any more.
-    pub fn message(&mut self) -> Result<Option<Bytes>, Error> {
+    pub fn next_message(&mut self) -> Result<Option<Bytes>, Error> {
         if self.dialect.is_none() {
             self.dialect = detect(&self.held, &self.limits)?;
         }
         let Some(dialect) = self.dialect else { return Ok(None) };
         if dialect.framed {
             let Some(length) = frame::length(&self.held, &self.limits)? else { return Ok(None) };
-            if self.held.len() < frame::HEAD + length {
+            if self.held.len() < frame::HEADER_LEN + length {
                 return Ok(None);
             }
-            self.held.advance(frame::HEAD);
+            self.held.advance(frame::HEADER_LEN);
             return Ok(Some(self.held.split_to(length).freeze()));
         }
         if self.held.is_empty() {
@@ -61,14 +61,14 @@
         let walked = walk::message(dialect.protocol, &self.held, &self.nothing, &self.limits);
         match walked.map(|message| message.end) {
             Ok(end) => Ok(Some(self.held.split_to(end).freeze())),
-            Err(error) if error.is_cut() => Ok(None),
+            Err(error) if error.is_truncated() => Ok(None),
             Err(error) => Err(error),
         }
     }
 
     /// What is held and can't be a message, for what its header still tells.
-    pub fn spoilt(&self) -> &[u8] {
+    pub fn undecodable(&self) -> &[u8] {
         let framed = self.dialect.is_some_and(|d| d.framed);
-        self.held.get(if framed { frame::HEAD } else { 0 }..).unwrap_or_default()
+        self.held.get(if framed { frame::HEADER_LEN } else { 0 }..).unwrap_or_default()
     }
 }
--- a/crates/thrift-proxy/src/front/call.rs
+++ b/crates/thrift-proxy/src/front/call.rs
@@ -1,7 +1,7 @@
 //! One call: what its header and arguments say, and its answer from the engine.
 
-use super::Front;
-use crate::messages::Messages;
+use super::ThriftFrontend;
+use crate::decoder::MessageDecoder;
 use crate::settings::CompiledMethod;
 use crate::upstream::Call;
 use birchswitch_engine::{Answer, Incoming};
@@ -50,7 +50,7 @@
     pub(super) arrived: Instant,
 }
 
-impl Front {
+impl ThriftFrontend {
     /// Reads what a message says of its call, or what to answer instead, and whether the connection goes on.
     pub(super) fn read_call<'a>(
         &'a self,
@@ -77,7 +77,7 @@
         };
         let nothing = Paths::default();
         let paths = method.map_or(&nothing, |m| &m.paths);
-        let message = match walk::framed(dialect.protocol, bytes, paths, limits) {
+        let message = match walk::framed_message(dialect.protocol, bytes, paths, limits) {
             Ok(message) => message,
             Err(error) => {
                 return Err(rejection((ExceptionType::ProtocolError, error.to_string()), false));
@@ -139,9 +139,9 @@
     }
 
     /// An exception in answer to what can't be read, where its name and sequence id can.
-    pub(super) fn spoilt(&self, messages: &Messages) -> Option<Vec<u8>> {
+    pub(super) fn spoilt(&self, messages: &MessageDecoder) -> Option<Vec<u8>> {
         let dialect = messages.dialect()?;
-        let header = walk::header(dialect.protocol, messages.spoilt(), &self.settings.limits).ok()?;
+        let header = walk::header(dialect.protocol, messages.undecodable(), &self.settings.limits).ok()?;
         let text = "the message can't be read, or is too large";
         (header.kind == MessageType::Call)
             .then(|| exception(dialect, &header, ExceptionType::ProtocolError, text))
@@ -206,7 +206,7 @@
         let (limits, from) = (&self.settings.limits, self.settings.servers.protocol);
         let mut out = Vec::with_capacity(reply.len() + 16);
         if dialect.framed {
-            out.extend_from_slice(&[0; frame::HEAD]);
+            out.extend_from_slice(&[0; frame::HEADER_LEN]);
         }
         if from == dialect.protocol {
             let header = walk::header(from, reply, limits).ok()?;
@@ -215,17 +215,17 @@
             transcode::message(&mut out, from, reply, call.seqid, call.strict, limits).ok()?;
         }
         if dialect.framed {
-            frame::seal(&mut out);
+            frame::write_length(&mut out);
         }
         Some(out)
     }
 }
 
 fn exception(dialect: Dialect, call: &Header, kind: ExceptionType, text: &str) -> Vec<u8> {
-    let mut out = vec![0; if dialect.framed { frame::HEAD } else { 0 }];
+    let mut out = vec![0; if dialect.framed { frame::HEADER_LEN } else { 0 }];
     write::exception(&mut out, dialect.protocol, call, kind, text);
     if dialect.framed {
-        frame::seal(&mut out);
+        frame::write_length(&mut out);
     }
     out
 }
--- a/crates/thrift-proxy/src/front/connection.rs
+++ b/crates/thrift-proxy/src/front/connection.rs
@@ -1,8 +1,8 @@
 //! One client's connection: reads its calls in turn, and writes their replies as they come.
 
 use super::call::{AcceptedCall, Rejection};
-use super::{Front, EVICT_IDLE_AFTER, EVICT_NEW_AFTER};
-use crate::messages::Messages;
+use super::{ThriftFrontend, EVICT_IDLE_AFTER, EVICT_NEW_AFTER};
+use crate::decoder::MessageDecoder;
 use birchswitch_host::socket::{is_open_and_idle, linger, wait_read_closed};
 use rustc_hash::FxHashSet;
 use std::cell::{Cell, RefCell};
@@ -106,7 +106,7 @@
     Abandoned,
 }
 
-impl Front {
+impl ThriftFrontend {
     pub(super) async fn serve_connection(self: Rc<Self>, stream: TcpStream, client: &Rc<Client>) {
         let (mut reading, writing) = stream.into_split();
         let (replies, queue) = mpsc::channel(self.settings.settings.pipeline as usize + 1);
@@ -141,13 +141,13 @@
         replies: &mpsc::Sender<Vec<u8>>,
         calls: &mut JoinSet<()>,
     ) -> ConnectionEnd {
-        let mut messages = Messages::new(self.settings.clients, self.settings.limits);
+        let mut messages = MessageDecoder::new(self.settings.clients, self.settings.limits);
         let in_flight = Rc::new(InFlight::default());
         let (mut number, mut under_way) = (0u64, None);
         // What is whole came with the latest bytes at the latest.
         let mut came = Instant::now();
         loop {
-            let bytes = match messages.message() {
+            let bytes = match messages.next_message() {
                 Ok(Some(bytes)) => bytes,
                 Ok(None) => {
                     under_way = (!messages.is_empty()).then(|| under_way.unwrap_or_else(Instant::now));
@@ -237,7 +237,7 @@
     async fn more(
         &self,
         reading: &mut OwnedReadHalf,
-        messages: &mut Messages,
+        messages: &mut MessageDecoder,
         client: &Client,
         under_way: Option<Instant>,
     ) -> Option<ConnectionEnd> {
@@ -265,7 +265,7 @@
             tokio::select! {
                 biased; // What has come is read before anything ends.
                 ready = reading.readable() => {
-                    match ready.and_then(|()| reading.try_read_buf(messages.room())) {
+                    match ready.and_then(|()| reading.try_read_buf(messages.read_buffer())) {
                         Ok(0) => return Some(ConnectionEnd::Abandoned),
                         Ok(_) => return None,
                         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/crates/thrift-proxy/src/front/mod.rs
+++ b/crates/thrift-proxy/src/front/mod.rs
@@ -1,12 +1,12 @@
 //! The clients' side: accepts connections, reads calls and writes replies by sequence id as they come.
 //!
-//! [`Front`] accepts connections and evicts idle ones; `connection` reads the calls of one connection; `call` reads what a call
+//! [`ThriftFrontend`] accepts connections and evicts idle ones; `connection` reads the calls of one connection; `call` reads what a call
 //! says of itself and has it answered.
 
 mod call;
 mod connection;
 
-use crate::settings::Compiled;
+use crate::settings::ThriftSettings;
 use crate::upstream::ThriftUpstream;
 use birchswitch_host::socket::queued_connections;
 use birchswitch_host::Host;
@@ -32,9 +32,9 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves one listener.
-pub struct Front {
+pub struct ThriftFrontend {
     host: Rc<Host<ThriftUpstream>>,
-    settings: Rc<Compiled>,
+    settings: Rc<ThriftSettings>,
     names: Rc<Names>,
     /// Up once the node closes.
     closing: watch::Receiver<bool>,
@@ -45,16 +45,16 @@
     next_client: Cell<u64>,
 }
 
-impl Front {
+impl ThriftFrontend {
     /// For one listener.
     pub fn new(
         host: Rc<Host<ThriftUpstream>>,
-        settings: Rc<Compiled>,
+        settings: Rc<ThriftSettings>,
         names: Rc<Names>,
         closing: watch::Receiver<bool>,
     ) -> Rc<Self> {
         let (connections, memory) = (settings.settings.connections, settings.settings.memory_mb);
-        Rc::new(Front {
+        Rc::new(ThriftFrontend {
             host,
             names,
             closing,
--- a/crates/thrift-proxy/src/lib.rs
+++ b/crates/thrift-proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! Thrift on the engine: [`Front`] takes clients' calls, [`ThriftUpstream`] makes them on servers, [`Settings`] says
+//! Thrift on the engine: [`ThriftFrontend`] takes clients' calls, [`ThriftUpstream`] makes them on servers, [`Settings`] says
 //! what a method is.
 //!
 //! A call passes as the bytes that the client wrote, under another sequence id and, where clients and servers speak
@@ -7,12 +7,12 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+mod decoder;
 mod front;
-mod messages;
 mod settings;
 mod upstream;
 
-pub use front::Front;
-pub use messages::Messages;
-pub use settings::{Compiled, Settings, SettingsError};
+pub use decoder::MessageDecoder;
+pub use front::ThriftFrontend;
+pub use settings::{Settings, SettingsError, ThriftSettings};
 pub use upstream::{Call, ThriftUpstream};
--- a/crates/thrift-proxy/src/settings.rs
+++ b/crates/thrift-proxy/src/settings.rs
@@ -179,7 +179,7 @@
 }
 
 /// Settings ready for use.
-pub struct Compiled {
+pub struct ThriftSettings {
     /// As they were given.
     pub settings: Settings,
     pub(crate) clients: Option<Dialect>,
@@ -203,7 +203,7 @@
 
 impl Settings {
     /// Checks everything against the site's settings.
-    pub fn compile(self, site: &finchvale::Settings, names: &Names) -> Result<Compiled, SettingsError> {
+    pub fn compile(self, site: &finchvale::Settings, names: &Names) -> Result<ThriftSettings, SettingsError> {
         let error = |problem: String| SettingsError { listener: self.name.clone(), problem };
         let path = |text: &str| Paths::parse(text).map_err(|e| error(e.to_string()));
         for (what, value) in [
@@ -272,13 +272,13 @@
         let limits = Limits { message, string: message, elements: message, ..Limits::default() };
         let clients = self.dialect.dialect();
         let default_tenant = default_tenant.and_then(|t| u16::try_from(t).ok()).map(TenantId);
-        Ok(Compiled { settings: self, clients, servers, limits, methods, default_tenant, load, report })
+        Ok(ThriftSettings { settings: self, clients, servers, limits, methods, default_tenant, load, report })
     }
 }
 
-impl Compiled {
+impl ThriftSettings {
     /// The site's settings as they are for these servers: reports come as the operator says.
-    pub fn site(&self, mut site: finchvale::Settings) -> finchvale::Settings {
+    pub fn site_settings(&self, mut site: finchvale::Settings) -> finchvale::Settings {
         site.may_probe = self.load.is_some();
         site.reports = match (&self.load, &self.report) {
             (Some(_), _) => Reports::ByProbe,
--- a/crates/thrift-proxy/src/upstream.rs
+++ b/crates/thrift-proxy/src/upstream.rs
@@ -1,7 +1,7 @@
 //! The servers' side: connections to Thrift servers, one call at a time on each.
 
-use crate::messages::Messages;
-use crate::settings::Compiled;
+use crate::decoder::MessageDecoder;
+use crate::settings::ThriftSettings;
 use birchswitch_engine::{AttemptResult, SendPermit};
 use birchswitch_host::pool::{Limits, NewConnection, Pool, PooledConnection, Server};
 use birchswitch_host::socket::is_open_and_idle;
@@ -32,7 +32,7 @@
 
 struct Connection {
     stream: TcpStream,
-    messages: Messages,
+    messages: MessageDecoder,
     generation: u64,
     _slot: OwnedSemaphorePermit,
 }
@@ -49,7 +49,7 @@
 
 /// All servers of a listener and the connections to them.
 pub struct ThriftUpstream {
-    settings: Rc<Compiled>,
+    settings: Rc<ThriftSettings>,
     pool: Pool<Connection>,
     next_seqid: Cell<i32>,
 }
@@ -66,7 +66,7 @@
 
 impl ThriftUpstream {
     /// Starts with no servers.
-    pub fn new(settings: Rc<Compiled>, connect_timeout: Duration, conn_idle: Duration) -> Rc<Self> {
+    pub fn new(settings: Rc<ThriftSettings>, connect_timeout: Duration, conn_idle: Duration) -> Rc<Self> {
         let connections = settings.settings.servers.connections as usize;
         // Replies are told apart by their sequence ids: no connection has to rest.
         let limits = Limits { connections, connect_timeout, conn_idle, reuse_delay: Duration::ZERO };
@@ -83,7 +83,7 @@
             return Ok(connection);
         }
         let NewConnection { stream, slot, generation } = self.pool.connect(server).await?;
-        let messages = Messages::new(Some(self.settings.servers), self.settings.limits);
+        let messages = MessageDecoder::new(Some(self.settings.servers), self.settings.limits);
         Ok(Connection { stream, messages, generation, _slot: slot })
     }
 
@@ -97,7 +97,7 @@
         let dialect = self.settings.servers;
         let mut out = Vec::with_capacity(call.message.len() + 16);
         if dialect.framed {
-            out.extend_from_slice(&[0; frame::HEAD]);
+            out.extend_from_slice(&[0; frame::HEADER_LEN]);
         }
         if call.protocol == dialect.protocol {
             let header = walk::header(call.protocol, &call.message, &self.settings.limits)?;
@@ -106,7 +106,7 @@
             transcode::message(&mut out, call.protocol, &call.message, seqid, true, &self.settings.limits)?;
         }
         if dialect.framed {
-            frame::seal(&mut out);
+            frame::write_length(&mut out);
         }
         Ok(out)
     }
@@ -125,11 +125,11 @@
     /// Reads the reply to the call of this id and method.
     async fn read(&self, connection: &mut Connection, seqid: i32, method: &str) -> Exchanged {
         loop {
-            match connection.messages.message() {
+            match connection.messages.next_message() {
                 Ok(Some(reply)) => {
                     let protocol = self.settings.servers.protocol;
                     let nothing = Paths::default();
-                    let walked = walk::framed(protocol, &reply, &nothing, &self.settings.limits);
+                    let walked = walk::framed_message(protocol, &reply, &nothing, &self.settings.limits);
                     let ours = |h: &Header| {
                         let answers = matches!(h.kind, MessageType::Reply | MessageType::Exception);
                         answers && h.seqid == seqid && h.name == method
@@ -144,7 +144,8 @@
                 Ok(None) => {}
                 Err(_) => return Exchanged::Broken,
             }
-            if !matches!(connection.stream.read_buf(connection.messages.room()).await, Ok(n) if n > 0) {
+            if !matches!(connection.stream.read_buf(connection.messages.read_buffer()).await, Ok(n) if n > 0)
+            {
                 return Exchanged::Broken;
             }
         }
@@ -250,7 +251,7 @@
         };
         let seqid = self.seqid();
         let dialect = self.settings.servers;
-        let mut bytes = vec![0; if dialect.framed { frame::HEAD } else { 0 }];
+        let mut bytes = vec![0; if dialect.framed { frame::HEADER_LEN } else { 0 }];
         fn ask(writer: &mut impl Writer, method: &str, seqid: i32) {
             writer.header(MessageType::Call, method, seqid, true);
             writer.stop();
@@ -260,7 +261,7 @@
             Protocol::Compact => ask(&mut write::Compact(&mut bytes), method, seqid),
         }
         if dialect.framed {
-            frame::seal(&mut bytes);
+            frame::write_length(&mut bytes);
         }
         if Self::write(&mut connection, &bytes).await.is_err() {
             return ticket.finish(Outcome::Unreachable, None);
--- a/crates/thrift/benches/walk.rs
+++ b/crates/thrift/benches/walk.rs
@@ -62,7 +62,9 @@
             let mut group = c.benchmark_group(format!("{protocol:?}, {} bytes", bytes.len()));
             group.throughput(Throughput::Bytes(bytes.len() as u64));
             group.bench_function("walk", |b| {
-                b.iter(|| walk::framed(protocol, black_box(&bytes), &paths, &limits).expect("a message").end)
+                b.iter(|| {
+                    walk::framed_message(protocol, black_box(&bytes), &paths, &limits).expect("a message").end
+                })
             });
             group.bench_function("the thrift crate decodes", |b| {
                 b.iter(|| decode(protocol, black_box(&bytes)))
--- a/crates/thrift/src/detect.rs
+++ b/crates/thrift/src/detect.rs
@@ -4,7 +4,7 @@
 //! a name, a frame with the length of a message: both small numbers. They are told apart by what stands behind them.
 
 use crate::read::COMPACT_ID;
-use crate::{Error, Limits, Problem, Protocol};
+use crate::{Error, ErrorKind, Limits, Protocol};
 
 /// What is spoken on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -22,7 +22,7 @@
 /// another protocol's first bytes are not waited on.
 pub fn detect(bytes: &[u8], limits: &Limits) -> Result<Option<Dialect>, Error> {
     let dialect = |protocol, framed| Ok(Some(Dialect { protocol, framed }));
-    let none = |offset| Err(Error { offset, problem: Problem::NoHeader });
+    let none = |offset| Err(Error { offset, kind: ErrorKind::NoHeader });
     match *bytes {
         [] | [0x80] => return Ok(None),
         [0x80, 0x01, ..] => return dialect(Protocol::Binary, false),
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -6,7 +6,7 @@
 //! the other.
 //!
 //! Bytes from outside are never trusted: every error is an [`Error`] with the offset of what is at fault, and
-//! [`Limits`] bound depth, sizes and lengths. Input that ends too early is [`Error::is_cut`]: more may come.
+//! [`Limits`] bound depth, sizes and lengths. Input that ends too early is [`Error::is_truncated`]: more may come.
 //!
 //! After the public specifications of the Thrift project ("Thrift Binary protocol encoding", "Thrift Compact protocol
 //! encoding", "Thrift Remote Procedure Call").
@@ -22,7 +22,7 @@
 pub mod walk;
 pub mod write;
 
-pub use error::{Error, Problem, What};
+pub use error::{Error, ErrorKind, SizedItem};
 
 /// The two encodings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -47,13 +47,13 @@
 }
 
 impl MessageType {
-    pub(crate) fn read(number: u8) -> Result<Self, Problem> {
+    pub(crate) fn read(number: u8) -> Result<Self, ErrorKind> {
         match number {
             1 => Ok(MessageType::Call),
             2 => Ok(MessageType::Reply),
             3 => Ok(MessageType::Exception),
             4 => Ok(MessageType::Oneway),
-            _ => Err(Problem::MessageType(number)),
+            _ => Err(ErrorKind::UnknownMessageType(number)),
         }
     }
 }
@@ -61,7 +61,7 @@
 /// The types of values, in neither protocol's numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs)] // They are Thrift's own names.
-pub enum Kind {
+pub enum ValueType {
     Bool,
     I8,
     I16,
--- a/crates/thrift/src/read.rs
+++ b/crates/thrift/src/read.rs
@@ -1,6 +1,6 @@
 //! Cursors over both protocols, with one face.
 
-use crate::{Error, Kind, Limits, MessageType, Problem, What};
+use crate::{Error, ErrorKind, Limits, MessageType, SizedItem, ValueType};
 
 /// A message's header, as read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,14 +11,14 @@
     /// Binary only: with a version word.
     pub(crate) strict: bool,
     /// Where the sequence id lies.
-    pub(crate) seqid_at: (usize, usize),
+    pub(crate) seqid_range: (usize, usize),
 }
 
 /// A field's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Field {
     pub(crate) id: i16,
-    pub(crate) kind: Kind,
+    pub(crate) kind: ValueType,
     /// The compact protocol keeps a bool's value here.
     pub(crate) value: Option<bool>,
 }
@@ -33,8 +33,8 @@
 
 impl<'a> Cursor<'a> {
     #[cold]
-    pub(crate) fn error<T>(&self, offset: usize, problem: Problem) -> Result<T, Error> {
-        Err(Error { offset, problem })
+    pub(crate) fn error<T>(&self, offset: usize, kind: ErrorKind) -> Result<T, Error> {
+        Err(Error { offset, kind })
     }
 
     #[inline(always)]
@@ -44,7 +44,7 @@
                 self.at += n;
                 Ok(bytes)
             }
-            None => self.error(self.at, Problem::Cut),
+            None => self.error(self.at, ErrorKind::Truncated),
         }
     }
 
@@ -55,7 +55,7 @@
                 self.at += 1;
                 Ok(*byte)
             }
-            None => self.error(self.at, Problem::Cut),
+            None => self.error(self.at, ErrorKind::Truncated),
         }
     }
 
@@ -86,7 +86,7 @@
             let part = u64::from(byte & 0x7f);
             // What doesn't fit is not cut off: it would be another value.
             if bits - shift < 7 && part >> (bits - shift) != 0 {
-                return self.error(start, Problem::Varint);
+                return self.error(start, ErrorKind::InvalidVarint);
             }
             value |= part << shift;
             if byte < 0x80 {
@@ -94,7 +94,7 @@
             }
             shift += 7;
         }
-        self.error(start, Problem::Varint)
+        self.error(start, ErrorKind::InvalidVarint)
     }
 
     /// A signed varint, zigzag.
@@ -105,16 +105,16 @@
     }
 
     #[inline(always)]
-    fn checked(&self, at: usize, what: What, size: u32, limit: usize) -> Result<usize, Error> {
+    fn checked(&self, at: usize, what: SizedItem, size: u32, limit: usize) -> Result<usize, Error> {
         if size as usize <= limit {
             return Ok(size as usize);
         }
-        self.error(at, Problem::TooLarge { what, size, limit: limit as u32 })
+        self.error(at, ErrorKind::TooLarge { what, size, limit: limit as u32 })
     }
 
     fn name(&mut self, at: usize, length: usize) -> Result<&'a str, Error> {
         let bytes = self.take(length)?;
-        std::str::from_utf8(bytes).or_else(|_| self.error(at, Problem::Name))
+        std::str::from_utf8(bytes).or_else(|_| self.error(at, ErrorKind::NameNotUtf8))
     }
 }
 
@@ -126,9 +126,9 @@
     /// The next field after one of id `last`; None at the struct's end.
     fn field(&mut self, last: i16) -> Result<Option<Field>, Error>;
     /// A list's or set's element type and size.
-    fn list(&mut self) -> Result<(Kind, usize), Error>;
+    fn list(&mut self) -> Result<(ValueType, usize), Error>;
     /// A map's key and value types and its size; an empty one may not tell types.
-    fn map(&mut self) -> Result<(Option<(Kind, Kind)>, usize), Error>;
+    fn map(&mut self) -> Result<(Option<(ValueType, ValueType)>, usize), Error>;
     fn binary(&mut self) -> Result<&'a [u8], Error>;
     /// A bool as an element.
     fn bool(&mut self) -> Result<bool, Error>;
@@ -137,9 +137,9 @@
     fn i64(&mut self) -> Result<i64, Error>;
     fn double(&mut self) -> Result<f64, Error>;
     /// The width of a type, where all its values have the same.
-    fn width(kind: Kind) -> Option<usize>;
+    fn width(kind: ValueType) -> Option<usize>;
     /// Skips a varint or a fixed number without looking at its value.
-    fn skip_number(&mut self, kind: Kind) -> Result<(), Error>;
+    fn skip_number(&mut self, kind: ValueType) -> Result<(), Error>;
 }
 
 /// The binary protocol.
@@ -150,31 +150,31 @@
 
 impl<'a> Binary<'a> {
     #[inline(always)]
-    fn kind(&self, at: usize, number: u8) -> Result<Kind, Error> {
+    fn kind(&self, at: usize, number: u8) -> Result<ValueType, Error> {
         Ok(match number {
-            2 => Kind::Bool,
-            3 => Kind::I8,
-            4 => Kind::Double,
-            6 => Kind::I16,
-            8 => Kind::I32,
-            10 => Kind::I64,
-            11 => Kind::Binary,
-            12 => Kind::Struct,
-            13 => Kind::Map,
-            14 => Kind::Set,
-            15 => Kind::List,
-            16 => Kind::Uuid,
-            _ => return self.0.error(at, Problem::Type(number)),
+            2 => ValueType::Bool,
+            3 => ValueType::I8,
+            4 => ValueType::Double,
+            6 => ValueType::I16,
+            8 => ValueType::I32,
+            10 => ValueType::I64,
+            11 => ValueType::Binary,
+            12 => ValueType::Struct,
+            13 => ValueType::Map,
+            14 => ValueType::Set,
+            15 => ValueType::List,
+            16 => ValueType::Uuid,
+            _ => return self.0.error(at, ErrorKind::UnknownValueType(number)),
         })
     }
 
     #[inline(always)]
-    fn size(&mut self, what: What, limit: usize) -> Result<usize, Error> {
+    fn size(&mut self, what: SizedItem, limit: usize) -> Result<usize, Error> {
         let at = self.0.at;
         let size = self.i32()?;
         match u32::try_from(size) {
             Ok(size) => self.0.checked(at, what, size, limit),
-            Err(_) => self.0.error(at, Problem::Negative(size)),
+            Err(_) => self.0.error(at, ErrorKind::NegativeSize(size)),
         }
     }
 }
@@ -196,26 +196,26 @@
         if first[0] & 0x80 != 0 {
             let version = u16::from_be_bytes([first[0], first[1]]);
             if version != STRICT {
-                return self.0.error(at, Problem::Version(version));
+                return self.0.error(at, ErrorKind::UnknownVersion(version));
             }
             let kind = MessageType::read(first[3]).or_else(|p| self.0.error(at + 3, p))?;
-            let length = self.size(What::Name, limit)?;
+            let length = self.size(SizedItem::Name, limit)?;
             let name = self.0.name(at + 8, length)?;
-            let seqid_at = (self.0.at, self.0.at + 4);
+            let seqid_range = (self.0.at, self.0.at + 4);
             let seqid = self.i32()?;
-            return Ok(RawHeader { kind, name, seqid, strict: true, seqid_at });
+            return Ok(RawHeader { kind, name, seqid, strict: true, seqid_range });
         }
-        let length = self.0.checked(at, What::Name, u32::from_be_bytes(first), limit)?;
+        let length = self.0.checked(at, SizedItem::Name, u32::from_be_bytes(first), limit)?;
         if length == 0 {
-            return self.0.error(at, Problem::NoHeader);
+            return self.0.error(at, ErrorKind::NoHeader);
         }
         let name = self.0.name(at + 4, length)?;
         let kind_at = self.0.at;
         let kind = self.0.byte()?;
         let kind = MessageType::read(kind).or_else(|p| self.0.error(kind_at, p))?;
-        let seqid_at = (self.0.at, self.0.at + 4);
+        let seqid_range = (self.0.at, self.0.at + 4);
         let seqid = self.i32()?;
-        Ok(RawHeader { kind, name, seqid, strict: false, seqid_at })
+        Ok(RawHeader { kind, name, seqid, strict: false, seqid_range })
     }
 
     #[inline(always)]
@@ -231,26 +231,26 @@
             0 => Ok(None),
             number => {
                 self.kind(at, number)?;
-                self.0.error(at + 1, Problem::Cut)
+                self.0.error(at + 1, ErrorKind::Truncated)
             }
         }
     }
 
-    fn list(&mut self) -> Result<(Kind, usize), Error> {
+    fn list(&mut self) -> Result<(ValueType, usize), Error> {
         let at = self.0.at;
         let number = self.0.byte()?;
         let limit = self.0.limits.elements;
-        let size = self.size(What::Container, limit)?;
+        let size = self.size(SizedItem::Container, limit)?;
         // An empty one may name no type.
-        let kind = if number == 0 && size == 0 { Kind::Bool } else { self.kind(at, number)? };
+        let kind = if number == 0 && size == 0 { ValueType::Bool } else { self.kind(at, number)? };
         Ok((kind, size))
     }
 
-    fn map(&mut self) -> Result<(Option<(Kind, Kind)>, usize), Error> {
+    fn map(&mut self) -> Result<(Option<(ValueType, ValueType)>, usize), Error> {
         let at = self.0.at;
         let (key, value) = (self.0.byte()?, self.0.byte()?);
         let limit = self.0.limits.elements;
-        let size = self.size(What::Container, limit)?;
+        let size = self.size(SizedItem::Container, limit)?;
         if size == 0 && (key, value) == (0, 0) {
             return Ok((None, 0));
         }
@@ -260,7 +260,7 @@
     #[inline(always)]
     fn binary(&mut self) -> Result<&'a [u8], Error> {
         let limit = self.0.limits.string;
-        let length = self.size(What::String, limit)?;
+        let length = self.size(SizedItem::String, limit)?;
         self.0.take(length)
     }
 
@@ -287,19 +287,19 @@
     }
 
     #[inline(always)]
-    fn width(kind: Kind) -> Option<usize> {
+    fn width(kind: ValueType) -> Option<usize> {
         match kind {
-            Kind::Bool | Kind::I8 => Some(1),
-            Kind::I16 => Some(2),
-            Kind::I32 => Some(4),
-            Kind::I64 | Kind::Double => Some(8),
-            Kind::Uuid => Some(16),
-            Kind::Binary | Kind::Struct | Kind::Map | Kind::Set | Kind::List => None,
+            ValueType::Bool | ValueType::I8 => Some(1),
+            ValueType::I16 => Some(2),
+            ValueType::I32 => Some(4),
+            ValueType::I64 | ValueType::Double => Some(8),
+            ValueType::Uuid => Some(16),
+            ValueType::Binary | ValueType::Struct | ValueType::Map | ValueType::Set | ValueType::List => None,
         }
     }
 
     #[inline(always)]
-    fn skip_number(&mut self, kind: Kind) -> Result<(), Error> {
+    fn skip_number(&mut self, kind: ValueType) -> Result<(), Error> {
         self.0.take(Self::width(kind).unwrap_or(0)).map(drop)
     }
 }
@@ -313,26 +313,26 @@
 
 impl<'a> Compact<'a> {
     #[inline(always)]
-    fn kind(&self, at: usize, number: u8) -> Result<Kind, Error> {
+    fn kind(&self, at: usize, number: u8) -> Result<ValueType, Error> {
         Ok(match number {
-            1 | 2 => Kind::Bool,
-            3 => Kind::I8,
-            4 => Kind::I16,
-            5 => Kind::I32,
-            6 => Kind::I64,
-            7 => Kind::Double,
-            8 => Kind::Binary,
-            9 => Kind::List,
-            10 => Kind::Set,
-            11 => Kind::Map,
-            12 => Kind::Struct,
-            13 => Kind::Uuid,
-            _ => return self.0.error(at, Problem::Type(number)),
+            1 | 2 => ValueType::Bool,
+            3 => ValueType::I8,
+            4 => ValueType::I16,
+            5 => ValueType::I32,
+            6 => ValueType::I64,
+            7 => ValueType::Double,
+            8 => ValueType::Binary,
+            9 => ValueType::List,
+            10 => ValueType::Set,
+            11 => ValueType::Map,
+            12 => ValueType::Struct,
+            13 => ValueType::Uuid,
+            _ => return self.0.error(at, ErrorKind::UnknownValueType(number)),
         })
     }
 
     #[inline(always)]
-    fn size(&mut self, what: What, limit: usize) -> Result<usize, Error> {
+    fn size(&mut self, what: SizedItem, limit: usize) -> Result<usize, Error> {
         let at = self.0.at;
         let size = self.0.varint(32)? as u32;
         self.0.checked(at, what, size, limit)
@@ -352,22 +352,22 @@
     fn header(&mut self) -> Result<RawHeader<'a>, Error> {
         let at = self.0.at;
         if self.0.byte()? != COMPACT_ID {
-            return self.0.error(at, Problem::NoHeader);
+            return self.0.error(at, ErrorKind::NoHeader);
         }
         let second = self.0.byte()?;
         if second & 0x1f != COMPACT_VERSION {
-            return self.0.error(at + 1, Problem::Version(u16::from(second & 0x1f)));
+            return self.0.error(at + 1, ErrorKind::UnknownVersion(u16::from(second & 0x1f)));
         }
         let kind = MessageType::read(second >> 5).or_else(|p| self.0.error(at + 1, p))?;
         let seqid_from = self.0.at;
         // Written as a plain varint of the 32 bits, not zigzag.
         let seqid = self.0.varint(32)? as u32 as i32;
-        let seqid_at = (seqid_from, self.0.at);
+        let seqid_range = (seqid_from, self.0.at);
         let limit = self.0.limits.name;
-        let length = self.size(What::Name, limit)?;
+        let length = self.size(SizedItem::Name, limit)?;
         let name_at = self.0.at;
         let name = self.0.name(name_at, length)?;
-        Ok(RawHeader { kind, name, seqid, strict: true, seqid_at })
+        Ok(RawHeader { kind, name, seqid, strict: true, seqid_range })
     }
 
     #[inline(always)]
@@ -379,33 +379,33 @@
         }
         let number = byte & 0x0f;
         let kind = self.kind(at, number)?;
-        let value = (kind == Kind::Bool).then_some(number == 1);
+        let value = (kind == ValueType::Bool).then_some(number == 1);
         let id = match byte >> 4 {
             0 => self.0.zigzag(16)? as i16,
             delta => match last.checked_add(i16::from(delta)) {
                 Some(id) => id,
-                None => return self.0.error(at, Problem::FieldId),
+                None => return self.0.error(at, ErrorKind::FieldIdOverflow),
             },
         };
         Ok(Some(Field { id, kind, value }))
     }
 
-    fn list(&mut self) -> Result<(Kind, usize), Error> {
+    fn list(&mut self) -> Result<(ValueType, usize), Error> {
         let at = self.0.at;
         let byte = self.0.byte()?;
         let limit = self.0.limits.elements;
         let size = match byte >> 4 {
-            15 => self.size(What::Container, limit)?,
-            size => self.0.checked(at, What::Container, size.into(), limit)?,
+            15 => self.size(SizedItem::Container, limit)?,
+            size => self.0.checked(at, SizedItem::Container, size.into(), limit)?,
         };
         let number = byte & 0x0f;
-        let kind = if number == 0 && size == 0 { Kind::Bool } else { self.kind(at, number)? };
+        let kind = if number == 0 && size == 0 { ValueType::Bool } else { self.kind(at, number)? };
         Ok((kind, size))
     }
 
-    fn map(&mut self) -> Result<(Option<(Kind, Kind)>, usize), Error> {
+    fn map(&mut self) -> Result<(Option<(ValueType, ValueType)>, usize), Error> {
         let limit = self.0.limits.elements;
-        let size = self.size(What::Container, limit)?;
+        let size = self.size(SizedItem::Container, limit)?;
         if size == 0 {
             return Ok((None, 0));
         }
@@ -417,7 +417,7 @@
     #[inline(always)]
     fn binary(&mut self) -> Result<&'a [u8], Error> {
         let limit = self.0.limits.string;
-        let length = self.size(What::String, limit)?;
+        let length = self.size(SizedItem::String, limit)?;
         self.0.take(length)
     }
 
@@ -442,21 +442,21 @@
     }
 
     #[inline(always)]
-    fn width(kind: Kind) -> Option<usize> {
+    fn width(kind: ValueType) -> Option<usize> {
         match kind {
-            Kind::Bool | Kind::I8 => Some(1),
-            Kind::Double => Some(8),
-            Kind::Uuid => Some(16),
+            ValueType::Bool | ValueType::I8 => Some(1),
+            ValueType::Double => Some(8),
+            ValueType::Uuid => Some(16),
             _ => None,
         }
     }
 
     #[inline(always)]
-    fn skip_number(&mut self, kind: Kind) -> Result<(), Error> {
+    fn skip_number(&mut self, kind: ValueType) -> Result<(), Error> {
         match kind {
-            Kind::I16 => self.0.varint(16).map(drop),
-            Kind::I32 => self.0.varint(32).map(drop),
-            Kind::I64 => self.0.varint(64).map(drop),
+            ValueType::I16 => self.0.varint(16).map(drop),
+            ValueType::I32 => self.0.varint(32).map(drop),
+            ValueType::I64 => self.0.varint(64).map(drop),
             _ => self.0.take(Self::width(kind).unwrap_or(0)).map(drop),
         }
     }
--- a/crates/thrift/src/transcode.rs
+++ b/crates/thrift/src/transcode.rs
@@ -7,7 +7,7 @@
 use crate::read::{self, Cursor, Field, Reader};
 use crate::walk::read_header;
 use crate::write::{self, Writer};
-use crate::{Error, Kind, Limits, Problem, Protocol};
+use crate::{Error, ErrorKind, Limits, Protocol, ValueType};
 
 /// Appends a whole message in the other protocol, under a sequence id. A `strict` header is wanted of the binary one.
 ///
@@ -35,40 +35,40 @@
 ) -> Result<(), Error> {
     let header = read_header(&mut reader)?;
     writer.header(header.kind, header.name, seqid, strict);
-    value(&mut reader, &mut writer, Kind::Struct, 0)?;
+    value(&mut reader, &mut writer, ValueType::Struct, 0)?;
     let cursor = reader.cursor();
     match cursor.at == cursor.bytes.len() {
         true => Ok(()),
-        false => cursor.error(cursor.at, Problem::Behind),
+        false => cursor.error(cursor.at, ErrorKind::TrailingBytes),
     }
 }
 
 fn value<'a, R: Reader<'a>, W: Writer>(
     reader: &mut R,
     writer: &mut W,
-    kind: Kind,
+    kind: ValueType,
     depth: u32,
 ) -> Result<(), Error> {
     let cursor = reader.cursor();
     if depth >= cursor.limits.depth {
-        return cursor.error(cursor.at, Problem::Depth);
+        return cursor.error(cursor.at, ErrorKind::NestingTooDeep);
     }
     let inner = depth + 1;
     match kind {
-        Kind::Bool => writer.bool(reader.bool()?),
-        Kind::I8 => writer.i8(reader.cursor().take(1)?[0] as i8),
-        Kind::I16 => writer.i16(reader.i16()?),
-        Kind::I32 => writer.i32(reader.i32()?),
-        Kind::I64 => writer.i64(reader.i64()?),
-        Kind::Double => writer.double(reader.double()?),
-        Kind::Binary => writer.binary(reader.binary()?),
-        Kind::Uuid => writer.uuid(reader.cursor().take(16)?),
-        Kind::Struct => {
+        ValueType::Bool => writer.bool(reader.bool()?),
+        ValueType::I8 => writer.i8(reader.cursor().take(1)?[0] as i8),
+        ValueType::I16 => writer.i16(reader.i16()?),
+        ValueType::I32 => writer.i32(reader.i32()?),
+        ValueType::I64 => writer.i64(reader.i64()?),
+        ValueType::Double => writer.double(reader.double()?),
+        ValueType::Binary => writer.binary(reader.binary()?),
+        ValueType::Uuid => writer.uuid(reader.cursor().take(16)?),
+        ValueType::Struct => {
             let mut last = 0;
             while let Some(Field { id, kind, value: held }) = reader.field(last)? {
                 // The compact protocol has a bool's value in the header, so that it has to be read first.
                 let held = match (kind, held) {
-                    (Kind::Bool, None) => Some(reader.bool()?),
+                    (ValueType::Bool, None) => Some(reader.bool()?),
                     (_, held) => held,
                 };
                 let written = writer.field(kind, id, last, held);
@@ -81,12 +81,12 @@
             }
             writer.stop();
         }
-        Kind::List | Kind::Set => {
+        ValueType::List | ValueType::Set => {
             let (element, size) = reader.list()?;
             writer.list(element, size);
             (0..size).try_for_each(|_| value(reader, writer, element, inner))?;
         }
-        Kind::Map => {
+        ValueType::Map => {
             let (types, size) = reader.map()?;
             writer.map(types, size);
             if let Some((key, held)) = types {
--- a/crates/thrift/src/walk.rs
+++ b/crates/thrift/src/walk.rs
@@ -1,7 +1,7 @@
 //! Finds a message's header, chosen fields and end in one pass, and skips everything else.
 
 use crate::read::{Binary, Compact, Cursor, Field, Reader};
-use crate::{Error, Kind, Limits, MessageType, Problem, Protocol, What};
+use crate::{Error, ErrorKind, Limits, MessageType, Protocol, SizedItem, ValueType};
 use smallvec::SmallVec;
 
 /// A message's header.
@@ -16,9 +16,9 @@
     /// Whether a binary header has its version word; always true of compact ones.
     pub strict: bool,
     /// Where the sequence id lies, from and to.
-    pub seqid_at: (usize, usize),
+    pub seqid_range: (usize, usize),
     /// Where the arguments or the result begin.
-    pub body: usize,
+    pub body_offset: usize,
 }
 
 impl Header<'_> {
@@ -44,7 +44,7 @@
     Binary(&'a [u8]),
     Uuid([u8; 16]),
     /// A struct or container.
-    Whole(Kind),
+    Composite(ValueType),
 }
 
 impl Value<'_> {
@@ -156,18 +156,18 @@
         Protocol::Binary => Walker::new(Binary::new(cursor), paths).walk(paths),
         Protocol::Compact => Walker::new(Compact::new(cursor), paths).walk(paths),
     };
-    let (what, limit) = (What::Message, limits.message as u32);
+    let (what, limit) = (SizedItem::Message, limits.message as u32);
     match walked {
-        Err(e) if e.is_cut() && (too_long || bytes.len() == limits.message) => {
+        Err(e) if e.is_truncated() && (too_long || bytes.len() == limits.message) => {
             let size = limit.saturating_add(1);
-            Err(Error { offset: 0, problem: Problem::TooLarge { what, size, limit } })
+            Err(Error { offset: 0, kind: ErrorKind::TooLarge { what, size, limit } })
         }
         walked => walked,
     }
 }
 
 /// The same for a frame's content, which is one whole message: one that ends early or late is an error.
-pub fn framed<'a>(
+pub fn framed_message<'a>(
     protocol: Protocol,
     bytes: &'a [u8],
     paths: &Paths,
@@ -176,7 +176,7 @@
     let message = message(protocol, bytes, paths, limits)?;
     match message.end == bytes.len() {
         true => Ok(message),
-        false => Err(Error { offset: message.end, problem: Problem::Behind }),
+        false => Err(Error { offset: message.end, kind: ErrorKind::TrailingBytes }),
     }
 }
 
@@ -187,8 +187,8 @@
         name: raw.name,
         seqid: raw.seqid,
         strict: raw.strict,
-        seqid_at: raw.seqid_at,
-        body: reader.cursor().at,
+        seqid_range: raw.seqid_range,
+        body_offset: reader.cursor().at,
     })
 }
 
@@ -206,7 +206,7 @@
     fn walk(mut self, paths: &Paths) -> Result<Message<'a>, Error> {
         let header = read_header(&mut self.reader)?;
         match paths.count {
-            0 => self.skip(Kind::Struct)?,
+            0 => self.skip(ValueType::Struct)?,
             _ => self.look_through(&paths.root)?,
         }
         Ok(Message { header, values: self.values, end: self.reader.cursor().at })
@@ -220,8 +220,8 @@
             last = field.id;
             match node.children.iter().find(|c| c.0 == field.id) {
                 None => self.skip_field(field)?,
-                Some((_, child)) if field.kind == Kind::Struct && !child.children.is_empty() => {
-                    self.set(child, Value::Whole(Kind::Struct));
+                Some((_, child)) if field.kind == ValueType::Struct && !child.children.is_empty() => {
+                    self.set(child, Value::Composite(ValueType::Struct));
                     self.look_through(child)?;
                 }
                 Some((_, child)) => {
@@ -244,21 +244,21 @@
         }
         let reader = &mut self.reader;
         Ok(match field.kind {
-            Kind::Bool => Value::Bool(reader.bool()?),
-            Kind::I8 => Value::I8(reader.cursor().take(1)?[0] as i8),
-            Kind::I16 => Value::I16(reader.i16()?),
-            Kind::I32 => Value::I32(reader.i32()?),
-            Kind::I64 => Value::I64(reader.i64()?),
-            Kind::Double => Value::Double(reader.double()?),
-            Kind::Binary => Value::Binary(reader.binary()?),
-            Kind::Uuid => {
+            ValueType::Bool => Value::Bool(reader.bool()?),
+            ValueType::I8 => Value::I8(reader.cursor().take(1)?[0] as i8),
+            ValueType::I16 => Value::I16(reader.i16()?),
+            ValueType::I32 => Value::I32(reader.i32()?),
+            ValueType::I64 => Value::I64(reader.i64()?),
+            ValueType::Double => Value::Double(reader.double()?),
+            ValueType::Binary => Value::Binary(reader.binary()?),
+            ValueType::Uuid => {
                 let mut uuid = [0; 16];
                 uuid.copy_from_slice(reader.cursor().take(16)?);
                 Value::Uuid(uuid)
             }
             kind => {
                 self.skip(kind)?;
-                Value::Whole(kind)
+                Value::Composite(kind)
             }
         })
     }
@@ -276,15 +276,15 @@
         self.depth += 1;
         let cursor = self.reader.cursor();
         match self.depth > cursor.limits.depth {
-            true => cursor.error(cursor.at, Problem::Depth),
+            true => cursor.error(cursor.at, ErrorKind::NestingTooDeep),
             false => Ok(()),
         }
     }
 
-    fn skip(&mut self, kind: Kind) -> Result<(), Error> {
+    fn skip(&mut self, kind: ValueType) -> Result<(), Error> {
         match kind {
-            Kind::Binary => self.reader.binary().map(drop),
-            Kind::Struct => {
+            ValueType::Binary => self.reader.binary().map(drop),
+            ValueType::Struct => {
                 self.enter()?;
                 let mut last = 0;
                 while let Some(field) = self.reader.field(last)? {
@@ -294,14 +294,14 @@
                 self.depth -= 1;
                 Ok(())
             }
-            Kind::List | Kind::Set => {
+            ValueType::List | ValueType::Set => {
                 self.enter()?;
                 let (element, size) = self.reader.list()?;
                 self.skip_many(element, size)?;
                 self.depth -= 1;
                 Ok(())
             }
-            Kind::Map => {
+            ValueType::Map => {
                 self.enter()?;
                 let (types, size) = self.reader.map()?;
                 if let Some((key, value)) = types {
@@ -318,7 +318,7 @@
     }
 
     /// So many elements; no element takes less than a byte, so that a false size ends with the input.
-    fn skip_many(&mut self, kind: Kind, size: usize) -> Result<(), Error> {
+    fn skip_many(&mut self, kind: ValueType, size: usize) -> Result<(), Error> {
         match R::width(kind) {
             Some(width) => self.jump(size, width),
             None => (0..size).try_for_each(|_| self.skip(kind)),
--- a/crates/thrift/src/write.rs
+++ b/crates/thrift/src/write.rs
@@ -2,20 +2,20 @@
 
 use crate::read::COMPACT_ID;
 use crate::walk::Header;
-use crate::{Kind, MessageType, Protocol};
+use crate::{MessageType, Protocol, ValueType};
 
 /// Appends values to bytes.
 pub trait Writer {
     /// A message's header. A `strict` one has its version word, where the protocol knows others.
     fn header(&mut self, kind: MessageType, name: &str, seqid: i32, strict: bool);
     /// A field's header, after one of id `last`. A bool's value goes with it; returns whether it is written by that.
-    fn field(&mut self, kind: Kind, id: i16, last: i16, value: Option<bool>) -> bool;
+    fn field(&mut self, kind: ValueType, id: i16, last: i16, value: Option<bool>) -> bool;
     /// A struct's end.
     fn stop(&mut self);
     /// A list's or set's header.
-    fn list(&mut self, element: Kind, size: usize);
+    fn list(&mut self, element: ValueType, size: usize);
     /// A map's header. Of an empty one types need not be known.
-    fn map(&mut self, types: Option<(Kind, Kind)>, size: usize);
+    fn map(&mut self, types: Option<(ValueType, ValueType)>, size: usize);
     /// A string.
     fn binary(&mut self, bytes: &[u8]);
     /// A bool as an element.
@@ -38,20 +38,20 @@
 pub struct Binary<'a>(pub &'a mut Vec<u8>);
 
 impl Binary<'_> {
-    fn kind(kind: Kind) -> u8 {
+    fn kind(kind: ValueType) -> u8 {
         match kind {
-            Kind::Bool => 2,
-            Kind::I8 => 3,
-            Kind::Double => 4,
-            Kind::I16 => 6,
-            Kind::I32 => 8,
-            Kind::I64 => 10,
-            Kind::Binary => 11,
-            Kind::Struct => 12,
-            Kind::Map => 13,
-            Kind::Set => 14,
-            Kind::List => 15,
-            Kind::Uuid => 16,
+            ValueType::Bool => 2,
+            ValueType::I8 => 3,
+            ValueType::Double => 4,
+            ValueType::I16 => 6,
+            ValueType::I32 => 8,
+            ValueType::I64 => 10,
+            ValueType::Binary => 11,
+            ValueType::Struct => 12,
+            ValueType::Map => 13,
+            ValueType::Set => 14,
+            ValueType::List => 15,
+            ValueType::Uuid => 16,
         }
     }
 
@@ -73,7 +73,7 @@
         self.i32(seqid);
     }
 
-    fn field(&mut self, kind: Kind, id: i16, _: i16, _: Option<bool>) -> bool {
+    fn field(&mut self, kind: ValueType, id: i16, _: i16, _: Option<bool>) -> bool {
         self.0.push(Self::kind(kind));
         self.i16(id);
         false
@@ -83,12 +83,12 @@
         self.0.push(0);
     }
 
-    fn list(&mut self, element: Kind, size: usize) {
+    fn list(&mut self, element: ValueType, size: usize) {
         self.0.push(Self::kind(element));
         self.size(size);
     }
 
-    fn map(&mut self, types: Option<(Kind, Kind)>, size: usize) {
+    fn map(&mut self, types: Option<(ValueType, ValueType)>, size: usize) {
         let types = types.map_or([0, 0], |(key, value)| [Self::kind(key), Self::kind(value)]);
         self.0.extend_from_slice(&types);
         self.size(size);
@@ -132,20 +132,20 @@
 pub struct Compact<'a>(pub &'a mut Vec<u8>);
 
 impl Compact<'_> {
-    fn kind(kind: Kind) -> u8 {
+    fn kind(kind: ValueType) -> u8 {
         match kind {
-            Kind::Bool => 1,
-            Kind::I8 => 3,
-            Kind::I16 => 4,
-            Kind::I32 => 5,
-            Kind::I64 => 6,
-            Kind::Double => 7,
-            Kind::Binary => 8,
-            Kind::List => 9,
-            Kind::Set => 10,
-            Kind::Map => 11,
-            Kind::Struct => 12,
-            Kind::Uuid => 13,
+            ValueType::Bool => 1,
+            ValueType::I8 => 3,
+            ValueType::I16 => 4,
+            ValueType::I32 => 5,
+            ValueType::I64 => 6,
+            ValueType::Double => 7,
+            ValueType::Binary => 8,
+            ValueType::List => 9,
+            ValueType::Set => 10,
+            ValueType::Map => 11,
+            ValueType::Struct => 12,
+            ValueType::Uuid => 13,
         }
     }
 
@@ -169,7 +169,7 @@
         self.binary(name.as_bytes());
     }
 
-    fn field(&mut self, kind: Kind, id: i16, last: i16, value: Option<bool>) -> bool {
+    fn field(&mut self, kind: ValueType, id: i16, last: i16, value: Option<bool>) -> bool {
         let number = if value == Some(false) { 2 } else { Self::kind(kind) };
         match i32::from(id) - i32::from(last) {
             delta @ 1..=15 => self.0.push((delta as u8) << 4 | number),
@@ -178,14 +178,14 @@
                 self.zigzag(id.into());
             }
         }
-        kind == Kind::Bool
+        kind == ValueType::Bool
     }
 
     fn stop(&mut self) {
         self.0.push(0);
     }
 
-    fn list(&mut self, element: Kind, size: usize) {
+    fn list(&mut self, element: ValueType, size: usize) {
         match size {
             0..=14 => self.0.push((size as u8) << 4 | Self::kind(element)),
             _ => {
@@ -195,7 +195,7 @@
         }
     }
 
-    fn map(&mut self, types: Option<(Kind, Kind)>, size: usize) {
+    fn map(&mut self, types: Option<(ValueType, ValueType)>, size: usize) {
         self.varint(size as u64);
         if let Some((key, value)) = types.filter(|_| size > 0) {
             self.0.push(Self::kind(key) << 4 | Self::kind(value));
@@ -267,9 +267,9 @@
 pub fn exception(out: &mut Vec<u8>, protocol: Protocol, call: &Header, kind: ExceptionType, text: &str) {
     fn write(writer: &mut impl Writer, call: &Header, kind: ExceptionType, text: &str) {
         writer.header(MessageType::Exception, call.service_and_method().1, call.seqid, call.strict);
-        writer.field(Kind::Binary, 1, 0, None);
+        writer.field(ValueType::Binary, 1, 0, None);
         writer.binary(text.as_bytes());
-        writer.field(Kind::I32, 2, 1, None);
+        writer.field(ValueType::I32, 2, 1, None);
         writer.i32(kind as i32);
         writer.stop();
     }
@@ -281,7 +281,7 @@
 
 /// Appends a message under another sequence id, byte for byte the same otherwise.
 pub fn with_seqid(out: &mut Vec<u8>, protocol: Protocol, message: &[u8], header: &Header, seqid: i32) {
-    let (from, to) = header.seqid_at;
+    let (from, to) = header.seqid_range;
     out.extend_from_slice(&message[..from]);
     match protocol {
         Protocol::Binary => Binary(out).i32(seqid),
--- a/crates/thrift/tests/hostile.rs
+++ b/crates/thrift/tests/hostile.rs
@@ -1,7 +1,7 @@
 //! Bytes that nobody should send: each ends in an error that names its place, and nothing is allocated for a claim.
 
 use birchswitch_thrift::walk::{self, Paths};
-use birchswitch_thrift::{detect, frame, transcode, Limits, Problem, Protocol, What};
+use birchswitch_thrift::{detect, frame, transcode, ErrorKind, Limits, Protocol, SizedItem};
 use proptest::prelude::*;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
@@ -29,15 +29,15 @@
 const BINARY_HEAD: &[u8] = b"\x80\x01\x00\x01\x00\x00\x00\x01m\x00\x00\x00\x05";
 const COMPACT_HEAD: &[u8] = b"\x82\x21\x05\x01m";
 
-fn told(protocol: Protocol, body: &[u8]) -> Result<(), (usize, Problem)> {
+fn told(protocol: Protocol, body: &[u8]) -> Result<(), (usize, ErrorKind)> {
     let head = match protocol {
         Protocol::Binary => BINARY_HEAD,
         Protocol::Compact => COMPACT_HEAD,
     };
     let bytes = [head, body].concat();
     let limits = Limits { elements: 1000, string: 1000, depth: 16, ..Limits::default() };
-    let place = |e: birchswitch_thrift::Error| (e.offset - head.len(), e.problem);
-    let walked = walk::framed(protocol, &bytes, &Paths::default(), &limits).map(drop).map_err(place);
+    let place = |e: birchswitch_thrift::Error| (e.offset - head.len(), e.kind);
+    let walked = walk::framed_message(protocol, &bytes, &Paths::default(), &limits).map(drop).map_err(place);
     let mut out = Vec::new();
     let transcoded = transcode::message(&mut out, protocol, &bytes, 0, true, &limits).map_err(place);
     assert_eq!(walked.is_ok(), transcoded.is_ok(), "the walk and the transcoder disagree on {body:?}");
@@ -47,37 +47,37 @@
 #[test]
 fn what_is_wrong_with_binary_is_said_with_its_place() {
     let told = |body: &[u8]| told(Protocol::Binary, body).expect_err("it is wrong");
-    let too_large = |what, size| Problem::TooLarge { what, size, limit: 1000 };
-    assert_eq!(told(b"\x0b\x00\x01\xff\xff\xff\xff"), (3, Problem::Negative(-1)));
-    assert_eq!(told(b"\x0b\x00\x01\x7f\xff\xff\xff"), (3, too_large(What::String, 0x7fff_ffff)));
-    assert_eq!(told(b"\x0f\x00\x01\x0c\x7f\xff\xff\xff"), (4, too_large(What::Container, 0x7fff_ffff)));
-    assert_eq!(told(b"\x0d\x00\x01\x0b\x0c\x00\x00\x03\xe9"), (5, too_large(What::Container, 1001)));
-    assert_eq!(told(b"\x0d\x00\x01\x0b\x0c\x80\x00\x00\x00"), (5, Problem::Negative(i32::MIN)));
-    assert_eq!(told(b"\x05\x00\x01"), (0, Problem::Type(5)));
-    assert_eq!(told(b"\x0f\x00\x01\x63\x00\x00\x00\x01"), (3, Problem::Type(0x63)));
-    assert_eq!(told(b"\x00x"), (1, Problem::Behind));
-    assert_eq!(told(b"\x08\x00\x01\x00"), (3, Problem::Cut));
-    assert_eq!(told(&b"\x0c\x00\x01".repeat(16)), (48, Problem::Depth));
+    let too_large = |what, size| ErrorKind::TooLarge { what, size, limit: 1000 };
+    assert_eq!(told(b"\x0b\x00\x01\xff\xff\xff\xff"), (3, ErrorKind::NegativeSize(-1)));
+    assert_eq!(told(b"\x0b\x00\x01\x7f\xff\xff\xff"), (3, too_large(SizedItem::String, 0x7fff_ffff)));
+    assert_eq!(told(b"\x0f\x00\x01\x0c\x7f\xff\xff\xff"), (4, too_large(SizedItem::Container, 0x7fff_ffff)));
+    assert_eq!(told(b"\x0d\x00\x01\x0b\x0c\x00\x00\x03\xe9"), (5, too_large(SizedItem::Container, 1001)));
+    assert_eq!(told(b"\x0d\x00\x01\x0b\x0c\x80\x00\x00\x00"), (5, ErrorKind::NegativeSize(i32::MIN)));
+    assert_eq!(told(b"\x05\x00\x01"), (0, ErrorKind::UnknownValueType(5)));
+    assert_eq!(told(b"\x0f\x00\x01\x63\x00\x00\x00\x01"), (3, ErrorKind::UnknownValueType(0x63)));
+    assert_eq!(told(b"\x00x"), (1, ErrorKind::TrailingBytes));
+    assert_eq!(told(b"\x08\x00\x01\x00"), (3, ErrorKind::Truncated));
+    assert_eq!(told(&b"\x0c\x00\x01".repeat(16)), (48, ErrorKind::NestingTooDeep));
     let lists = [&b"\x0f\x00\x01"[..], &b"\x0f\x00\x00\x00\x01".repeat(16)].concat();
-    assert_eq!(told(&lists).1, Problem::Depth);
+    assert_eq!(told(&lists).1, ErrorKind::NestingTooDeep);
 }
 
 #[test]
 fn what_is_wrong_with_compact_is_said_with_its_place() {
     let told = |body: &[u8]| told(Protocol::Compact, body).expect_err("it is wrong");
-    let too_large = |what, size| Problem::TooLarge { what, size, limit: 1000 };
-    assert_eq!(told(b"\x18\xff\xff\xff\xff\x0f"), (1, too_large(What::String, 0xffff_ffff)));
-    assert_eq!(told(b"\x19\xfc\xff\xff\xff\xff\x0f"), (2, too_large(What::Container, 0xffff_ffff)));
-    assert_eq!(told(b"\x1b\xe9\x07\x88"), (1, too_large(What::Container, 1001)));
-    assert_eq!(told(b"\x15\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01"), (1, Problem::Varint));
-    assert_eq!(told(b"\x15\xff\xff\xff\xff\x1f"), (1, Problem::Varint));
-    assert_eq!(told(b"\x16\xff\xff\xff\xff\xff\xff\xff\xff\xff\x02"), (1, Problem::Varint));
-    assert_eq!(told(b"\x1e"), (0, Problem::Type(14)));
-    assert_eq!(told(b"\x1b\x01\x0f\x00"), (2, Problem::Type(0)));
-    assert_eq!(told(b"\x05\xfe\xff\x03\x00\x15\x00"), (5, Problem::FieldId));
-    assert_eq!(told(&b"\x1c".repeat(16)), (16, Problem::Depth));
-    assert_eq!(told(b"\x00\x00"), (1, Problem::Behind));
-    assert_eq!(told(b"\x15"), (1, Problem::Cut));
+    let too_large = |what, size| ErrorKind::TooLarge { what, size, limit: 1000 };
+    assert_eq!(told(b"\x18\xff\xff\xff\xff\x0f"), (1, too_large(SizedItem::String, 0xffff_ffff)));
+    assert_eq!(told(b"\x19\xfc\xff\xff\xff\xff\x0f"), (2, too_large(SizedItem::Container, 0xffff_ffff)));
+    assert_eq!(told(b"\x1b\xe9\x07\x88"), (1, too_large(SizedItem::Container, 1001)));
+    assert_eq!(told(b"\x15\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01"), (1, ErrorKind::InvalidVarint));
+    assert_eq!(told(b"\x15\xff\xff\xff\xff\x1f"), (1, ErrorKind::InvalidVarint));
+    assert_eq!(told(b"\x16\xff\xff\xff\xff\xff\xff\xff\xff\xff\x02"), (1, ErrorKind::InvalidVarint));
+    assert_eq!(told(b"\x1e"), (0, ErrorKind::UnknownValueType(14)));
+    assert_eq!(told(b"\x1b\x01\x0f\x00"), (2, ErrorKind::UnknownValueType(0)));
+    assert_eq!(told(b"\x05\xfe\xff\x03\x00\x15\x00"), (5, ErrorKind::FieldIdOverflow));
+    assert_eq!(told(&b"\x1c".repeat(16)), (16, ErrorKind::NestingTooDeep));
+    assert_eq!(told(b"\x00\x00"), (1, ErrorKind::TrailingBytes));
+    assert_eq!(told(b"\x15"), (1, ErrorKind::Truncated));
 }
 
 /// The crate that the other tests lean on knows no UUIDs; these bytes follow the specifications by hand.
@@ -93,7 +93,7 @@
     for (protocol, bytes, other) in
         [(Protocol::Binary, &binary, &compact), (Protocol::Compact, &compact, &binary)]
     {
-        let message = walk::framed(protocol, bytes, &paths, &limits).expect("a message");
+        let message = walk::framed_message(protocol, bytes, &paths, &limits).expect("a message");
         let found: [u8; 16] = uuid.clone().try_into().expect("sixteen bytes");
         assert_eq!(message.values[0], Some(walk::Value::Uuid(found)));
         assert_eq!(message.values[2], Some(walk::Value::Bool(true)));
@@ -106,23 +106,23 @@
 #[test]
 fn headers_that_are_none_are_turned_down() {
     let limits = Limits::default();
-    let problem = |protocol, bytes: &[u8]| walk::header(protocol, bytes, &limits).expect_err("wrong").problem;
+    let problem = |protocol, bytes: &[u8]| walk::header(protocol, bytes, &limits).expect_err("wrong").kind;
     use Protocol::*;
-    assert_eq!(problem(Binary, b"\x80\x02\x00\x01"), Problem::Version(0x8002));
-    assert_eq!(problem(Binary, b"\x80\x01\x00\x05"), Problem::MessageType(5));
-    assert_eq!(problem(Binary, b"\x80\x01\x00\x01\xff\xff\xff\xff"), Problem::Negative(-1));
-    assert_eq!(problem(Binary, b"\x80\x01\x00\x01\x00\x00\x00\x01\xff"), Problem::Name);
+    assert_eq!(problem(Binary, b"\x80\x02\x00\x01"), ErrorKind::UnknownVersion(0x8002));
+    assert_eq!(problem(Binary, b"\x80\x01\x00\x05"), ErrorKind::UnknownMessageType(5));
+    assert_eq!(problem(Binary, b"\x80\x01\x00\x01\xff\xff\xff\xff"), ErrorKind::NegativeSize(-1));
+    assert_eq!(problem(Binary, b"\x80\x01\x00\x01\x00\x00\x00\x01\xff"), ErrorKind::NameNotUtf8);
     assert_eq!(
         problem(Binary, b"GET / HTTP/1.1\r\n"),
-        Problem::TooLarge { what: What::Name, size: 0x4745_5420, limit: 256 }
+        ErrorKind::TooLarge { what: SizedItem::Name, size: 0x4745_5420, limit: 256 }
     );
-    assert_eq!(problem(Binary, b"\x00\x00\x00\x00"), Problem::NoHeader);
-    assert_eq!(problem(Compact, b"\x82\x22\x00"), Problem::Version(2));
-    assert_eq!(problem(Compact, b"\x82\xe1\x00"), Problem::MessageType(7));
-    assert_eq!(problem(Compact, b"\x80\x01"), Problem::NoHeader);
+    assert_eq!(problem(Binary, b"\x00\x00\x00\x00"), ErrorKind::NoHeader);
+    assert_eq!(problem(Compact, b"\x82\x22\x00"), ErrorKind::UnknownVersion(2));
+    assert_eq!(problem(Compact, b"\x82\xe1\x00"), ErrorKind::UnknownMessageType(7));
+    assert_eq!(problem(Compact, b"\x80\x01"), ErrorKind::NoHeader);
     assert_eq!(
         problem(Compact, b"\x82\x21\x00\x80\x80\x80\x80\x08"),
-        Problem::TooLarge { what: What::Name, size: 1 << 31, limit: 256 }
+        ErrorKind::TooLarge { what: SizedItem::Name, size: 1 << 31, limit: 256 }
     );
 }
 
@@ -131,10 +131,13 @@
     let limits = Limits { message: 100, ..Limits::default() };
     assert_eq!(frame::length(b"\x00\x00\x00", &limits), Ok(None));
     assert_eq!(frame::length(b"\x00\x00\x00\x64", &limits), Ok(Some(100)));
-    let problem = |bytes: &[u8]| frame::length(bytes, &limits).expect_err("wrong").problem;
-    assert_eq!(problem(b"\x00\x00\x00\x65"), Problem::TooLarge { what: What::Frame, size: 101, limit: 100 });
-    assert_eq!(problem(b"\xff\xff\xff\xff"), Problem::Negative(-1));
-    assert_eq!(problem(b"\x00\x00\x00\x00"), Problem::NoHeader);
+    let problem = |bytes: &[u8]| frame::length(bytes, &limits).expect_err("wrong").kind;
+    assert_eq!(
+        problem(b"\x00\x00\x00\x65"),
+        ErrorKind::TooLarge { what: SizedItem::Frame, size: 101, limit: 100 }
+    );
+    assert_eq!(problem(b"\xff\xff\xff\xff"), ErrorKind::NegativeSize(-1));
+    assert_eq!(problem(b"\x00\x00\x00\x00"), ErrorKind::NoHeader);
 }
 
 /// A message that doesn't end is known for too long as soon as it is, and not read on for ever.
@@ -144,10 +147,10 @@
     let endless = [BINARY_HEAD, &b"\x08\x00\x01\x00\x00\x00\x00".repeat(20)].concat();
     let problem =
         |n| walk::message(Protocol::Binary, &endless[..n], &Paths::default(), &limits).expect_err("endless");
-    assert!(problem(63).is_cut());
+    assert!(problem(63).is_truncated());
     for n in [64, 65, endless.len()] {
-        let too_large = Problem::TooLarge { what: What::Message, size: 65, limit: 64 };
-        assert_eq!(problem(n).problem, too_large);
+        let too_large = ErrorKind::TooLarge { what: SizedItem::Message, size: 65, limit: 64 };
+        assert_eq!(problem(n).kind, too_large);
     }
 }
 
--- a/crates/thrift/tests/interop.rs
+++ b/crates/thrift/tests/interop.rs
@@ -68,11 +68,11 @@
     for (protocol, strict) in [(Protocol::Binary, true), (Protocol::Binary, false), (Protocol::Compact, true)]
     {
         let bytes = call(protocol, strict, "shop:buy", -77);
-        let message = walk::framed(protocol, &bytes, &paths, &limits).expect("a message");
+        let message = walk::framed_message(protocol, &bytes, &paths, &limits).expect("a message");
         assert_eq!(message.header.service_and_method(), (Some("shop"), "buy"));
         assert_eq!((message.header.kind, message.header.seqid), (MessageType::Call, -77));
         assert_eq!(message.header.strict, strict);
-        let list = birchswitch_thrift::Kind::List;
+        let list = birchswitch_thrift::ValueType::List;
         assert_eq!(
             message.values[..],
             [
@@ -82,7 +82,7 @@
                 Some(Value::I64(91_000)),
                 Some(Value::Bool(true)),
                 Some(Value::I64(-5_000_000_000)),
-                Some(Value::Whole(list)),
+                Some(Value::Composite(list)),
                 None,
                 Some(Value::Binary(&[0, 255])),
             ]
@@ -153,7 +153,7 @@
             let mut bytes = vec![0; if framed { 4 } else { 0 }];
             bytes.extend(call(protocol, strict, "buy", 1));
             if framed {
-                birchswitch_thrift::frame::seal(&mut bytes);
+                birchswitch_thrift::frame::write_length(&mut bytes);
             }
             let told: Vec<_> =
                 (0..=bytes.len()).filter_map(|n| detect(&bytes[..n], &limits).expect("fine")).collect();
@@ -288,7 +288,7 @@
         for (protocol, bytes, other) in
             [(Protocol::Binary, &binary, &compact), (Protocol::Compact, &compact, &binary)]
         {
-            let walked = walk::framed(protocol, bytes, &paths, &limits).expect("a message");
+            let walked = walk::framed_message(protocol, bytes, &paths, &limits).expect("a message");
             prop_assert_eq!((walked.header.seqid, walked.header.kind), (seqid, MessageType::Oneway));
             for ((id, _), found) in fields.iter().zip(&walked.values) {
                 // Of two fields of one id decoders keep the last.
@@ -301,7 +301,7 @@
                     (Some(Tree::I64(a)), Some(Value::I64(b))) => a == b,
                     (Some(Tree::Double(a)), Some(Value::Double(b))) => a.to_bits() == b.to_bits(),
                     (Some(Tree::Binary(a)), Some(Value::Binary(b))) => a == b,
-                    (Some(_), Some(Value::Whole(_))) => true,
+                    (Some(_), Some(Value::Composite(_))) => true,
                     _ => false,
                 };
                 prop_assert!(same, "{:?} found as {:?}", last, found);
@@ -318,7 +318,7 @@
                 Protocol::Compact => prop_assert_eq!(&out, other),
             }
             let part = &bytes[..cut.index(bytes.len())];
-            prop_assert!(walk::message(protocol, part, &paths, &limits).expect_err("cut").is_cut());
+            prop_assert!(walk::message(protocol, part, &paths, &limits).expect_err("cut").is_truncated());
         }
     }
 }
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -4,7 +4,7 @@
 use birchswitch_lease_host::{LeaseSettings as Lease, LeaseTable};
 use birchswitch_mesh as mesh;
 use birchswitch_quota as quota;
-use birchswitch_thrift_proxy::{Compiled, Settings, SettingsError};
+use birchswitch_thrift_proxy::{Settings, SettingsError, ThriftSettings};
 use birchswitch_tuner as tuner;
 use birchswitch_verdict as verdict;
 use birchswitch_wallet as wallet;
@@ -117,7 +117,7 @@
 #[derive(Default)]
 pub struct Operator {
     /// Thrift listeners.
-    pub thrift: Vec<Compiled>,
+    pub thrift: Vec<ThriftSettings>,
     /// Membership among the nodes.
     pub cluster: Option<Member>,
     /// Leases for tasks of the whole fleet.
--- a/node/src/thrift.rs
+++ b/node/src/thrift.rs
@@ -5,7 +5,7 @@
 use birchswitch_host::Host;
 use birchswitch_membership::Directory;
 use birchswitch_site::Names;
-use birchswitch_thrift_proxy::{Compiled, Front, ThriftUpstream};
+use birchswitch_thrift_proxy::{ThriftFrontend, ThriftSettings, ThriftUpstream};
 use std::error::Error;
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,10 +36,10 @@
 
 impl Running {
     /// Listens, follows the servers' list, and serves.
-    pub fn start(compiled: Compiled, number: usize, shared: &Shared) -> Result<Self, Box<dyn Error>> {
+    pub fn start(compiled: ThriftSettings, number: usize, shared: &Shared) -> Result<Self, Box<dyn Error>> {
         let compiled = Rc::new(compiled);
         let settings = &compiled.settings;
-        let site = compiled.site(shared.site.clone());
+        let site = compiled.site_settings(shared.site.clone());
         let name = format!("{} thrift {}", shared.name, settings.name);
         let connect_timeout = or(site.connect_timeout, Duration::from_millis(250));
         let conn_idle = or(site.conn_idle, Duration::from_secs(5));
@@ -53,7 +53,8 @@
         host.log(format_args!("listening on {}", listener.local_addr()?));
         lists::follow(&host, settings.servers.discovery, None, false);
         spawn_local(async move { upstream.retire_idle().await });
-        let front = Front::new(host.clone(), compiled.clone(), shared.names.clone(), shared.closing.clone());
+        let front =
+            ThriftFrontend::new(host.clone(), compiled.clone(), shared.names.clone(), shared.closing.clone());
         Ok(Running { host, served: spawn_local(front.serve(listener)) })
     }
 
--- a/node/tests/order_mix.rs
+++ b/node/tests/order_mix.rs
@@ -5,8 +5,8 @@
 use birchswitch_thrift::detect::Dialect;
 use birchswitch_thrift::walk::{self, Paths, Value};
 use birchswitch_thrift::write::{self, ExceptionType, Writer};
-use birchswitch_thrift::{frame, Kind, Limits, MessageType, Protocol};
-use birchswitch_thrift_proxy::Messages;
+use birchswitch_thrift::{frame, Limits, MessageType, Protocol, ValueType};
+use birchswitch_thrift_proxy::MessageDecoder;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -87,13 +87,13 @@
         connections.spawn(async move {
             while let Some(call) = wire.frame().await {
                 let (limits, paths) = (Limits::default(), Paths::new([[1i16]]));
-                let call = walk::framed(Protocol::Binary, &call, &paths, &limits).expect("a call");
+                let call = walk::framed_message(Protocol::Binary, &call, &paths, &limits).expect("a call");
                 let Some(Value::Binary(text)) = call.values[0] else { panic!("no text") };
                 let text = String::from_utf8_lossy(text).into_owned();
                 let exception = |kind| {
-                    let mut bytes = vec![0; frame::HEAD];
+                    let mut bytes = vec![0; frame::HEADER_LEN];
                     write::exception(&mut bytes, Protocol::Binary, &call.header, kind, "");
-                    frame::seal(&mut bytes);
+                    frame::write_length(&mut bytes);
                     bytes
                 };
                 match deed(&reached, &text) {
@@ -129,17 +129,17 @@
 ) -> Vec<u8> {
     fn fill(writer: &mut impl Writer, kind: MessageType, name: &str, seqid: i32, text: &str) {
         writer.header(kind, name, seqid, true);
-        writer.field(Kind::Binary, 1, 0, None);
+        writer.field(ValueType::Binary, 1, 0, None);
         writer.binary(text.as_bytes());
         writer.stop();
     }
-    let mut bytes = vec![0; if framed { frame::HEAD } else { 0 }];
+    let mut bytes = vec![0; if framed { frame::HEADER_LEN } else { 0 }];
     match protocol {
         Protocol::Binary => fill(&mut write::Binary(&mut bytes), kind, name, seqid, text),
         Protocol::Compact => fill(&mut write::Compact(&mut bytes), kind, name, seqid, text),
     }
     if framed {
-        frame::seal(&mut bytes);
+        frame::write_length(&mut bytes);
     }
     bytes
 }
@@ -176,16 +176,16 @@
     let mut stream = TcpStream::connect(address).await.expect("the node");
     let call = message(dialect.protocol, dialect.framed, MessageType::Call, class, 3, text);
     stream.write_all(&call).await.expect("writing");
-    let mut messages = Messages::new(Some(dialect), Limits::default());
+    let mut messages = MessageDecoder::new(Some(dialect), Limits::default());
     let reply = loop {
-        if let Some(reply) = messages.message().expect("a reply") {
+        if let Some(reply) = messages.next_message().expect("a reply") {
             break reply;
         }
-        let read = within("a reply", stream.read_buf(messages.room())).await;
+        let read = within("a reply", stream.read_buf(messages.read_buffer())).await;
         assert!(read.is_ok_and(|n| n > 0), "the connection ended");
     };
     let (limits, paths) = (Limits::default(), Paths::new([[1i16], [2]]));
-    let reply = walk::framed(dialect.protocol, &reply, &paths, &limits).expect("a reply");
+    let reply = walk::framed_message(dialect.protocol, &reply, &paths, &limits).expect("a reply");
     assert_eq!((reply.header.name, reply.header.seqid), (class, 3));
     match (reply.header.kind, reply.values[1].and_then(|v| v.integer())) {
         (MessageType::Reply, _) => {
--- a/node/tests/thrift.rs
+++ b/node/tests/thrift.rs
@@ -3,7 +3,7 @@
 use birchswitch_standin::scripted::*;
 use birchswitch_thrift::walk::{self, Paths, Value};
 use birchswitch_thrift::write::{self, ExceptionType, Writer};
-use birchswitch_thrift::{frame, Kind, Limits, MessageType, Protocol};
+use birchswitch_thrift::{frame, Limits, MessageType, Protocol, ValueType};
 use serde_json::json;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -12,16 +12,16 @@
 fn message(protocol: Protocol, kind: MessageType, name: &str, seqid: i32, text: &str) -> Vec<u8> {
     fn fill(writer: &mut impl Writer, kind: MessageType, name: &str, seqid: i32, text: &str) {
         writer.header(kind, name, seqid, true);
-        writer.field(Kind::Binary, 1, 0, None);
+        writer.field(ValueType::Binary, 1, 0, None);
         writer.binary(text.as_bytes());
         writer.stop();
     }
-    let mut bytes = vec![0; frame::HEAD];
+    let mut bytes = vec![0; frame::HEADER_LEN];
     match protocol {
         Protocol::Binary => fill(&mut write::Binary(&mut bytes), kind, name, seqid, text),
         Protocol::Compact => fill(&mut write::Compact(&mut bytes), kind, name, seqid, text),
     }
-    frame::seal(&mut bytes);
+    frame::write_length(&mut bytes);
     bytes
 }
 
@@ -47,7 +47,7 @@
     let limits = Limits::default();
     let protocol = if bytes[0] == 0x82 { Protocol::Compact } else { Protocol::Binary };
     let paths = Paths::new([[1i16], [2]]);
-    let message = walk::framed(protocol, bytes, &paths, &limits).expect("a message");
+    let message = walk::framed_message(protocol, bytes, &paths, &limits).expect("a message");
     let text = match message.values[0] {
         Some(Value::Binary(text)) => String::from_utf8_lossy(text).into_owned(),
         _ => String::new(),
@@ -241,13 +241,13 @@
     let (one, two) = (Peer::new().await, Peer::new().await);
     let shop = Shop::new(&[("one", &one), ("two", &two)], "").await;
     let mut client = shop.client().await;
-    let mut hurried = vec![0; frame::HEAD];
+    let mut hurried = vec![0; frame::HEADER_LEN];
     let mut writer = write::Binary(&mut hurried);
     writer.header(MessageType::Call, "hurried", 5, true);
-    writer.field(Kind::I32, 2, 0, None);
+    writer.field(ValueType::I32, 2, 0, None);
     writer.i32(300);
     writer.stop();
-    frame::seal(&mut hurried);
+    frame::write_length(&mut hurried);
     client.write_bytes(&hurried).await;
     let (mut wire, other) = called(&one, &two).await;
     let got = next(&mut wire).await;
@@ -271,10 +271,10 @@
     let got = next(&mut wire).await;
     let limits = Limits::default();
     let bytes = call("buy", got.seqid, "order");
-    let header = walk::header(Protocol::Binary, &bytes[frame::HEAD..], &limits).expect("a header");
-    let mut refusal = vec![0; frame::HEAD];
+    let header = walk::header(Protocol::Binary, &bytes[frame::HEADER_LEN..], &limits).expect("a header");
+    let mut refusal = vec![0; frame::HEADER_LEN];
     write::exception(&mut refusal, Protocol::Binary, &header, ExceptionType::UnknownMethod, "who?");
-    frame::seal(&mut refusal);
+    frame::write_length(&mut refusal);
     wire.write_bytes(&refusal).await;
     let mut second = other.accept().await;
     let again = next(&mut second).await;
@@ -560,13 +560,13 @@
 async fn malformed_messages_are_turned_down() {
     let server = Peer::new().await;
     let shop = Shop::new(&[("s", &server)], "").await;
-    let mut depth = vec![0; frame::HEAD];
+    let mut depth = vec![0; frame::HEADER_LEN];
     write::Binary(&mut depth).header(MessageType::Call, "buy", 3, true);
     depth.extend(b"\x0c\x00\x01".repeat(200));
-    frame::seal(&mut depth);
+    frame::write_length(&mut depth);
     let mut behind = call("buy", 3, "x");
     behind.push(0);
-    frame::seal(&mut behind);
+    frame::write_length(&mut behind);
     let mut unknown = call("buy", 3, "x");
     unknown[7] = 2; // A reply.
     for (bytes, kind) in [
@@ -670,15 +670,15 @@
 
 /// A reply whose struct holds a busy part in field 0 and requests in hand in field 1.
 fn load_reply(name: &str, seqid: i32, busy: f64) -> Vec<u8> {
-    let mut out = vec![0; frame::HEAD];
+    let mut out = vec![0; frame::HEADER_LEN];
     let mut writer = write::Binary(&mut out);
     writer.header(MessageType::Reply, name, seqid, true);
-    writer.field(Kind::Double, 0, 0, None);
+    writer.field(ValueType::Double, 0, 0, None);
     writer.double(busy);
-    writer.field(Kind::I32, 1, 0, None);
+    writer.field(ValueType::I32, 1, 0, None);
     writer.i32((busy * 9.0) as i32);
     writer.stop();
-    frame::seal(&mut out);
+    frame::write_length(&mut out);
     out
 }
 
