--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,6 +1,6 @@
 //! Clients of nodes: they place orders, wait no longer than their time, and come again only where that is harmless.
 
-use crate::book::End;
+use crate::results::OrderOutcome;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1;
@@ -83,7 +83,7 @@
     }
 
     /// Places an order, first with the node of this number (counted round), and stays with it to its end.
-    pub async fn place(&self, order: Order<'_>, first: usize) -> End {
+    pub async fn place(&self, order: Order<'_>, first: usize) -> OrderOutcome {
         let placed = Instant::now();
         let due = placed + order.class.deadline;
         let mut tries = 0;
@@ -92,18 +92,18 @@
             let request = request(order, tries, due - Instant::now());
             tries += 1;
             let Ok(reply) = timeout_at(due + self.slack, self.once(node, request)).await else {
-                return End::Unanswered;
+                return OrderOutcome::Unanswered;
             };
             let (otherwise, wait) = match reply {
-                Reply::Answered(StatusCode::OK, _) => return End::Served(placed.elapsed()),
+                Reply::Answered(StatusCode::OK, _) => return OrderOutcome::Served(placed.elapsed()),
                 Reply::Answered(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, wait) => {
-                    (End::Refused, wait)
+                    (OrderOutcome::Refused, wait)
                 }
-                Reply::Unsent => (End::Failed, None),
+                Reply::Unsent => (OrderOutcome::Failed, None),
                 Reply::Answered(..) | Reply::Broken if order.class.repeat == Repeat::Safe => {
-                    (End::Failed, None)
+                    (OrderOutcome::Failed, None)
                 }
-                Reply::Answered(..) | Reply::Broken => return End::Failed,
+                Reply::Answered(..) | Reply::Broken => return OrderOutcome::Failed,
             };
             let wait = wait.unwrap_or(BACK_OFF * tries as u32);
             if Instant::now() + wait >= due {
--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -4,7 +4,7 @@
 //! Figures depend on the machine; the ratios, taken in one run, less so.
 
 use crate::fleet::{io, FleetError, NodeProcess};
-use crate::process::cpu;
+use crate::process::cpu_time;
 use crate::registry::Registry;
 use birchswitch_thrift::write::{self, Writer};
 use birchswitch_thrift::{frame, walk, Limits, MessageType, Protocol, ValueType};
@@ -263,7 +263,8 @@
     let addresses = serve(plan.way, plan.servers).map_err(io("the servers"))?;
     let registry = Registry::start().await.map_err(io("the registry"))?;
     for (n, address) in addresses.iter().enumerate() {
-        registry.tell(json!({"id": format!("s{n}"), "host_port": address.to_string(), "locality": "here",
+        registry
+            .announce(json!({"id": format!("s{n}"), "host_port": address.to_string(), "locality": "here",
                              "flavor": "std", "cell": 0, "phase": "active", "size": 1.0, "up_since_ms": 0}));
     }
     let class = json!({"name": "browse", "effect": "free", "promise_ns": 1_000_000_000u64,
@@ -305,9 +306,9 @@
         (0..clients).map(|n| std::thread::spawn(move || ask(way, address, n, from, to))).collect();
     let until = |at: Instant| tokio::time::sleep(at.saturating_duration_since(Instant::now()));
     until(from).await;
-    let before = cpu(pid);
+    let before = cpu_time(pid);
     until(to).await;
-    let used = cpu(pid).saturating_sub(before);
+    let used = cpu_time(pid).saturating_sub(before);
     let (mut latencies, mut other) = (Vec::new(), 0);
     for client in asking {
         let answered = client.join().unwrap_or_else(|_| Err(std::io::ErrorKind::Other.into()));
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,9 +1,9 @@
 //! A fleet on loopback: modelled servers, a registry, real nodes and clients, with a fault script played on them.
 
-use crate::book::Book;
 use crate::client::{Class, Clients, Order, Repeat};
 use crate::process::{self, ConfigFile};
 use crate::registry::Registry;
+use crate::results::Results;
 use crate::script::{Deed, Fault, NodeFault, Script, Servers};
 use crate::server::{Server, Shared};
 use crate::site::{Site, WINDOW};
@@ -200,29 +200,29 @@
 /// What is under way, once a second and whenever a fault is played.
 pub enum Report<'a> {
     /// So much time has passed, and this is in the books.
-    Second(Duration, &'a Book),
+    Second(Duration, &'a Results),
     /// This is done now.
     Deed(Duration, &'a Deed),
 }
 
 /// Builds the fleet, plays the script while clients place orders, waits for the last answer, and returns the books.
 /// Has to run inside a `tokio::task::LocalSet`.
-pub async fn play(plan: Plan, mut report: impl FnMut(Report)) -> Result<Book, FleetError> {
+pub async fn play(plan: Plan, mut report: impl FnMut(Report)) -> Result<Results, FleetError> {
     let classes = plan.site.classes();
-    let book = Book::new(
+    let results = Results::new(
         classes.iter().map(|c| (c.name.to_owned(), c.promise, c.repeat == Repeat::Safe)),
         plan.servers,
     );
-    let shared = Shared::new(book, WINDOW);
+    let shared = Shared::new(results, WINDOW);
     shared.tells.set(!plan.site.hinted());
     let registry = Registry::start().await.map_err(io("the registry"))?;
     let mut servers = Vec::new();
     for n in 0..plan.servers {
         let cell = u16::try_from(n / 4).unwrap_or(u16::MAX);
-        let address = crate::scripted::own_address();
+        let address = crate::scripted::unique_address();
         let server = Server::new(n, cell, address, capacity(&plan), plan.script.seed, shared.clone());
         server.start(false).map_err(io(format!("server s{n}")))?;
-        registry.tell(member(n, &server, "active", 0));
+        registry.announce(member(n, &server, "active", 0));
         servers.push(server);
     }
     let mut nodes = Vec::new();
@@ -255,7 +255,7 @@
                     report(Report::Deed(entry.at, &entry.deed));
                     fleet.carry_out(&entry.deed, &mut chance).await?;
                 },
-                _ = seconds.tick() => report(Report::Second(began.elapsed(), &shared.book.borrow())),
+                _ = seconds.tick() => report(Report::Second(began.elapsed(), &shared.results.borrow())),
             }
             fleet.check()?;
         }
@@ -280,9 +280,9 @@
     for server in &servers {
         server.die().await;
     }
-    let mut book = shared.book.take();
-    book.span = (plan.length.as_secs_f64(), plan.cores);
-    Ok(book)
+    let mut results = shared.results.take();
+    results.span = (plan.length.as_secs_f64(), plan.cores);
+    Ok(results)
 }
 
 fn member(n: usize, server: &Server, phase: &str, started: u64) -> Value {
@@ -358,7 +358,7 @@
                 self.deeds.spawn_local(async move {
                     server.die().await;
                     sleep(NOTICE).await;
-                    registry.tell(member(n, &server, "left", 0));
+                    registry.announce(member(n, &server, "left", 0));
                     Ok(())
                 });
             }
@@ -368,7 +368,7 @@
             Fault::Deploy { drain, every } => {
                 self.deeds.spawn_local(async move {
                     sleep(every * turn).await;
-                    registry.tell(member(n, &server, "leaving", 0));
+                    registry.announce(member(n, &server, "leaving", 0));
                     sleep(drain).await;
                     server.die().await;
                     start_cold(n, server, registry).await
@@ -382,7 +382,7 @@
     let started = unix_ms();
     server.start(true).map_err(io(format!("starting server s{n} again")))?;
     sleep(WORD).await;
-    registry.tell(member(n, &server, "active", started));
+    registry.announce(member(n, &server, "active", started));
     Ok(())
 }
 
@@ -413,12 +413,12 @@
         let tenants = plan.site.tenants();
         let (tenant, hinted) = (tenants[number as usize % tenants.len()], plan.site.hinted());
         let node = chance.below(plan.nodes);
-        shared.book.borrow_mut().classes[class].asked += 1;
+        shared.results.borrow_mut().classes[class].asked += 1;
         let (clients, shared, classes) = (clients.clone(), shared.clone(), classes.clone());
         open.spawn_local(async move {
             let order = Order { class: &classes[class], number, tenant, work, hinted };
             let end = clients.place(order, node).await;
-            shared.book.borrow_mut().ended(class, end);
+            shared.results.borrow_mut().ended(class, end);
         });
     }
     while open.join_next().await.is_some() {}
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -14,12 +14,12 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-pub mod book;
 pub mod client;
 pub mod cost;
 pub mod fleet;
 pub mod process;
 pub mod registry;
+pub mod results;
 pub mod rig;
 pub mod script;
 pub mod scripted;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -4,11 +4,11 @@
 
 mod scale_command;
 
-use birchswitch_standin::book::Book;
 use birchswitch_standin::cost::{self, Way};
 use birchswitch_standin::fleet::{self, Plan, Report};
 use birchswitch_standin::process;
 use birchswitch_standin::process::block_on;
+use birchswitch_standin::results::Results;
 use birchswitch_standin::rig::cases::{self, CASES};
 use birchswitch_standin::rig::common;
 use birchswitch_standin::rig::leases;
@@ -172,7 +172,7 @@
 
 fn main() -> ExitCode {
     let done = match Arguments::parse().command {
-        Play::Demo(demo) => run(demo).map(|book| book.faults().is_empty()),
+        Play::Demo(demo) => run(demo).map(|results| results.violations().is_empty()),
         Play::Rig(arguments) => rig(&arguments),
         Play::Leases(arguments) => of_leases(&arguments),
         Play::Common(arguments) => in_common(&arguments),
@@ -189,7 +189,7 @@
     }
 }
 
-fn run(demo: Demo) -> Result<Book, Box<dyn Error>> {
+fn run(demo: Demo) -> Result<Results, Box<dyn Error>> {
     let (nodes, servers) = (usize::from(demo.nodes), usize::from(demo.servers));
     let mut script = match &demo.script {
         Some(path) => {
@@ -223,13 +223,13 @@
     println!("{nodes} nodes, {servers} servers, {} s, load {}; script:", demo.seconds, demo.load);
     plan.script.to_string().lines().for_each(|l| println!("    {l}"));
     println!("\n{:>5}{:>9}{:>9}{:>7}{:>9}{:>8}", "s", "asked", "in time", "late", "refused", "failed");
-    let book = block_on(fleet::play(plan, progress))??;
-    println!("\n{book}");
-    match book.faults()[..] {
+    let results = block_on(fleet::play(plan, progress))??;
+    println!("\n{results}");
+    match results.violations()[..] {
         [] => println!("no rule broken: each order had one final answer, none that may not ran twice"),
         ref faults => println!("BROKEN RULES: {}", faults.join("; ")),
     }
-    Ok(book)
+    Ok(results)
 }
 
 fn rig(arguments: &RigArguments) -> Result<bool, Box<dyn Error>> {
@@ -290,11 +290,11 @@
                     lines.collect::<String>(),
                 )?;
             }
-            if !outcome.wrong.is_empty() {
+            if !outcome.violations.is_empty() {
                 sound = false;
                 println!("    seed {seed}, script:");
                 case.script.lines().for_each(|l| println!("        {}", l.trim()));
-                outcome.wrong.iter().for_each(|w| println!("    WRONG: {w}"));
+                outcome.violations.iter().for_each(|w| println!("    WRONG: {w}"));
             }
         }
     }
@@ -307,13 +307,13 @@
             println!(
                 "{:<16}{seed:>6}{:>9}{:>12}{:>12}{:>10.1}",
                 case.name,
-                outcome.acts.len(),
+                outcome.activities.len(),
                 outcome.grants,
                 outcome.lost,
                 outcome.gap.as_secs_f64()
             );
-            sound &= outcome.wrong.is_empty();
-            outcome.wrong.iter().for_each(|w| println!("    WRONG: seed {seed}: {w}"));
+            sound &= outcome.violations.is_empty();
+            outcome.violations.iter().for_each(|w| println!("    WRONG: seed {seed}: {w}"));
         }
     }
     Ok(sound)
@@ -340,12 +340,12 @@
             at(1.0),
             (found.grants - 1) as f64 / f64::from(times)
         );
-        sound &= found.wrong.is_empty();
-        found.wrong.iter().for_each(|w| println!("    WRONG: {w}"));
+        sound &= found.violations.is_empty();
+        found.violations.iter().for_each(|w| println!("    WRONG: {w}"));
     }
     if arguments.minutes > 0 {
         let script = random_script(u64::from(arguments.minutes) * 60, seed);
-        let case = leases::Case { name: "random", script: &script, ..leases::SOUND };
+        let case = leases::Case { name: "random", script: &script, ..leases::BASELINE };
         let outcome = block_on(leases::play(&case, binary, seed))??;
         println!("{} minutes of random faults", arguments.minutes);
         for kind in ["die", "start", "pause", "cut", "split", "lose", "delay", "double"] {
@@ -354,14 +354,14 @@
         }
         println!(
             "    {} acts, {} grants, {} lost, longest time without an act {:.1} s, {} overlaps or tokens that fell",
-            outcome.acts.len(),
+            outcome.activities.len(),
             outcome.grants,
             outcome.lost,
             outcome.gap.as_secs_f64(),
-            outcome.wrong.len()
+            outcome.violations.len()
         );
-        sound &= outcome.wrong.is_empty();
-        outcome.wrong.iter().for_each(|w| println!("    WRONG: {w}"));
+        sound &= outcome.violations.is_empty();
+        outcome.violations.iter().for_each(|w| println!("    WRONG: {w}"));
     }
     Ok(sound)
 }
@@ -377,11 +377,11 @@
     let [all, served, refused, failed, without] = outcome.ended;
     println!("{nodes} nodes, {minutes} minutes, seed {seed}; faults {:?}", outcome.faults);
     println!("{all} requests: {served} served, {refused} refused, {failed} failed, {without} of nodes that died or stood still");
-    println!("the limit: at most {:.1} requests under what any window may hold", -outcome.over);
+    println!("the limit: at most {:.1} requests under what any window may hold", -outcome.rate_excess);
     println!("the wallet: {:?}", outcome.shown);
     println!("memory in kB and descriptors of the largest process, each minute: {:?}", outcome.sizes);
-    outcome.wrong.iter().for_each(|w| println!("    WRONG: {w}"));
-    Ok(outcome.wrong.is_empty())
+    outcome.violations.iter().for_each(|w| println!("    WRONG: {w}"));
+    Ok(outcome.violations.is_empty())
 }
 
 fn measure(arguments: Cost) -> Result<(), Box<dyn Error>> {
@@ -425,8 +425,8 @@
 
 fn progress(report: Report) {
     match report {
-        Report::Second(at, book) => {
-            let [asked, in_time, late, refused, failed] = book.totals();
+        Report::Second(at, results) => {
+            let [asked, in_time, late, refused, failed] = results.totals();
             println!("{:>5}{asked:>9}{in_time:>9}{late:>7}{refused:>9}{failed:>8}", at.as_secs());
         }
         Report::Deed(at, deed) => println!("{:>5}  {deed}", at.as_secs()),
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -94,13 +94,13 @@
 }
 
 /// Time that a process's first thread was given.
-pub fn cpu(pid: u32) -> Duration {
+pub fn cpu_time(pid: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).unwrap_or_default();
     Duration::from_nanos(text.split(' ').next().and_then(|n| n.parse().ok()).unwrap_or(0))
 }
 
 /// Whether a process is there, and not only left for its parent to ask after.
-pub fn runs(pid: u32) -> bool {
+pub fn is_running(pid: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     status.contains(") ") && !status.contains(") Z")
 }
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -57,7 +57,7 @@
     }
 
     /// Tells a member's state from now on. One whose `phase` is `left` is gone from whole lists.
-    pub fn tell(&self, member: Value) {
+    pub fn announce(&self, member: Value) {
         let id = member["id"].as_str().unwrap_or_default().to_owned();
         self.revision.send_modify(|revision| {
             *revision += 1;
--- a/crates/standin/src/book.rs
+++ b/crates/standin/src/results.rs
@@ -6,7 +6,7 @@
 
 /// How an order ended for the client that placed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum OrderOutcome {
     /// Served after so long, retries included.
     Served(Duration),
     /// Refused, with no time left to come again.
@@ -19,7 +19,7 @@
 
 /// One class of orders.
 #[derive(Clone, Debug)]
-pub struct ClassBook {
+pub struct ClassResults {
     /// Its name.
     pub name: String,
     /// An answer within this counts as in time.
@@ -45,7 +45,7 @@
 
 /// One server.
 #[derive(Clone, Debug, Default)]
-pub struct ServerBook {
+pub struct ServerResults {
     /// Orders whose work it began.
     pub runs: u64,
     /// Turned away unseen.
@@ -64,19 +64,19 @@
 
 /// All of it.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Results {
     /// By class.
-    pub classes: Vec<ClassBook>,
+    pub classes: Vec<ClassResults>,
     /// By server.
-    pub servers: Vec<ServerBook>,
+    pub servers: Vec<ServerResults>,
     /// Seconds that it covers, and cores of each server: what the servers' load is a part of.
     pub span: (f64, usize),
 }
 
-impl Book {
+impl Results {
     /// Empty books for classes (name, promise, repeatable) and so many servers.
     pub fn new(classes: impl IntoIterator<Item = (String, Duration, bool)>, servers: usize) -> Self {
-        let class = |(name, promise, repeatable)| ClassBook {
+        let class = |(name, promise, repeatable)| ClassResults {
             name,
             promise,
             asked: 0,
@@ -89,24 +89,24 @@
             repeatable,
             runs: HashMap::new(),
         };
-        Book {
+        Results {
             classes: classes.into_iter().map(class).collect(),
-            servers: vec![ServerBook::default(); servers],
+            servers: vec![ServerResults::default(); servers],
             span: (1.0, 1),
         }
     }
 
     /// An order ended.
-    pub fn ended(&mut self, class: usize, end: End) {
-        let book = &mut self.classes[class];
+    pub fn ended(&mut self, class: usize, end: OrderOutcome) {
+        let results = &mut self.classes[class];
         match end {
-            End::Served(latency) => {
-                book.late += u64::from(latency > book.promise);
-                book.latencies.push(latency);
+            OrderOutcome::Served(latency) => {
+                results.late += u64::from(latency > results.promise);
+                results.latencies.push(latency);
             }
-            End::Refused => book.refused += 1,
-            End::Failed => book.failed += 1,
-            End::Unanswered => book.unanswered += 1,
+            OrderOutcome::Refused => results.refused += 1,
+            OrderOutcome::Failed => results.failed += 1,
+            OrderOutcome::Unanswered => results.unanswered += 1,
         }
     }
 
@@ -114,14 +114,14 @@
     pub fn run(&mut self, server: usize, class: usize, order: u64, work: f64) {
         self.servers[server].runs += 1;
         self.servers[server].work += work;
-        let book = &mut self.classes[class];
-        let runs = book.runs.entry(order).or_default();
+        let results = &mut self.classes[class];
+        let runs = results.runs.entry(order).or_default();
         *runs += 1;
-        book.run_twice += u64::from(*runs > 1);
+        results.run_twice += u64::from(*runs > 1);
     }
 
     /// What must never be: orders without an answer, orders run twice that may not be, servers pushed over.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         let mut faults = Vec::new();
         for class in &self.classes {
             let ends = class.latencies.len() as u64 + class.refused + class.failed + class.unanswered;
@@ -157,7 +157,7 @@
     sorted.get(at.min(sorted.len().saturating_sub(1))).copied().unwrap_or_default()
 }
 
-impl fmt::Display for Book {
+impl fmt::Display for Results {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let head = ["class", "asked", "in time", "late", "refused", "failed", "unanswered", "run twice"];
         write!(f, "{:<12}", head[0])?;
@@ -206,26 +206,26 @@
     /// Books that find no fault whatever happens would make every test on them worthless.
     #[test]
     fn each_fault_is_found() {
-        let fresh = || Book::new([("buy".into(), Duration::from_millis(9), false)], 2);
-        let served = End::Served(Duration::from_millis(3));
+        let fresh = || Results::new([("buy".into(), Duration::from_millis(9), false)], 2);
+        let served = OrderOutcome::Served(Duration::from_millis(3));
         let mut fine = fresh();
         fine.classes[0].asked = 2;
         (0..2).for_each(|order| fine.run(0, 0, order, 0.1));
         (0..2).for_each(|_| fine.ended(0, served));
-        assert_eq!(fine.faults(), Vec::<String>::new());
+        assert_eq!(fine.violations(), Vec::<String>::new());
 
         let mut twice = fine.clone();
         twice.run(1, 0, 1, 0.1);
-        assert_eq!(twice.faults(), ["buy: 1 run twice"]);
+        assert_eq!(twice.violations(), ["buy: 1 run twice"]);
         let mut silent = fresh();
         silent.classes[0].asked = 1;
-        silent.ended(0, End::Unanswered);
-        assert_eq!(silent.faults(), ["buy: 1 never answered"]);
+        silent.ended(0, OrderOutcome::Unanswered);
+        assert_eq!(silent.violations(), ["buy: 1 never answered"]);
         let mut lost = fine.clone();
         lost.classes[0].asked = 3;
-        assert_eq!(lost.faults(), ["buy: 3 asked and 2 ended"]);
+        assert_eq!(lost.violations(), ["buy: 3 asked and 2 ended"]);
         let mut fallen = fine;
         fallen.servers[1].fallen = 1;
-        assert_eq!(fallen.faults(), ["s1: pushed over while cold"]);
+        assert_eq!(fallen.violations(), ["s1: pushed over while cold"]);
     }
 }
--- a/crates/standin/src/rig/cases.rs
+++ b/crates/standin/src/rig/cases.rs
@@ -3,7 +3,7 @@
 use super::checker::Checker;
 use super::history::{now, History};
 use super::{Plan, Rig, RigError};
-use crate::process::cpu;
+use crate::process::cpu_time;
 use crate::script::{Entry, Script, ScriptError};
 use std::fmt;
 use std::path::PathBuf;
@@ -108,7 +108,7 @@
 /// What a case came to.
 pub struct Outcome {
     /// What did not hold.
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     /// From the script's end until there was one membership.
     pub agreed: Option<Duration>,
     /// From deaths to each survivor's knowledge of them.
@@ -161,13 +161,13 @@
     script.seed = seed;
     let plan = Plan { spare, zones: 4, ..Plan::new(binary, nodes, script) };
     let mut rig = Rig::start(plan).await?;
-    rig.agreed(Duration::from_secs(60)).await?;
+    rig.wait_for_agreement(Duration::from_secs(60)).await?;
     let (began, before) = (now(), rig.wire().passed().sent[0]);
     rig.play(report).await?;
-    let mut wrong = Vec::new();
-    let agreed = rig.agreed(AGREED).await;
+    let mut violations = Vec::new();
+    let agreed = rig.wait_for_agreement(AGREED).await;
     if let Err(error) = &agreed {
-        wrong.push(error.to_string());
+        violations.push(error.to_string());
     }
     for holds in case.holds {
         if let Even(percent) = holds {
@@ -175,8 +175,8 @@
             let uneven = |h: &History| Checker::new(h, now()).unevenness();
             let settled = |h: &History| uneven(h).is_some_and(|u| u <= most);
             let last = |h: &History| format!("{:?} of the mean", uneven(h));
-            if let Err(error) = rig.until("an even ring", AGREED, settled, last).await {
-                wrong.push(error.to_string());
+            if let Err(error) = rig.wait_until("an even ring", AGREED, settled, last).await {
+                violations.push(error.to_string());
             }
         }
     }
@@ -184,9 +184,9 @@
     let history = rig.history();
     rig.close().await?;
     let checker = Checker::new(&history, end);
-    wrong.extend(checker.false_verdicts());
-    wrong.extend(checker.unnoticed(KNOWN));
-    wrong.extend(checker.incarnations_back());
+    violations.extend(checker.false_verdicts());
+    violations.extend(checker.unnoticed(KNOWN));
+    violations.extend(checker.incarnations_back());
     let verdicts: Vec<_> = history.lines.iter().filter(|l| l.kind == "verdict").collect();
     for holds in case.holds {
         let row = |a: usize, b: usize| (a..=b).map(|n| format!("n{n}")).collect::<Vec<_>>();
@@ -214,11 +214,11 @@
                     .then(|| format!("{found} verdicts by one process on one member, {most} are fine"))
             }
         };
-        wrong.extend(found);
+        violations.extend(found);
     }
     let span = (end - began) as f64 / 1e9;
     Ok(Outcome {
-        wrong,
+        violations,
         agreed: agreed.ok(),
         detections: checker.detections(),
         verdicts: verdicts.len(),
@@ -241,8 +241,8 @@
 pub async fn idle(nodes: usize, binary: PathBuf, length: Duration) -> Result<Idle, RigError> {
     let plan = Plan { zones: 4, ..Plan::new(binary, nodes, Script::default()) };
     let mut rig = Rig::start(plan).await?;
-    let agreed = rig.agreed(Duration::from_secs(120)).await?;
-    let spent = |rig: &Rig| rig.places().iter().filter_map(|n| rig.pid(*n)).map(cpu).collect::<Vec<_>>();
+    let agreed = rig.wait_for_agreement(Duration::from_secs(120)).await?;
+    let spent = |rig: &Rig| rig.places().iter().filter_map(|n| rig.pid(*n)).map(cpu_time).collect::<Vec<_>>();
     let (before, sent) = (spent(&rig), rig.wire().passed().sent);
     rig.play(|_| {}).await?;
     tokio::time::sleep(length).await;
--- a/crates/standin/src/rig/checker.rs
+++ b/crates/standin/src/rig/checker.rs
@@ -122,12 +122,12 @@
 
     /// Verdicts on members that ran and could be reached within the last 2 s.
     pub fn false_verdicts(&self) -> Vec<String> {
-        let mut wrong = Vec::new();
+        let mut found = Vec::new();
         for line in self.history.lines.iter().filter(|l| l.kind == "verdict") {
             let (Some(by), Some(on)) =
                 (self.writer(line), self.processes.iter().find(|p| p.draw == Some(line.number("draw"))))
             else {
-                wrong.push(format!("a verdict on {:?}, whom the rig never started", line.text("member")));
+                found.push(format!("a verdict on {:?}, whom the rig never started", line.text("member")));
                 continue;
             };
             let reached = |at: Nanos| on.runs(at) && self.road(by.place, on.place, at);
@@ -137,7 +137,7 @@
             while at + 4 * LOOK < line.at {
                 if reached(at) {
                     let ms = (line.at - at) / 1_000_000;
-                    wrong.push(format!(
+                    found.push(format!(
                         "n{} declared {} at place {} dead, which ran and had a road to it {ms} ms before",
                         by.place, on.name, on.place
                     ));
@@ -146,23 +146,23 @@
                 at += LOOK;
             }
         }
-        wrong
+        found
     }
 
     /// Deaths without a word that some did not know of within the bound, though they ran all the while and nothing was cut.
     pub fn unnoticed(&self, bound: Duration) -> Vec<String> {
-        let mut wrong = Vec::new();
+        let mut found = Vec::new();
         for (dead, killed, until, by, took) in self.deaths() {
             match took {
                 Some(took) if took <= bound => {}
                 _ if until < killed + bound.as_nanos() as u64 => {}
-                took => wrong.push(format!(
+                took => found.push(format!(
                     "n{by} learnt of {}'s death after {took:?}, not within {bound:?}",
                     self.processes[dead].name
                 )),
             }
         }
-        wrong
+        found
     }
 
     /// Times from each death to each survivor's knowledge of it.
@@ -202,7 +202,7 @@
         let yielded = |p: &Process| self.lines_of(p).any(|l| l.kind == "yielded");
         let running: Vec<&Process> =
             self.processes.iter().filter(|p| p.runs(self.end) && !yielded(p)).collect();
-        let mut wrong = Vec::new();
+        let mut found = Vec::new();
         for p in &running {
             let mut held: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
             for l in self.lines_of(p) {
@@ -218,16 +218,16 @@
             for other in running.iter().filter(|o| o.name != p.name) {
                 match held.get(other.name.as_str()) {
                     Some(("alive", draw)) if Some(*draw) == other.draw => {}
-                    held => wrong.push(format!("n{} holds {}, which runs, as {held:?}", p.place, other.name)),
+                    held => found.push(format!("n{} holds {}, which runs, as {held:?}", p.place, other.name)),
                 }
             }
             for (name, (state, _)) in held {
                 if matches!(state, "alive" | "suspect") && !running.iter().any(|o| o.name == name) {
-                    wrong.push(format!("n{} holds {name}, which is gone, as {state}", p.place));
+                    found.push(format!("n{} holds {name}, which is gone, as {state}", p.place));
                 }
             }
         }
-        wrong
+        found
     }
 
     /// Lines of this kind that processes at that place wrote.
@@ -238,15 +238,15 @@
     /// Lines in which a process went back behind an incarnation that it had told.
     pub fn incarnations_back(&self) -> Vec<String> {
         let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
-        let mut wrong = Vec::new();
+        let mut found = Vec::new();
         for l in self.history.lines.iter().filter(|l| matches!(l.kind.as_str(), "refuted" | "held_up")) {
             let incarnation = l.number("incarnation");
             let before = last.insert((l.place, l.start), incarnation).unwrap_or(0);
             if incarnation < before {
-                wrong.push(format!("n{} went from incarnation {before} back to {incarnation}", l.place));
+                found.push(format!("n{} went from incarnation {before} back to {incarnation}", l.place));
             }
         }
-        wrong
+        found
     }
 
     /// Most verdicts that one process reached on one member.
@@ -327,12 +327,12 @@
 
     #[test]
     fn a_pause_excuses_a_verdict_only_while_it_lasts_and_for_long_enough() {
-        for (from, to, wrong) in [(16, 21, 0), (19, 21, 1), (10, 15, 1)] {
+        for (from, to, found) in [(16, 21, 0), (19, 21, 1), (10, 15, 1)] {
             let mut h = quiet();
             h.did.push((from * S, Did::Stopped(1)));
             h.did.push((to * S, Did::Resumed(1)));
             h.lines.push(line(20 * S, 0, "verdict", &[("draw", 2)]));
-            assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), wrong, "{from} to {to}");
+            assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), found, "{from} to {to}");
         }
     }
 
@@ -340,11 +340,11 @@
     fn a_cut_excuses_a_verdict_only_without_a_road_through_a_third() {
         let one = BTreeSet::from([(1, 0)]);
         let all: BTreeSet<_> = [0, 2, 3].into_iter().map(|to| (1, to)).collect();
-        for (cut, wrong) in [(one, 1), (all, 0)] {
+        for (cut, found) in [(one, 1), (all, 0)] {
             let mut h = quiet();
             h.did.push((10 * S, Did::Cut(cut)));
             h.lines.push(line(20 * S, 0, "verdict", &[("draw", 2)]));
-            assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), wrong);
+            assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), found);
         }
     }
 
@@ -374,8 +374,8 @@
         let mut again = line(11 * S, 3, "listening", &[("draw", 77)]);
         again.start = 1;
         h.lines.push(again);
-        let wrong = Checker::new(&h, 60 * S).disagreements();
-        assert_eq!(wrong.iter().filter(|w| w.contains("holds n3")).count(), 3, "{wrong:?}");
+        let found = Checker::new(&h, 60 * S).disagreements();
+        assert_eq!(found.iter().filter(|w| w.contains("holds n3")).count(), 3, "{found:?}");
     }
 
     #[test]
--- a/crates/standin/src/rig/common.rs
+++ b/crates/standin/src/rig/common.rs
@@ -3,9 +3,9 @@
 use super::bounds::over_rate;
 use super::cases::CaseError;
 use super::history::Nanos;
-use super::load::{Ended, Order};
+use super::load::{RequestOutcome, RequestSpec};
 use super::scale::measure::{usage, Usage};
-use super::wallet::{Bank, Case, Shown, ACCOUNT, SOUND};
+use super::wallet::{Case, Shown, WalletRig, ACCOUNT, BASELINE};
 use crate::script::Script;
 use birchswitch_lab::rng::Rng;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 /// What a run came to.
 pub struct Outcome {
     /// What did not hold.
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     /// Faults, by their kind.
     pub faults: BTreeMap<&'static str, usize>,
     /// The ledger at the end.
@@ -36,7 +36,7 @@
     /// Requests: all, served, refused, failed, without an answer.
     pub ended: [usize; 5],
     /// By how many requests the worst window was over the limit; nothing or less: none was.
-    pub over: f64,
+    pub rate_excess: f64,
     /// Memory in kB and descriptors of the largest process, minute by minute.
     pub sizes: Vec<(u64, usize)>,
 }
@@ -80,10 +80,10 @@
     seed: u64,
     mut report: impl FnMut(u64, &str),
 ) -> Result<Outcome, CaseError> {
-    let case = Case { nodes, overdraft: 100, more: TABLES, seed, ..SOUND };
-    let mut bank = Bank::open(&case, binary).await?;
-    bank.pay(&[0], "p0", PAID).await;
-    let order = |class: &str, tenant: &str| Order {
+    let case = Case { nodes, overdraft: 100, more: TABLES, seed, ..BASELINE };
+    let mut bank = WalletRig::open(&case, binary).await?;
+    bank.top_up(&[0], "p0", PAID).await;
+    let order = |class: &str, tenant: &str| RequestSpec {
         class: class.into(),
         tenant: tenant.into(),
         key: (class == "keyed").then(String::new),
@@ -91,8 +91,8 @@
     };
     let mix =
         [("safe", ACCOUNT), ("unsafe", "two"), ("keyed", ACCOUNT), ("safe", "two"), ("unsafe", ACCOUNT)];
-    let orders: Vec<Order> = mix.iter().map(|(class, tenant)| order(class, tenant)).collect();
-    bank.orders(EACH, &orders);
+    let orders: Vec<RequestSpec> = mix.iter().map(|(class, tenant)| order(class, tenant)).collect();
+    bank.start_load(EACH, &orders);
     let (mut chance, mut faults, mut sizes) = (Rng::new(seed, 21), BTreeMap::new(), Vec::new());
     let (began, mut paid) = (Instant::now(), 0);
     while began.elapsed() < Duration::from_secs(minutes * 60) {
@@ -100,14 +100,14 @@
         *faults.entry(kind).or_default() += 1;
         report(began.elapsed().as_secs(), &script.replace('\n', "; "));
         let parsed = Script::parse(&script, 0, nodes)?;
-        bank.rig.rescript(Script { seed, ..parsed });
+        bank.rig.set_script(Script { seed, ..parsed });
         bank.rig.play(|_| ()).await?;
         let shown = bank.shown().await;
         if shown.balance + shown.outstanding < 2 * PAID as i64 && chance.below(3) > 0 {
             paid += 1;
             let id = format!("p{paid}");
             for node in [1, 3, 5, 1, 3] {
-                bank.pay(&[node % nodes, 0], &id, PAID).await;
+                bank.top_up(&[node % nodes, 0], &id, PAID).await;
             }
         }
         sleep(Duration::from_secs(1 + chance.below(3) as u64)).await;
@@ -115,23 +115,23 @@
             sizes.push(largest(&bank));
         }
     }
-    let ended = bank.quiet().await;
-    let shown = bank.until("all quiet", |s| s.outstanding == 0).await;
-    let mut wrong = bank.wrong(&case, true).await;
-    let seen = bank.site.seen();
+    let ended = bank.stop_load().await;
+    let shown = bank.wait_until("all quiet", |s| s.outstanding == 0).await;
+    let mut violations = bank.violations(&case, true).await;
+    let seen = bank.site.received();
     let limited: Vec<Nanos> = seen.iter().filter(|s| s.tenant == "two").map(|s| s.at).collect();
-    let over = over_rate(&limited, PER_S, BURST);
-    if over > 0.0 {
-        wrong.push(format!("{over:.3} requests over {PER_S} W + {BURST} in some window"));
+    let rate_excess = over_rate(&limited, PER_S, BURST);
+    if rate_excess > 0.0 {
+        violations.push(format!("{rate_excess:.3} requests over {PER_S} W + {BURST} in some window"));
     }
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     seen.iter().filter(|s| s.class == "unsafe").for_each(|s| *runs.entry(&s.id).or_default() += 1);
     let twice = runs.values().filter(|n| **n > 1).count();
     if twice > 0 {
-        wrong.push(format!("{twice} requests ran twice that must not"));
+        violations.push(format!("{twice} requests ran twice that must not"));
     }
     bank.rig.close().await?;
-    let count = |of: &dyn Fn(&Ended) -> bool| ended.iter().filter(|e| of(e)).count();
+    let count = |of: &dyn Fn(&RequestOutcome) -> bool| ended.iter().filter(|e| of(e)).count();
     let ended = [
         ended.len(),
         count(&|e| e.status == Some(200)),
@@ -139,11 +139,11 @@
         count(&|e| e.status.is_some_and(|s| s != 200 && s != 503)),
         count(&|e| e.status.is_none()),
     ];
-    Ok(Outcome { wrong, faults, shown, ended, over, sizes })
+    Ok(Outcome { violations, faults, shown, ended, rate_excess, sizes })
 }
 
 /// Memory in kB and descriptors of the process that has most.
-fn largest(bank: &Bank) -> (u64, usize) {
+fn largest(bank: &WalletRig) -> (u64, usize) {
     let mut most = (0, 0);
     for pid in bank.rig.places().into_iter().filter_map(|place| bank.rig.pid(place)) {
         let Usage { memory_kb, descriptors, .. } = usage(pid);
--- a/crates/standin/src/rig/receiver.rs
+++ b/crates/standin/src/rig/fenced_resource.rs
@@ -11,7 +11,7 @@
 
 /// An act that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct AcceptedAct {
     /// With which token.
     pub token: u64,
     /// When.
@@ -21,25 +21,25 @@
 }
 
 /// See the module's words.
-pub struct Receiver {
+pub struct FencedResource {
     address: SocketAddr,
     fenced: bool,
     highest: Cell<u64>,
-    taken: RefCell<Vec<Taken>>,
-    refused: RefCell<Vec<u64>>,
+    accepted: RefCell<Vec<AcceptedAct>>,
+    rejected: RefCell<Vec<u64>>,
 }
 
-impl Receiver {
+impl FencedResource {
     /// Takes acts on loopback: a line `BEGIN token` is answered by `GO` or `LOWER`, and the connection's end is the act's. One that is
     /// not fenced takes any token.
     pub async fn start(fenced: bool) -> io::Result<Rc<Self>> {
-        let listener = TcpListener::bind(crate::scripted::own_address()).await?;
-        let receiver = Rc::new(Receiver {
+        let listener = TcpListener::bind(crate::scripted::unique_address()).await?;
+        let receiver = Rc::new(FencedResource {
             address: listener.local_addr()?,
             fenced,
             highest: Cell::default(),
-            taken: RefCell::default(),
-            refused: RefCell::default(),
+            accepted: RefCell::default(),
+            rejected: RefCell::default(),
         });
         let acts = Rc::downgrade(&receiver);
         spawn_local(async move {
@@ -58,17 +58,17 @@
             return Ok(());
         };
         if self.fenced && token < self.highest.get() {
-            self.refused.borrow_mut().push(token);
+            self.rejected.borrow_mut().push(token);
             return stream.write_all(b"LOWER\n").await;
         }
         self.highest.set(self.highest.get().max(token));
-        let n = self.taken.borrow().len();
-        self.taken.borrow_mut().push(Taken { token, begin: now(), end: None });
+        let n = self.accepted.borrow().len();
+        self.accepted.borrow_mut().push(AcceptedAct { token, begin: now(), end: None });
         stream.write_all(b"GO\n").await?;
         let mut rest = Vec::new();
         // A process that is killed resets its connection.
         let _ = stream.read_to_end(&mut rest).await;
-        self.taken.borrow_mut()[n].end = Some(now());
+        self.accepted.borrow_mut()[n].end = Some(now());
         Ok(())
     }
 
@@ -78,28 +78,28 @@
     }
 
     /// Acts that it took, by their begins.
-    pub fn taken(&self) -> Vec<Taken> {
-        self.taken.borrow().clone()
+    pub fn accepted(&self) -> Vec<AcceptedAct> {
+        self.accepted.borrow().clone()
     }
 
     /// Tokens that it refused.
-    pub fn refused(&self) -> Vec<u64> {
-        self.refused.borrow().clone()
+    pub fn rejected_tokens(&self) -> Vec<u64> {
+        self.rejected.borrow().clone()
     }
 
     /// Acts of different tokens that overlap, and tokens that fell.
-    pub fn wrong(&self) -> Vec<String> {
-        let (taken, mut wrong) = (self.taken.borrow(), Vec::new());
-        for (n, act) in taken.iter().enumerate() {
-            for earlier in taken[..n].iter().filter(|e| e.token != act.token) {
+    pub fn violations(&self) -> Vec<String> {
+        let (accepted, mut violations) = (self.accepted.borrow(), Vec::new());
+        for (n, act) in accepted.iter().enumerate() {
+            for earlier in accepted[..n].iter().filter(|e| e.token != act.token) {
                 if earlier.end.is_none_or(|end| end > act.begin) {
-                    wrong.push(format!("{} began while {} went on", act.token, earlier.token));
+                    violations.push(format!("{} began while {} went on", act.token, earlier.token));
                 }
                 if act.token < earlier.token {
-                    wrong.push(format!("{} came after {}", act.token, earlier.token));
+                    violations.push(format!("{} came after {}", act.token, earlier.token));
                 }
             }
         }
-        wrong
+        violations
     }
 }
--- a/crates/standin/src/rig/leases.rs
+++ b/crates/standin/src/rig/leases.rs
@@ -23,7 +23,7 @@
 
 /// What one contender did under one grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Act {
+pub struct Activity {
     /// At which node.
     pub place: usize,
     /// With which token, the newest that it was told.
@@ -47,68 +47,68 @@
     /// Safeguards to go without.
     pub without: &'static [&'static str],
     /// Nodes with a contender; all where none is named.
-    pub contend: &'static [usize],
+    pub contenders: &'static [usize],
     /// For how long a contender acts that is not told otherwise.
-    pub keeps: Duration,
+    pub hold_time: Duration,
     /// Contenders that find it busy ask anew at once, so that one is there in the moment in which it comes free.
-    pub eager: bool,
+    pub retry_at_once: bool,
 }
 
 /// Seven contenders that take turns, five of their nodes vote, nothing goes wrong.
-pub const SOUND: Case<'static> = Case {
+pub const BASELINE: Case<'static> = Case {
     name: "",
     nodes: [7, 5],
     script: "",
     rates: &[],
     without: &[],
-    contend: &[],
-    keeps: Duration::from_millis(1500),
-    eager: false,
+    contenders: &[],
+    hold_time: Duration::from_millis(1500),
+    retry_at_once: false,
 };
 
 /// What must hold: no two act at once, whatever the script does. Leases live for 2 s.
 pub const CASES: &[Case<'static>] = &[
-    Case { name: "lease-calm", script: "8s wire lose 0", ..SOUND },
-    Case { name: "lease-pauses", script: "1s n0 pause 6s\n3s n5 pause 6s\n5s n1-n2 pause 3s\n9s n6 pause 6s\n12s nodes pause 3s\n18s wire lose 0", ..SOUND },
+    Case { name: "lease-calm", script: "8s wire lose 0", ..BASELINE },
+    Case { name: "lease-pauses", script: "1s n0 pause 6s\n3s n5 pause 6s\n5s n1-n2 pause 3s\n9s n6 pause 6s\n12s nodes pause 3s\n18s wire lose 0", ..BASELINE },
     Case {
         name: "lease-deaths",
         script: "2s n5-n6 die\n3s n0 die\n4s n5-n6 start\n4s n0 start\n7s n0-n4 die\n7s n0-n4 start\n13s nodes die\n13s nodes start\n20s wire lose 0",
-        ..SOUND
+        ..BASELINE
     },
     Case {
         name: "lease-wire",
         script: "0s wire lose 0.3\n0s wire double 0.3\n4s wire delay 3s\n9s wire delay 0s\n9s wire cut n5 n0-n4\n12s wire heal\n\
                  12s wire cut n0-n4 n6\n15s wire heal\n15s wire split n0-n1 n2-n6\n18s wire heal\n20s wire lose 0",
-        ..SOUND
+        ..BASELINE
     },
     // Grants are on the wire when all voters die.
     Case {
         name: "lease-late-grants",
         script: "0s wire delay 60ms\n2s n0-n4 die\n2s n0-n4 start\n6s n0-n4 die\n6s n0-n4 start\n11s wire delay 0s\n12s wire lose 0",
-        ..SOUND
+        ..BASELINE
     },
     // Voters hear every candidate and none of the others.
     Case {
         name: "lease-deaf-voters",
         nodes: [5, 3],
         script: "1s wire split n0 n1-n2\n1s wire split n1 n2\n9s wire heal",
-        contend: &[3, 4],
-        ..SOUND
+        contenders: &[3, 4],
+        ..BASELINE
     },
     Case {
         name: "lease-clocks",
         script: "2s wire cut n5-n6 n0-n4\n5s wire heal\n7s wire cut n0-n4 n0-n6\n10s wire heal\n12s wire cut n0-n6 n0-n4\n15s wire heal\n16s wire lose 0",
         rates: &[1.04, 0.96, 1.04, 0.96, 1.04, 0.96, 0.96],
-        ..SOUND
+        ..BASELINE
     },
 ];
 
 /// What a run came to.
 pub struct Outcome {
     /// What did not hold.
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     /// All acts, by their begin.
-    pub acts: Vec<Act>,
+    pub activities: Vec<Activity>,
     /// Grants and losses that nodes wrote down.
     pub grants: usize,
     /// See there.
@@ -128,66 +128,71 @@
     let lease = LeasePlan { rates, without, ..LeasePlan::new(voters) };
     let plan = Plan { lease: Some(lease.clone()), ..Plan::new(binary, nodes, script) };
     let mut rig = Rig::start(plan).await?;
-    rig.agreed(Duration::from_secs(60)).await?;
-    let acts: Rc<RefCell<Vec<Act>>> = Rc::default();
+    rig.wait_for_agreement(Duration::from_secs(60)).await?;
+    let activities: Rc<RefCell<Vec<Activity>>> = Rc::default();
     let mut contenders = JoinSet::new();
-    for place in (0..nodes).filter(|n| case.contend.is_empty() || case.contend.contains(n)) {
-        let (acts, operators) = (acts.clone(), rig.desks());
-        let habit = Habit { keeps: case.keeps, polite: false, eager: case.eager };
-        contenders.spawn_local(async move { contend(place, &operators, habit, &acts).await });
+    for place in (0..nodes).filter(|n| case.contenders.is_empty() || case.contenders.contains(n)) {
+        let (activities, operators) = (activities.clone(), rig.operator_addresses());
+        let habit = Habit { hold_time: case.hold_time, polite: false, retry_at_once: case.retry_at_once };
+        contenders.spawn_local(async move { contend(place, &operators, habit, &activities).await });
     }
     let granted = |h: &History| h.lines.iter().filter(|l| l.kind == "granted").count();
     let first = |h: &History| granted(h) > 0;
-    rig.until("a first grant", Duration::from_secs(20), first, |_| "none".to_owned()).await?;
+    rig.wait_until("a first grant", Duration::from_secs(20), first, |_| "none".to_owned()).await?;
     rig.play(|_| {}).await?;
     let before = granted(&rig.history());
     // Whoever takes turns goes on doing so.
-    let again = |h: &History| granted(h) > before || case.keeps > Duration::from_secs(5);
-    rig.until("a grant after all faults", Duration::from_secs(20), again, |_| "none".to_owned()).await?;
+    let again = |h: &History| granted(h) > before || case.hold_time > Duration::from_secs(5);
+    rig.wait_until("a grant after all faults", Duration::from_secs(20), again, |_| "none".to_owned()).await?;
     contenders.shutdown().await;
     let history = rig.history();
     rig.close().await?;
-    let mut acts = acts.take();
-    acts.sort_by_key(|a| a.begin);
-    let mut wrong = overlaps(&acts);
-    wrong.extend(holders(&history, &lease, NAME));
+    let mut activities = activities.take();
+    activities.sort_by_key(|a| a.begin);
+    let mut violations = overlaps(&activities);
+    violations.extend(concurrent_holders(&history, &lease, NAME));
     let mut gap = 0;
-    for pair in acts.windows(2) {
+    for pair in activities.windows(2) {
         gap = gap.max(pair[1].begin.saturating_sub(pair[0].end));
     }
     let count = |kind| history.lines.iter().filter(|l| l.kind == kind).count();
     let (grants, lost, gap) = (count("granted"), count("lost"), Duration::from_nanos(gap));
-    Ok(Outcome { wrong, acts, grants, lost, gap, history })
+    Ok(Outcome { violations, activities, grants, lost, gap, history })
 }
 
 /// How a contender uses what it is granted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Habit {
     /// For how long it acts that is not told otherwise.
-    pub keeps: Duration,
+    pub hold_time: Duration,
     /// Told that it is over it ends at once and gives the lease back; else it uses all the time that it was allowed.
     pub polite: bool,
     /// It asks anew at once where another has it.
-    pub eager: bool,
+    pub retry_at_once: bool,
 }
 
 /// Asks for the lease at one node, acts for as long as it may, gives it back after a while, and begins again.
-pub(super) async fn contend(place: usize, operators: &super::Desks, habit: Habit, acts: &RefCell<Vec<Act>>) {
+pub(super) async fn contend(
+    place: usize,
+    operators: &super::SharedAddresses,
+    habit: Habit,
+    activities: &RefCell<Vec<Activity>>,
+) {
     loop {
         let address = operators.borrow()[place];
         if let Some(address) = address {
-            session(place, address, habit, acts).await;
+            session(place, address, habit, activities).await;
         }
         sleep(POLL).await;
     }
 }
 
-async fn session(place: usize, address: SocketAddr, habit: Habit, acts: &RefCell<Vec<Act>>) {
+async fn session(place: usize, address: SocketAddr, habit: Habit, activities: &RefCell<Vec<Activity>>) {
     let Ok(Ok(stream)) = timeout(PATIENCE, TcpStream::connect(address)).await else { return };
     let mut stream = BufReader::new(stream);
     let mut question = format!("LEASE {NAME} 1\n");
     // The act under way, by its number, and by when it has to be over.
-    let mut act: Option<(usize, Nanos)> = None;
+    let mut activity: Option<(usize, Nanos)> = None;
     loop {
         let asked = now();
         let mut line = String::new();
@@ -200,49 +205,49 @@
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
         let told = match (answered, &words[..]) {
             (Ok(Ok(_)), ["HELD", token, _, left]) => token.parse().ok().zip(left.parse::<u64>().ok()),
-            (Ok(Ok(_)), ["WAITING", "busy"]) if act.is_none() && habit.eager => {
+            (Ok(Ok(_)), ["WAITING", "busy"]) if activity.is_none() && habit.retry_at_once => {
                 let _ = timeout(PATIENCE, stream.write_all(b"RELEASE\n")).await;
                 return;
             }
-            (Ok(Ok(_)), ["WAITING", ..]) if act.is_none() => {
+            (Ok(Ok(_)), ["WAITING", ..]) if activity.is_none() => {
                 sleep(POLL).await;
                 continue;
             }
             _ => None,
         };
         let Some((token, left)) = told else {
-            if let (Some((n, guard)), ["LOST"], true) = (act, &words[..], habit.polite) {
-                acts.borrow_mut()[n].end = now().min(guard);
+            if let (Some((n, guard)), ["LOST"], true) = (activity, &words[..], habit.polite) {
+                activities.borrow_mut()[n].end = now().min(guard);
                 let _ = timeout(PATIENCE, stream.write_all(b"RELEASE\n")).await;
                 return;
             }
             // Nothing more is heard: all the time that was allowed is used.
-            if let Some((n, guard)) = act {
+            if let Some((n, guard)) = activity {
                 sleep(Duration::from_nanos(guard.saturating_sub(now()))).await;
                 // What was allowed is what counts, not when this task woke.
-                acts.borrow_mut()[n].end = guard;
+                activities.borrow_mut()[n].end = guard;
             }
             return;
         };
         let guard = asked + left * 1_000_000;
         let at = now();
-        match &mut act {
+        match &mut activity {
             None if at < guard => {
-                acts.borrow_mut().push(Act { place, token, begin: at, end: guard });
-                act = Some((acts.borrow().len() - 1, guard));
+                activities.borrow_mut().push(Activity { place, token, begin: at, end: guard });
+                activity = Some((activities.borrow().len() - 1, guard));
             }
             None => {}
             Some((n, until)) => {
                 *until = guard.max(*until);
-                let mut acts = acts.borrow_mut();
-                (acts[*n].token, acts[*n].end) = (token, *until);
+                let mut activities = activities.borrow_mut();
+                (activities[*n].token, activities[*n].end) = (token, *until);
             }
         }
-        if let Some((n, _)) = act {
-            let begin = acts.borrow()[n].begin;
-            if at > begin + habit.keeps.as_nanos() as u64 {
+        if let Some((n, _)) = activity {
+            let begin = activities.borrow()[n].begin;
+            if at > begin + habit.hold_time.as_nanos() as u64 {
                 // The act is over before the lease is given back.
-                acts.borrow_mut()[n].end = now();
+                activities.borrow_mut()[n].end = now();
                 let _ = timeout(PATIENCE, stream.write_all(b"RELEASE\n")).await;
                 return;
             }
@@ -252,27 +257,29 @@
 }
 
 /// Acts that overlap, and tokens that do not rise. Acts are sorted by their begins.
-pub fn overlaps(acts: &[Act]) -> Vec<String> {
-    let mut wrong = Vec::new();
-    for (n, act) in acts.iter().enumerate() {
-        for earlier in acts[..n].iter().filter(|e| e.place != act.place || e.token != act.token) {
-            if act.begin < earlier.end {
-                let ms = (earlier.end - act.begin) / 1_000_000;
-                wrong.push(format!(
+pub fn overlaps(activities: &[Activity]) -> Vec<String> {
+    let mut violations = Vec::new();
+    for (n, activity) in activities.iter().enumerate() {
+        for earlier in
+            activities[..n].iter().filter(|e| e.place != activity.place || e.token != activity.token)
+        {
+            if activity.begin < earlier.end {
+                let ms = (earlier.end - activity.begin) / 1_000_000;
+                violations.push(format!(
                     "n{} began with token {} while n{} went on with {} for {ms} ms more",
-                    act.place, act.token, earlier.place, earlier.token
+                    activity.place, activity.token, earlier.place, earlier.token
                 ));
             }
-            if act.token <= earlier.token {
-                wrong.push(format!("token {} came after {}", act.token, earlier.token));
+            if activity.token <= earlier.token {
+                violations.push(format!("token {} came after {}", activity.token, earlier.token));
             }
         }
     }
-    wrong
+    violations
 }
 
 /// Processes that hold leases of names that begin so at once, by their own lines and the rig's record.
-pub fn holders(history: &History, lease: &LeasePlan, name: &str) -> Vec<String> {
+pub fn concurrent_holders(history: &History, lease: &LeasePlan, name: &str) -> Vec<String> {
     // Of each grant: from when to when.
     let mut spans: Vec<(Nanos, Nanos, usize)> = Vec::new();
     let mut open: BTreeMap<(usize, usize), usize> = BTreeMap::new();
@@ -297,14 +304,14 @@
         }
     }
     spans.sort();
-    let mut wrong = Vec::new();
+    let mut violations = Vec::new();
     for pair in spans.windows(2) {
         let ((_, until, one), (from, _, other)) = (pair[0], pair[1]);
         // Lines are written a moment after the fact, and tell whole milliseconds.
         if from + 5_000_000 < until {
             let ms = (until - from) / 1_000_000;
-            wrong.push(format!("n{other} holds while n{one} does for {ms} ms more"));
+            violations.push(format!("n{other} holds while n{one} does for {ms} ms more"));
         }
     }
-    wrong
+    violations
 }
--- a/crates/standin/src/rig/limits.rs
+++ b/crates/standin/src/rig/limits.rs
@@ -3,8 +3,8 @@
 use super::bounds::{most_at_once, over_rate};
 use super::cases::CaseError;
 use super::history::{now, History, Nanos};
-use super::load::{Ended, Load, Order, Rate};
-use super::site::{Habits, Seen, Site};
+use super::load::{Load, NodeLoad, RequestOutcome, RequestSpec};
+use super::site::{ReceivedRequest, ServerBehavior, Site};
 use super::{LeasePlan, Plan, Rig};
 use crate::script::Script;
 use serde_json::{json, Value};
@@ -33,7 +33,7 @@
     /// What goes wrong, from the first grants on; `{keeper}` stands for the node that keeps the limits then.
     pub script: &'a str,
     /// All nodes get the same.
-    pub even: bool,
+    pub uniform_load: bool,
     /// How long grants hold.
     pub ttl: &'a str,
     /// Rates of nodes' clocks, in turn.
@@ -41,73 +41,73 @@
     /// Safeguards to go without.
     pub without: &'static [&'static str],
     /// How long it goes on beyond the script.
-    pub after: Duration,
+    pub extra_time: Duration,
 }
 
 /// Twelve nodes of which some get a hundred times what others do, nothing goes wrong.
-pub const SOUND: Case<'static> = Case {
+pub const BASELINE: Case<'static> = Case {
     name: "limits-calm",
     nodes: 12,
     when_cut: "strict",
     script: "4s wire lose 0",
-    even: false,
+    uniform_load: false,
     ttl: "3s",
     rates: &[],
     without: &[],
-    after: Duration::from_secs(4),
+    extra_time: Duration::from_secs(4),
 };
 
 /// What must hold, whatever the script does.
 pub const CASES: &[Case<'static>] = &[
-    SOUND,
+    BASELINE,
     Case {
         name: "limits-keepers",
         // The keeper is whichever has the lease: each place that can have it is paused beyond its grants, killed, or cut off.
         script: "1s n0-n3 pause 5s\n8s n4-n7 pause 5s\n15s n8-n11 pause 5s\n21s wire lose 0",
-        ..SOUND
+        ..BASELINE
     },
     Case {
         name: "limits-cuts",
         script: "1s wire split n0-n3 n4-n11\n7s wire heal\n9s wire cut n8-n11 n0-n7\n14s wire heal\n15s wire cut n0-n5 n6-n11\n20s wire heal",
-        ..SOUND
+        ..BASELINE
     },
     Case {
         name: "limits-deaths",
         script: "1s n0 die\n1s n4 die\n1s n7 die\n1s n10 die\n5s n0 start\n5s n4 start\n5s n7 start\n5s n10 start\n\
                  9s n1 die\n9s n5 die\n9s n8 die\n9s n11 die\n13s n1 start\n13s n5 start\n13s n8 start\n13s n11 start\n18s wire lose 0",
-        ..SOUND
+        ..BASELINE
     },
     Case {
         name: "limits-clocks",
         script: "1s n0-n3 pause 4s\n7s wire split n4-n7 n8-n11\n12s wire heal\n16s wire lose 0",
         rates: &[1.04, 0.96, 1.04, 0.96, 0.96],
-        ..SOUND
+        ..BASELINE
     },
     Case {
         name: "limits-stutter",
         script: "0s wire lose 0.1\n0s n2 stutter 400ms for 12s\n0s n6 stutter 400ms for 12s\n0s n9 stutter 400ms for 12s\n12s wire lose 0",
-        ..SOUND
+        ..BASELINE
     },
 ];
 
 /// What a run came to.
 pub struct Outcome {
     /// What did not hold.
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     /// By how many requests the worst window was over the rate; nothing or less: none was.
-    pub over: f64,
+    pub rate_excess: f64,
     /// The most in flight at servers.
-    pub at_once: usize,
+    pub max_in_flight: usize,
     /// The part of the rate that was used in each second after the faults.
-    pub used: Vec<f64>,
+    pub utilization: Vec<f64>,
     /// After a shift of demand, at the end: how long until 0.9 of the rate was used in the 3 s that followed; none: not within 30 s.
-    pub settled: Option<Duration>,
+    pub settling_time: Option<Duration>,
     /// Who kept them, in seconds from the first grants on.
-    pub keepers: Vec<String>,
+    pub keeper_events: Vec<String>,
     /// How requests ended.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<RequestOutcome>,
     /// What servers saw.
-    pub seen: Vec<Seen>,
+    pub received: Vec<ReceivedRequest>,
 }
 
 /// The site's settings: two tenants, no probes, as many attempts as one.
@@ -135,7 +135,7 @@
 fn demand(case: &Case, turned: bool) -> Vec<f64> {
     let nodes = case.nodes;
     let weight = |n: usize| match n * 3 / nodes {
-        _ if case.even => 1.0,
+        _ if case.uniform_load => 1.0,
         0 => 100.0,
         1 => 10.0,
         _ => 1.0,
@@ -155,7 +155,12 @@
         script.map(|script| Script { seed, ..script })
     };
     let script = parse(0)?;
-    let habits = Habits { takes: Duration::from_millis(150), errs: 0, stumbles: 0, tells: 0.5 };
+    let habits = ServerBehavior {
+        service_time: Duration::from_millis(150),
+        error_permille: 0,
+        slow_permille: 0,
+        reported_load: 0.5,
+    };
     let site = Site::start(6, habits).await.map_err(super::io("a server"))?;
     let lease = LeasePlan { rates: case.rates.to_vec(), ..LeasePlan::new(3) };
     let plan = Plan {
@@ -167,80 +172,95 @@
         ..Plan::new(binary, case.nodes, script)
     };
     let mut rig = Rig::start(plan).await?;
-    rig.agreed(Duration::from_secs(60)).await?;
-    let order = |tenant: &str| Order { class: "safe".into(), tenant: tenant.into(), key: None, cost: None };
-    let rates: Vec<Rate> = demand(case, false)
+    rig.wait_for_agreement(Duration::from_secs(60)).await?;
+    let order =
+        |tenant: &str| RequestSpec { class: "safe".into(), tenant: tenant.into(), key: None, cost: None };
+    let rates: Vec<NodeLoad> = demand(case, false)
         .into_iter()
-        .map(|per_s| Rate {
+        .map(|per_s| NodeLoad {
             per_s: Rc::new(Cell::new(per_s * 1.5)),
-            orders: vec![order("one"), order("one"), order("two")],
+            requests: vec![order("one"), order("one"), order("two")],
         })
         .collect();
     let knobs: Vec<Rc<Cell<f64>>> = rates.iter().map(|r| r.per_s.clone()).collect();
-    let load = Load::start(rates, rig.fronts());
+    let load = Load::start(rates, rig.client_addresses());
     let keeps = |h: &History| h.lines.iter().any(|l| l.kind == "keeps");
-    rig.until("a keeper", Duration::from_secs(30), keeps, |_| "none".into()).await?;
+    rig.wait_until("a keeper", Duration::from_secs(30), keeps, |_| "none".into()).await?;
     let began = now();
     while site.count() < 200 && now() < began + 30_000_000_000 {
         sleep(Duration::from_millis(20)).await;
     }
     let keeper = |h: &History| h.lines.iter().rev().find(|l| l.kind == "keeps").map_or(0, |l| l.place);
-    rig.rescript(parse(keeper(&rig.history()))?);
+    rig.set_script(parse(keeper(&rig.history()))?);
     rig.play(|_| ()).await?;
     let faults_end = now();
-    sleep(case.after).await;
+    sleep(case.extra_time).await;
     // Demand moves to the other end of the fleet.
     for (knob, per_s) in knobs.iter().zip(demand(case, true)) {
         knob.set(per_s * 1.5);
     }
     let shifted = now();
-    let mut settled = None;
-    while settled.is_none() && now() < shifted + SETTLES.as_nanos() as Nanos {
+    let mut settling_time = None;
+    while settling_time.is_none() && now() < shifted + SETTLES.as_nanos() as Nanos {
         sleep(Duration::from_millis(200)).await;
         let to = now();
         let from = to - 3_000_000_000;
-        if from >= shifted && used(&site.seen(), from, to) >= 0.9 {
-            settled = Some(Duration::from_nanos(from - shifted));
+        if from >= shifted && utilization(&site.received(), from, to) >= 0.9 {
+            settling_time = Some(Duration::from_nanos(from - shifted));
         }
     }
     let stopped = now();
     let ended = load.stop().await;
     let history = rig.close().await?;
-    let seen = site.seen();
-    let mut outcome = judge(case, seen, ended, [faults_end, stopped]);
-    outcome.settled = settled;
+    let received = site.received();
+    let mut outcome = judge(case, received, ended, [faults_end, stopped]);
+    outcome.settling_time = settling_time;
     let lines = history.lines.iter().filter(|l| {
         matches!(l.kind.as_str(), "keeps" | "task_begun" | "task_ended" | "granted" | "lost" | "lower")
     });
-    outcome.keepers =
+    outcome.keeper_events =
         lines.map(|l| format!("{:.2} n{} {}", (l.at as f64 - began as f64) / 1e9, l.place, l.kind)).collect();
     Ok(outcome)
 }
 
-fn judge(case: &Case, seen: Vec<Seen>, ended: Vec<Ended>, [faults_end, stopped]: [Nanos; 2]) -> Outcome {
-    let of = |tenant: &'static str| seen.iter().filter(move |s| s.tenant == tenant);
+fn judge(
+    case: &Case,
+    received: Vec<ReceivedRequest>,
+    ended: Vec<RequestOutcome>,
+    [faults_end, stopped]: [Nanos; 2],
+) -> Outcome {
+    let of = |tenant: &'static str| received.iter().filter(move |s| s.tenant == tenant);
     let one: Vec<Nanos> = of("one").map(|s| s.at).collect();
-    let over = over_rate(&one, PER_S, BURST);
-    let at_once = most_at_once(of("two").map(|s| (s.at, s.ended)));
-    let mut wrong = Vec::new();
-    if case.when_cut == "strict" && over > 0.0 {
-        wrong.push(format!("{over:.3} requests over {PER_S} W + {BURST} in some window"));
+    let rate_excess = over_rate(&one, PER_S, BURST);
+    let max_in_flight = most_at_once(of("two").map(|s| (s.at, s.ended)));
+    let mut violations = Vec::new();
+    if case.when_cut == "strict" && rate_excess > 0.0 {
+        violations.push(format!("{rate_excess:.3} requests over {PER_S} W + {BURST} in some window"));
     }
-    if case.when_cut == "strict" && at_once > IN_FLIGHT {
-        wrong.push(format!("{at_once} in flight where {IN_FLIGHT} may be"));
+    if case.when_cut == "strict" && max_in_flight > IN_FLIGHT {
+        violations.push(format!("{max_in_flight} in flight where {IN_FLIGHT} may be"));
     }
     let unanswered = ended.iter().filter(|e| e.status == Some(503) && !e.retry_after).count();
     if unanswered > 0 {
-        wrong.push(format!("{unanswered} refused without Retry-After"));
+        violations.push(format!("{unanswered} refused without Retry-After"));
     }
     let seconds = (stopped.saturating_sub(faults_end) / 1_000_000_000) as usize;
     let second = |s: usize| faults_end + s as u64 * 1_000_000_000;
-    let used = (0..seconds).map(|s| used(&seen, second(s), second(s + 1))).collect();
-    Outcome { wrong, over, at_once, used, settled: None, keepers: Vec::new(), ended, seen }
+    let utilization = (0..seconds).map(|s| utilization(&received, second(s), second(s + 1))).collect();
+    Outcome {
+        violations,
+        rate_excess,
+        max_in_flight,
+        utilization,
+        settling_time: None,
+        keeper_events: Vec::new(),
+        ended,
+        received,
+    }
 }
 
 /// The part of the rate that servers saw used of it between two times.
-fn used(seen: &[Seen], from: Nanos, to: Nanos) -> f64 {
-    let count = seen.iter().filter(|s| s.tenant == "one" && (from..to).contains(&s.at)).count();
+fn utilization(received: &[ReceivedRequest], from: Nanos, to: Nanos) -> f64 {
+    let count = received.iter().filter(|s| s.tenant == "one" && (from..to).contains(&s.at)).count();
     count as f64 / ((to - from) as f64 / 1e9) / PER_S
 }
--- a/crates/standin/src/rig/load.rs
+++ b/crates/standin/src/rig/load.rs
@@ -1,6 +1,6 @@
 //! Clients of a rig's nodes: at each node so many requests a second, whatever becomes of them.
 
-use super::Desks;
+use super::SharedAddresses;
 use crate::client::{connect, Sender};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -21,7 +21,7 @@
 
 /// What a client asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct RequestSpec {
     /// The class.
     pub class: String,
     /// The tenant.
@@ -34,7 +34,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct RequestOutcome {
     /// Its id.
     pub id: String,
     /// At which node.
@@ -51,11 +51,11 @@
 
 /// What a node gets.
 #[derive(Clone, Debug)]
-pub struct Rate {
+pub struct NodeLoad {
     /// Requests a second.
     pub per_s: Rc<Cell<f64>>,
     /// Of these orders, in turn.
-    pub orders: Vec<Order>,
+    pub requests: Vec<RequestSpec>,
 }
 
 /// A connection that waits for its next request.
@@ -76,15 +76,15 @@
 
 /// See the module's words. Runs on a `LocalSet`, as long as it is held.
 pub struct Load {
-    ended: Rc<RefCell<Vec<Ended>>>,
+    ended: Rc<RefCell<Vec<RequestOutcome>>>,
     sent: Rc<Cell<u64>>,
     tasks: JoinSet<()>,
 }
 
 impl Load {
     /// Begins at once: `rates` are the nodes', `fronts` says where each of them is reached now.
-    pub fn start(rates: Vec<Rate>, fronts: Desks) -> Load {
-        let (ended, sent, mut tasks): (Rc<RefCell<Vec<Ended>>>, Rc<Cell<u64>>, _) =
+    pub fn start(rates: Vec<NodeLoad>, fronts: SharedAddresses) -> Load {
+        let (ended, sent, mut tasks): (Rc<RefCell<Vec<RequestOutcome>>>, Rc<Cell<u64>>, _) =
             (Rc::default(), Rc::default(), JoinSet::new());
         for (node, rate) in rates.into_iter().enumerate() {
             tasks.spawn_local(clients(node, rate, fronts.clone(), ended.clone(), sent.clone()));
@@ -93,7 +93,7 @@
     }
 
     /// How requests ended so far.
-    pub fn ended(&self) -> Vec<Ended> {
+    pub fn outcomes(&self) -> Vec<RequestOutcome> {
         self.ended.borrow().clone()
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Sends no more, and waits until all that were sent have ended.
-    pub async fn stop(mut self) -> Vec<Ended> {
+    pub async fn stop(mut self) -> Vec<RequestOutcome> {
         self.tasks.shutdown().await;
         let all = async {
             while (self.ended.borrow().len() as u64) < self.sent.get() {
@@ -118,9 +118,9 @@
 
 async fn clients(
     node: usize,
-    rate: Rate,
-    fronts: Desks,
-    ended: Rc<RefCell<Vec<Ended>>>,
+    rate: NodeLoad,
+    fronts: SharedAddresses,
+    ended: Rc<RefCell<Vec<RequestOutcome>>>,
     sent: Rc<Cell<u64>>,
 ) {
     let idle: Rc<Idle> = Rc::default();
@@ -137,7 +137,7 @@
         // Whoever was held up does not make up for it in one burst.
         next = next.max(Instant::now() - Duration::from_millis(200));
         let Some(front) = fronts.borrow()[node] else { continue };
-        let mut order = rate.orders[n as usize % rate.orders.len()].clone();
+        let mut order = rate.requests[n as usize % rate.requests.len()].clone();
         // A key of its own for each that wants one.
         order.key = order.key.map(|_| format!("{node}-{n}"));
         let (id, idle, ended) = (format!("{node}-{n}"), idle.clone(), ended.clone());
@@ -150,25 +150,31 @@
 }
 
 /// Places one order at a node.
-pub async fn place_at(node: usize, front: SocketAddr, id: &str, order: &Order) -> Ended {
+pub async fn send_request(node: usize, front: SocketAddr, id: &str, order: &RequestSpec) -> RequestOutcome {
     place(node, front, id.to_owned(), order, &Idle::default()).await
 }
 
-async fn place(node: usize, front: SocketAddr, id: String, order: &Order, idle: &Idle) -> Ended {
+async fn place(
+    node: usize,
+    front: SocketAddr,
+    id: String,
+    order: &RequestSpec,
+    idle: &Idle,
+) -> RequestOutcome {
     let began = Instant::now();
     let answer = timeout(PATIENCE, ask(front, &id, order, idle)).await;
     let answer = answer.unwrap_or_else(|_| Err(format!("nothing came within {PATIENCE:?}")));
     let took = began.elapsed();
     match answer {
         Ok(Answer { status, retry_after, text }) => {
-            Ended { id, node, status: Some(status), retry_after, text, took }
+            RequestOutcome { id, node, status: Some(status), retry_after, text, took }
         }
-        Err(text) => Ended { id, node, status: None, retry_after: false, text, took },
+        Err(text) => RequestOutcome { id, node, status: None, retry_after: false, text, took },
     }
 }
 
 /// Sends an order and reads its answer, or says why there is none.
-async fn ask(front: SocketAddr, id: &str, order: &Order, idle: &Idle) -> Result<Answer, String> {
+async fn ask(front: SocketAddr, id: &str, order: &RequestSpec, idle: &Idle) -> Result<Answer, String> {
     let (mut sender, rested) = match take_idle(front, idle) {
         Some(kept) => (kept.sender, Some(kept.since.elapsed())),
         None => (connect(front).await.map_err(|error| format!("no connection: {error}"))?, None),
@@ -194,7 +200,7 @@
     Some(idle.swap_remove(ready))
 }
 
-fn request(id: &str, order: &Order) -> Request<Full<Bytes>> {
+fn request(id: &str, order: &RequestSpec) -> Request<Full<Bytes>> {
     let safe = order.class == "safe";
     let mut request = Request::builder()
         .method(if safe { "GET" } else { "POST" })
--- a/crates/standin/src/rig/mod.rs
+++ b/crates/standin/src/rig/mod.rs
@@ -10,12 +10,12 @@
 pub mod checker;
 pub mod common;
 mod faults;
+pub mod fenced_resource;
 pub mod history;
 pub mod leases;
 pub mod limits;
 pub mod load;
 mod plan;
-pub mod receiver;
 pub mod scale;
 pub mod site;
 pub mod streams;
@@ -110,7 +110,7 @@
 }
 
 /// Where operators call each place's process now.
-pub type Desks = Rc<RefCell<Vec<Option<SocketAddr>>>>;
+pub type SharedAddresses = Rc<RefCell<Vec<Option<SocketAddr>>>>;
 
 /// What a node sent to other nodes.
 #[derive(Clone, Copy, Debug, Default)]
@@ -130,8 +130,8 @@
     streams: Streams,
     around: Vec<Around>,
     processes: Vec<Option<Process>>,
-    desks: Desks,
-    fronts: Desks,
+    desks: SharedAddresses,
+    fronts: SharedAddresses,
     starts: Vec<usize>,
     record: Rc<Record>,
     chance: Rng,
@@ -145,7 +145,7 @@
         let wire = Rc::new(Wire::new(places, plan.script.seed).await.map_err(io("the wire"))?);
         let mut plan = plan;
         if plan.servers.is_empty() {
-            plan.servers = (0..20).map(|_| crate::scripted::own_address()).collect();
+            plan.servers = (0..20).map(|_| crate::scripted::unique_address()).collect();
         }
         let mut streams = Streams::default();
         let mut around = Vec::new();
@@ -168,7 +168,7 @@
             plan,
         };
         for server in 0..rig.plan.servers.len() {
-            rig.tell(server, "active");
+            rig.announce(server, "active");
         }
         for n in 0..rig.plan.nodes {
             rig.spawn(n, n).await?;
@@ -177,13 +177,13 @@
     }
 
     /// Discovery tells a server's phase.
-    pub fn tell(&self, server: usize, phase: &str) {
+    pub fn announce(&self, server: usize, phase: &str) {
         // Places without ways of their own share one registry.
         let own = if self.plan.streams { &self.around[..] } else { &self.around[..1] };
         for around in own {
             let mut told = member(&format!("s{server}"), around.servers[server], phase);
             told["cell"] = json!(server / 4);
-            around.registry.tell(told);
+            around.registry.announce(told);
         }
     }
 
@@ -265,7 +265,7 @@
     }
 
     /// Waits until the history is so. How long that took; an error says what came instead, as `last` tells it.
-    pub async fn until(
+    pub async fn wait_until(
         &self,
         what: &str,
         patience: Duration,
@@ -281,10 +281,10 @@
     }
 
     /// Waits until all that run hold just each other.
-    pub async fn agreed(&self, patience: Duration) -> Result<Duration, RigError> {
-        let wrong = |h: &History| checker::Checker::new(h, now()).disagreements();
-        let last = |h: &History| wrong(h).into_iter().take(5).collect::<Vec<_>>().join("; ");
-        self.until("one membership", patience, |h| wrong(h).is_empty(), last).await
+    pub async fn wait_for_agreement(&self, patience: Duration) -> Result<Duration, RigError> {
+        let violations = |h: &History| checker::Checker::new(h, now()).disagreements();
+        let last = |h: &History| violations(h).into_iter().take(5).collect::<Vec<_>>().join("; ");
+        self.wait_until("one membership", patience, |h| violations(h).is_empty(), last).await
     }
 
     /// Kills the process at a place.
@@ -319,12 +319,12 @@
     }
 
     /// Where operators call the node at a place.
-    pub fn operators(&self, place: usize) -> Option<SocketAddr> {
+    pub fn ops_address(&self, place: usize) -> Option<SocketAddr> {
         self.processes[place].as_ref().and_then(|p| p.operators)
     }
 
     /// Where clients reach each place's process, as it changes.
-    pub fn fronts(&self) -> Desks {
+    pub fn client_addresses(&self) -> SharedAddresses {
         self.fronts.clone()
     }
 
@@ -334,7 +334,7 @@
     }
 
     /// Where operators call each place's process, as it changes.
-    pub fn desks(&self) -> Desks {
+    pub fn operator_addresses(&self) -> SharedAddresses {
         self.desks.clone()
     }
 
@@ -383,7 +383,7 @@
     }
 
     /// Another script takes the place of the plan's.
-    pub fn rescript(&mut self, script: Script) {
+    pub fn set_script(&mut self, script: Script) {
         self.plan.script = script;
     }
 
--- a/crates/standin/src/rig/scale/mod.rs
+++ b/crates/standin/src/rig/scale/mod.rs
@@ -167,7 +167,7 @@
         }
         0 if holders(&history) != held => Some("a task's holder changed".to_owned()),
         0 => None,
-        wrong => Some(format!("{wrong} nodes that live were taken for dead")),
+        violations => Some(format!("{violations} nodes that live were taken for dead")),
     };
     let roles = roles(&history, size.nodes);
     rig.abort().await?;
@@ -195,7 +195,7 @@
         lease: Some(LeasePlan { lines: String::new(), ..LeasePlan::new(VOTERS) }),
         mesh: true,
         folders: size.accounts > 0,
-        servers: (0..size.servers).map(|_| crate::scripted::own_address()).collect(),
+        servers: (0..size.servers).map(|_| crate::scripted::unique_address()).collect(),
         // Whoever serves a task hears every other node.
         sockets: 8 * (size.nodes + 32),
         settings: settings(size.limits.max(size.accounts).max(1)),
@@ -218,7 +218,7 @@
     let accounts = (size.accounts > 0).then_some(&ACCOUNTS_TASK);
     let tasks: Vec<&&str> = TASKS.iter().chain(accounts).collect();
     loop {
-        let one = rig.agreed(Duration::from_millis(1)).await;
+        let one = rig.wait_for_agreement(Duration::from_millis(1)).await;
         let holders = holders(&rig.history());
         let missing = tasks.iter().find(|task| !holders.keys().any(|lease| task_of(lease) == ***task));
         match (one, missing) {
--- a/crates/standin/src/rig/site.rs
+++ b/crates/standin/src/rig/site.rs
@@ -19,7 +19,7 @@
 
 /// A request as it reached a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// When all of it was there.
     pub at: Nanos,
     /// When it was answered; not yet, where there is none.
@@ -38,20 +38,20 @@
 
 /// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Habits {
+pub struct ServerBehavior {
     /// How long each request takes.
-    pub takes: Duration,
+    pub service_time: Duration,
     /// The part that is answered by an error, in thousandths.
-    pub errs: u32,
+    pub error_permille: u32,
     /// The part that takes ten times as long, likewise.
-    pub stumbles: u32,
+    pub slow_permille: u32,
     /// What it says of its load.
-    pub tells: f64,
+    pub reported_load: f64,
 }
 
 /// One server.
 struct Server {
-    habits: Cell<Habits>,
+    habits: Cell<ServerBehavior>,
     count: Cell<u64>,
 }
 
@@ -59,17 +59,17 @@
 pub struct Site {
     servers: Vec<Rc<Server>>,
     addresses: Vec<SocketAddr>,
-    book: Rc<RefCell<Vec<Seen>>>,
+    book: Rc<RefCell<Vec<ReceivedRequest>>>,
     _tasks: JoinSet<()>,
 }
 
 impl Site {
     /// So many servers that all behave so.
-    pub async fn start(servers: usize, habits: Habits) -> io::Result<Site> {
+    pub async fn start(servers: usize, habits: ServerBehavior) -> io::Result<Site> {
         let (mut all, mut addresses, mut tasks) = (Vec::new(), Vec::new(), JoinSet::new());
-        let book: Rc<RefCell<Vec<Seen>>> = Rc::default();
+        let book: Rc<RefCell<Vec<ReceivedRequest>>> = Rc::default();
         for n in 0..servers {
-            let listener = TcpListener::bind(crate::scripted::own_address()).await?;
+            let listener = TcpListener::bind(crate::scripted::unique_address()).await?;
             addresses.push(listener.local_addr()?);
             let server = Rc::new(Server { habits: Cell::new(habits), count: Cell::new(0) });
             all.push(server.clone());
@@ -89,12 +89,12 @@
     }
 
     /// How one behaves from now on.
-    pub fn behave(&self, server: usize, habits: Habits) {
+    pub fn set_behavior(&self, server: usize, habits: ServerBehavior) {
         self.servers[server].habits.set(habits);
     }
 
     /// All that reached them, in order.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn received(&self) -> Vec<ReceivedRequest> {
         self.book.borrow().clone()
     }
 
@@ -104,7 +104,7 @@
     }
 }
 
-async fn serve(n: usize, server: Rc<Server>, book: Rc<RefCell<Vec<Seen>>>, stream: TcpStream) {
+async fn serve(n: usize, server: Rc<Server>, book: Rc<RefCell<Vec<ReceivedRequest>>>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
         let (server, book) = (server.clone(), book.clone());
@@ -116,7 +116,7 @@
 
 /// Writes down when work on a request ended, also where its connection closed.
 struct Working<'a> {
-    book: &'a RefCell<Vec<Seen>>,
+    book: &'a RefCell<Vec<ReceivedRequest>>,
     at: usize,
 }
 
@@ -129,7 +129,7 @@
 async fn answer(
     n: usize,
     server: &Server,
-    book: &RefCell<Vec<Seen>>,
+    book: &RefCell<Vec<ReceivedRequest>>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
@@ -138,7 +138,7 @@
     let class = head.uri.path().trim_start_matches('/').to_owned();
     let at = {
         let mut book = book.borrow_mut();
-        book.push(Seen {
+        book.push(ReceivedRequest {
             at: now(),
             ended: None,
             server: n,
@@ -153,12 +153,13 @@
     let (habits, count) = (server.habits.get(), server.count.replace(server.count.get() + 1));
     // Spread evenly, so that the same part errs whatever the number.
     let hits = |part: u32| count * u64::from(part) % 1000 < u64::from(part);
-    let takes = if hits(habits.stumbles) { habits.takes * 10 } else { habits.takes };
-    if !takes.is_zero() {
-        tokio::time::sleep(takes).await;
+    let service_time =
+        if hits(habits.slow_permille) { habits.service_time * 10 } else { habits.service_time };
+    if !service_time.is_zero() {
+        tokio::time::sleep(service_time).await;
     }
     drop(working);
-    let status = if hits(habits.errs) { StatusCode::INTERNAL_SERVER_ERROR } else { StatusCode::OK };
+    let status = if hits(habits.error_permille) { StatusCode::INTERNAL_SERVER_ERROR } else { StatusCode::OK };
     let mut response = Response::new(Full::new(Bytes::from_static(b"done")));
     *response.status_mut() = status;
     response
--- a/crates/standin/src/rig/takeovers.rs
+++ b/crates/standin/src/rig/takeovers.rs
@@ -1,7 +1,7 @@
 //! Leases among processes in figures: how soon another holds after a holder's end, and scripts of random faults for as long as wanted.
 
 use super::history::{now, History};
-use super::leases::{contend, holders, overlaps, Act, Habit};
+use super::leases::{concurrent_holders, contend, overlaps, Activity, Habit};
 use super::{LeasePlan, Plan, Rig, RigError};
 use crate::script::Script;
 use birchswitch_lab::rng::Rng;
@@ -26,7 +26,7 @@
     /// Grants in all, the first one included.
     pub grants: usize,
     /// What did not hold.
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 fn granted(h: &History) -> usize {
@@ -50,18 +50,18 @@
     let script = Script { seed, ..Script::default() };
     let plan = Plan { lease: Some(lease.clone()), ..Plan::new(binary, nodes, script) };
     let mut rig = Rig::start(plan).await?;
-    rig.agreed(PATIENCE).await?;
-    let acts: Rc<RefCell<Vec<Act>>> = Rc::default();
+    rig.wait_for_agreement(PATIENCE).await?;
+    let activities: Rc<RefCell<Vec<Activity>>> = Rc::default();
     let mut contenders = JoinSet::new();
-    let habit = Habit { keeps: Duration::from_secs(86_400), polite: true, eager: false };
+    let habit = Habit { hold_time: Duration::from_secs(86_400), polite: true, retry_at_once: false };
     for place in 0..nodes {
-        let (acts, desks) = (acts.clone(), rig.desks());
-        contenders.spawn_local(async move { contend(place, &desks, habit, &acts).await });
+        let (activities, desks) = (activities.clone(), rig.operator_addresses());
+        contenders.spawn_local(async move { contend(place, &desks, habit, &activities).await });
     }
     let mut found = Takeovers::default();
     for _ in 0..ends {
         // Whoever was granted it last holds it, once voters that started have abstained and nobody changes.
-        rig.until("a holder", PATIENCE, |h| granted(h) > 0, |_| "none".to_owned()).await?;
+        rig.wait_until("a holder", PATIENCE, |h| granted(h) > 0, |_| "none".to_owned()).await?;
         let settled = Duration::from_secs_f64(3.5);
         sleep(settled).await;
         let history = rig.history();
@@ -78,10 +78,11 @@
         };
         gone.await?;
         let next = |h: &History| h.lines.iter().filter(|l| l.kind == "granted").nth(grants).map(|l| l.at);
-        let came =
-            rig.until("a next holder", PATIENCE, |h| next(h).is_some(), |h| words(h, holder, ended)).await;
+        let came = rig
+            .wait_until("a next holder", PATIENCE, |h| next(h).is_some(), |h| words(h, holder, ended))
+            .await;
         if let Err(mut error) = came {
-            let desks = rig.desks().borrow().clone();
+            let desks = rig.operator_addresses().borrow().clone();
             for desk in desks.into_iter().flatten() {
                 let held = crate::scripted::call(desk, "LEASES").await;
                 if let RigError::Late { last, .. } = &mut error {
@@ -98,10 +99,10 @@
     let history = rig.history();
     rig.close().await?;
     found.grants = granted(&history);
-    let mut acts = acts.take();
-    acts.sort_by_key(|a| a.begin);
-    found.wrong = overlaps(&acts);
-    found.wrong.extend(holders(&history, &lease, "task"));
+    let mut activities = activities.take();
+    activities.sort_by_key(|a| a.begin);
+    found.violations = overlaps(&activities);
+    found.violations.extend(concurrent_holders(&history, &lease, "task"));
     Ok(found)
 }
 
--- a/crates/standin/src/rig/wallet.rs
+++ b/crates/standin/src/rig/wallet.rs
@@ -1,8 +1,8 @@
 //! A prepaid account on the rig: nodes under load, top-ups by operators' calls, and what the servers' own books come to at its prices.
 
 use super::cases::CaseError;
-use super::load::{Ended, Load, Order, Rate};
-use super::site::{Habits, Seen, Site};
+use super::load::{Load, NodeLoad, RequestOutcome, RequestSpec};
+use super::site::{ReceivedRequest, ServerBehavior, Site};
 use super::{LeasePlan, Plan, Rig};
 use crate::script::Script;
 use serde_json::json;
@@ -37,9 +37,9 @@
     /// Units that may be spent beyond what was prepaid.
     pub overdraft: u64,
     /// Thousandths of answers that are errors.
-    pub errs: u32,
+    pub error_permille: u32,
     /// For how long servers work on a request.
-    pub takes: Duration,
+    pub service_time: Duration,
     /// Further tables of the operator's file.
     pub more: &'a str,
     /// The seed.
@@ -47,13 +47,13 @@
 }
 
 /// Twelve nodes, nothing wrong.
-pub const SOUND: Case<'static> = Case {
+pub const BASELINE: Case<'static> = Case {
     nodes: 12,
     without: &[],
     ledger: "",
     overdraft: 0,
-    errs: 0,
-    takes: Duration::from_millis(20),
+    error_permille: 0,
+    service_time: Duration::from_millis(20),
     more: "",
     seed: 1,
 };
@@ -78,7 +78,7 @@
 }
 
 /// See the module's words.
-pub struct Bank {
+pub struct WalletRig {
     /// The processes.
     pub rig: Rig,
     /// The servers.
@@ -88,12 +88,17 @@
     paid: BTreeMap<String, u64>,
 }
 
-impl Bank {
+impl WalletRig {
     /// Starts all of it; nobody asks for anything yet.
-    pub async fn open(case: &Case<'_>, binary: PathBuf) -> Result<Bank, CaseError> {
+    pub async fn open(case: &Case<'_>, binary: PathBuf) -> Result<WalletRig, CaseError> {
         let mut script = Script::parse("0s wire lose 0", 0, case.nodes)?;
         script.seed = case.seed;
-        let habits = Habits { takes: case.takes, errs: case.errs, stumbles: 0, tells: 0.5 };
+        let habits = ServerBehavior {
+            service_time: case.service_time,
+            error_permille: case.error_permille,
+            slow_permille: 0,
+            reported_load: 0.5,
+        };
         let site = Site::start(5, habits).await.map_err(super::io("a server"))?;
         let prices: Vec<String> = PRICES.iter().map(|(class, price)| format!("{class} = {price}")).collect();
         let operator = format!(
@@ -117,40 +122,41 @@
             ..Plan::new(binary, case.nodes, script)
         };
         let rig = Rig::start(plan).await?;
-        rig.agreed(Duration::from_secs(60)).await?;
+        rig.wait_for_agreement(Duration::from_secs(60)).await?;
         let kept = |h: &super::history::History| h.lines.iter().any(|l| l.kind == "wallet_kept");
-        rig.until("a keeper", Duration::from_secs(30), kept, |_| "none".into()).await?;
-        Ok(Bank { rig, site, load: None, knobs: Vec::new(), paid: BTreeMap::new() })
+        rig.wait_until("a keeper", Duration::from_secs(30), kept, |_| "none".into()).await?;
+        Ok(WalletRig { rig, site, load: None, knobs: Vec::new(), paid: BTreeMap::new() })
     }
 
     /// From now on each node gets so many requests a second, of these classes in turn.
     pub fn load(&mut self, per_s: f64, classes: &[&str]) {
-        let order = |class: &&str| Order {
+        let order = |class: &&str| RequestSpec {
             class: (*class).into(),
             tenant: ACCOUNT.into(),
             key: (*class == "keyed").then(String::new),
             cost: None,
         };
-        let orders: Vec<Order> = classes.iter().map(order).collect();
-        self.orders(per_s, &orders);
+        let orders: Vec<RequestSpec> = classes.iter().map(order).collect();
+        self.start_load(per_s, &orders);
     }
 
     /// The same of these orders.
-    pub fn orders(&mut self, per_s: f64, orders: &[Order]) {
-        let nodes = self.rig.fronts().borrow().len();
-        let rates: Vec<Rate> =
-            (0..nodes).map(|_| Rate { per_s: Rc::new(Cell::new(per_s)), orders: orders.to_vec() }).collect();
+    pub fn start_load(&mut self, per_s: f64, orders: &[RequestSpec]) {
+        let nodes = self.rig.client_addresses().borrow().len();
+        let rates: Vec<NodeLoad> = (0..nodes)
+            .map(|_| NodeLoad { per_s: Rc::new(Cell::new(per_s)), requests: orders.to_vec() })
+            .collect();
         self.knobs = rates.iter().map(|r| r.per_s.clone()).collect();
-        self.load = Some(Load::start(rates, self.rig.fronts()));
+        self.load = Some(Load::start(rates, self.rig.client_addresses()));
     }
 
     /// A node gets so many from now on.
-    pub fn gets(&self, node: usize, per_s: f64) {
+    pub fn set_rate(&self, node: usize, per_s: f64) {
         self.knobs[node].set(per_s);
     }
 
     /// Nobody asks for anything any more. How all requests ended.
-    pub async fn quiet(&mut self) -> Vec<Ended> {
+    pub async fn stop_load(&mut self) -> Vec<RequestOutcome> {
         match self.load.take() {
             Some(load) => load.stop().await,
             None => Vec::new(),
@@ -158,13 +164,13 @@
     }
 
     /// How requests ended so far.
-    pub fn ended(&self) -> Vec<Ended> {
-        self.load.as_ref().map(Load::ended).unwrap_or_default()
+    pub fn outcomes(&self) -> Vec<RequestOutcome> {
+        self.load.as_ref().map(Load::outcomes).unwrap_or_default()
     }
 
     /// An operator's call at a node; none: there was no answer.
     pub async fn call(&self, node: usize, line: &str) -> Option<String> {
-        let desk: SocketAddr = self.rig.operators(node)?;
+        let desk: SocketAddr = self.rig.ops_address(node)?;
         let exchange = async {
             let mut stream = TcpStream::connect(desk).await.ok()?;
             stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
@@ -176,7 +182,7 @@
     }
 
     /// Pays, at one of these nodes after the other until one says that it was taken.
-    pub async fn pay(&mut self, nodes: &[usize], id: &str, units: u64) {
+    pub async fn top_up(&mut self, nodes: &[usize], id: &str, units: u64) {
         self.paid.insert(id.to_owned(), units);
         let began = Instant::now();
         while began.elapsed() < Duration::from_secs(60) {
@@ -192,7 +198,7 @@
     }
 
     /// All that was ever paid.
-    pub fn paid(&self) -> u64 {
+    pub fn total_topped_up(&self) -> u64 {
         self.paid.values().sum()
     }
 
@@ -223,7 +229,7 @@
     }
 
     /// Waits until the ledger shows that.
-    pub async fn until(&self, what: &str, holds: impl Fn(&Shown) -> bool) -> Shown {
+    pub async fn wait_until(&self, what: &str, holds: impl Fn(&Shown) -> bool) -> Shown {
         let began = Instant::now();
         loop {
             let shown = self.shown().await;
@@ -236,40 +242,45 @@
     }
 
     /// What requests that reached servers cost: each once, and those of one key once.
-    pub fn at_servers(&self) -> u64 {
-        let seen = self.site.seen();
+    pub fn cost_at_servers(&self) -> u64 {
+        let seen = self.site.received();
         let own = seen.iter().filter(|s| s.tenant == ACCOUNT);
-        let price = |s: &Seen| PRICES.iter().find(|p| p.0 == s.class).map_or(0, |p| p.1);
-        let name = |s: &Seen| if s.key.is_empty() { s.id.clone() } else { format!("key {}", s.key) };
+        let price = |s: &ReceivedRequest| PRICES.iter().find(|p| p.0 == s.class).map_or(0, |p| p.1);
+        let name =
+            |s: &ReceivedRequest| if s.key.is_empty() { s.id.clone() } else { format!("key {}", s.key) };
         let each: BTreeMap<String, u64> = own.map(|s| (name(s), price(s))).collect();
         each.values().sum()
     }
 
     /// What does not hold now: at any moment, then once all is quiet and settled.
-    pub async fn wrong(&self, case: &Case<'_>, quiet: bool) -> Vec<String> {
-        let (at_servers, most) = (self.at_servers(), self.paid() + case.overdraft);
-        let mut wrong = Vec::new();
+    pub async fn violations(&self, case: &Case<'_>, quiet: bool) -> Vec<String> {
+        let (at_servers, most) = (self.cost_at_servers(), self.total_topped_up() + case.overdraft);
+        let mut violations = Vec::new();
         if at_servers > most {
-            wrong.push(format!("{at_servers} spent at servers where {most} may be"));
+            violations.push(format!("{at_servers} spent at servers where {most} may be"));
         }
         if !quiet {
-            return wrong;
+            return violations;
         }
         let shown = self.shown().await;
         let sum = shown.balance + shown.outstanding + shown.spent + shown.doubt;
         if shown.topped != sum {
-            wrong.push(format!("topped up is not balance + outstanding + spent + in doubt: {shown:?}"));
+            violations.push(format!("topped up is not balance + outstanding + spent + in doubt: {shown:?}"));
         }
-        if shown.topped != self.paid() as i64 {
-            wrong.push(format!("{} was paid in and {} is topped up", self.paid(), shown.topped));
+        if shown.topped != self.total_topped_up() as i64 {
+            violations.push(format!(
+                "{} was paid in and {} is topped up",
+                self.total_topped_up(),
+                shown.topped
+            ));
         }
         let at_servers = at_servers as i64;
         if shown.spent > at_servers {
-            wrong.push(format!("{} is debited where servers saw {at_servers}", shown.spent));
+            violations.push(format!("{} is debited where servers saw {at_servers}", shown.spent));
         }
         if shown.spent + shown.doubt + shown.outstanding < at_servers {
-            wrong.push(format!("servers saw {at_servers}, and the ledger has {shown:?}"));
+            violations.push(format!("servers saw {at_servers}, and the ledger has {shown:?}"));
         }
-        wrong
+        violations
     }
 }
--- a/crates/standin/src/scripted/node.rs
+++ b/crates/standin/src/scripted/node.rs
@@ -1,6 +1,6 @@
 //! A node as a process of its own.
 
-use super::{member, settings, within, Message, Peer, Watch, Wire};
+use super::{member, settings, within, Connection, Message, Peer, Watch};
 use crate::process::{self, ConfigFile};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -26,11 +26,11 @@
 
 /// Starts a process with a configuration's text. The file has to outlive its start.
 pub fn start(config: &str) -> (Child, ConfigFile) {
-    start_with(config, &[])
+    start_with_env(config, &[])
 }
 
 /// The same with further variables.
-pub fn start_with(config: &str, variables: &[(&str, &str)]) -> (Child, ConfigFile) {
+pub fn start_with_env(config: &str, variables: &[(&str, &str)]) -> (Child, ConfigFile) {
     let config = ConfigFile::new(config).expect("a configuration file");
     let binary = process::node_binary().expect("this program's path");
     (process::start(&binary, &config, variables).expect("a process"), config)
@@ -47,29 +47,29 @@
 
 impl Node {
     /// Starts a node with these settings and limits; the list it knows is empty.
-    pub async fn with(discovery: &Peer, settings: Value, sockets: u32) -> Self {
-        Node::at(([127, 0, 0, 1], 0).into(), discovery, settings, sockets).await
+    pub async fn start(discovery: &Peer, settings: Value, sockets: u32) -> Self {
+        Node::start_at(([127, 0, 0, 1], 0).into(), discovery, settings, sockets).await
     }
 
     /// The same at a given address.
-    pub async fn at(address: SocketAddr, discovery: &Peer, settings: Value, sockets: u32) -> Self {
+    pub async fn start_at(address: SocketAddr, discovery: &Peer, settings: Value, sockets: u32) -> Self {
         let config = json!({
             "name": "n", "listen": address.to_string(), "discovery": discovery.address().to_string(), "seed": "1f",
             "limits": {"sockets": sockets, "memory_mb": MEMORY_MB}, "settings": settings,
         });
-        Node::told(config, &[]).await
+        Node::with_config(config, &[]).await
     }
 
     /// The same with a whole configuration and further variables.
-    pub async fn told(config: Value, variables: &[(&str, &str)]) -> Self {
-        let (child, file) = start_with(&config.to_string(), variables);
+    pub async fn with_config(config: Value, variables: &[(&str, &str)]) -> Self {
+        let (child, file) = start_with_env(&config.to_string(), variables);
         Node::started(child, file, config).await
     }
 
     async fn started(mut child: Child, file: ConfigFile, config: Value) -> Self {
         let log = child.stderr.take().map(BufReader::new);
         let mut node = Node { child, log, address: ([127, 0, 0, 1], 0).into(), config, file };
-        let line = node.logged("listening on ").await;
+        let line = node.wait_for_log("listening on ").await;
         node.address = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
         node
     }
@@ -89,49 +89,49 @@
     }
 
     /// Where operators call it, by its log: to be asked once, before anything else of the log is read.
-    pub async fn operators(&mut self) -> SocketAddr {
-        let line = self.logged("operators call ").await;
+    pub async fn ops_address(&mut self) -> SocketAddr {
+        let line = self.wait_for_log("operators call ").await;
         line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address")
     }
 
     /// A node with the usual settings that has taken a list of these servers.
     pub async fn serving(servers: &[(&str, &Peer)]) -> (Self, Peer, Watch) {
-        Node::serving_under(settings(), servers).await
+        Node::serving_with_settings(settings(), servers).await
     }
 
     /// The same under other settings.
-    pub async fn serving_under(settings: Value, servers: &[(&str, &Peer)]) -> (Self, Peer, Watch) {
-        Node::serving_within(1024, settings, servers).await
+    pub async fn serving_with_settings(settings: Value, servers: &[(&str, &Peer)]) -> (Self, Peer, Watch) {
+        Node::serving_with_sockets(1024, settings, servers).await
     }
 
     /// The same with so many descriptors.
-    pub async fn serving_within(
+    pub async fn serving_with_sockets(
         sockets: u32,
         settings: Value,
         servers: &[(&str, &Peer)],
     ) -> (Self, Peer, Watch) {
         let servers: Vec<_> = servers.iter().map(|(id, server)| (*id, server.address())).collect();
-        Node::listing(sockets, settings, &servers).await
+        Node::serving_at(sockets, settings, &servers).await
     }
 
     /// The same with servers at these addresses, whoever listens there.
-    pub async fn listing(
+    pub async fn serving_at(
         sockets: u32,
         settings: Value,
         servers: &[(&str, SocketAddr)],
     ) -> (Self, Peer, Watch) {
         let discovery = Peer::new().await;
-        let node = Node::with(&discovery, settings, sockets).await;
+        let node = Node::start(&discovery, settings, sockets).await;
         let (mut watch, _) = discovery.watch().await;
         let members: Vec<Value> =
             servers.iter().map(|(id, address)| member(id, *address, "active")).collect();
         watch.list(1, true, &members).await;
-        node.ready().await;
+        node.wait_until_ready().await;
         (node, discovery, watch)
     }
 
     /// Waits until the node says that it is ready.
-    pub async fn ready(&self) {
+    pub async fn wait_until_ready(&self) {
         let ready = async {
             while self.get("/health/ready").await.status() != 200 {
                 tokio::time::sleep(Duration::from_millis(2)).await;
@@ -141,7 +141,7 @@
     }
 
     /// Waits until the node has taken the list of this revision.
-    pub async fn holds(&self, revision: u64) {
+    pub async fn wait_for_list(&self, revision: u64) {
         let told = format!("list {revision}\n");
         let held = async {
             while self.get("/health/live").await.body != told.as_bytes() {
@@ -165,8 +165,8 @@
     }
 
     /// A client connected to it.
-    pub async fn client(&self) -> Wire {
-        Wire::connect(self.address).await
+    pub async fn client(&self) -> Connection {
+        Connection::connect(self.address).await
     }
 
     /// The answer to a GET on a connection of its own.
@@ -177,7 +177,7 @@
     }
 
     /// The first line of its log, from here on, that holds this.
-    pub async fn logged(&mut self, text: &str) -> String {
+    pub async fn wait_for_log(&mut self, text: &str) -> String {
         let log = self.log.as_mut().expect("its log");
         loop {
             let mut line = String::new();
@@ -209,8 +209,8 @@
     }
 
     /// Processor time that it has taken so far.
-    pub fn cpu(&self) -> Duration {
-        process::cpu(self.child.id().expect("it runs"))
+    pub fn cpu_time(&self) -> Duration {
+        process::cpu_time(self.child.id().expect("it runs"))
     }
 
     /// Sends it a signal by name, such as `HUP`.
@@ -219,7 +219,7 @@
     }
 
     /// Waits for its end.
-    pub async fn exited(&mut self) -> ExitStatus {
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
         within("the node's end", self.child.wait()).await.expect("its status")
     }
 }
--- a/crates/standin/src/scripted/wire.rs
+++ b/crates/standin/src/scripted/wire.rs
@@ -71,33 +71,33 @@
 }
 
 /// One connection, either way.
-pub struct Wire(Closing<BufReader<TcpStream>>);
+pub struct Connection(Closing<BufReader<TcpStream>>);
 
-impl Wire {
+impl Connection {
     /// A connection that was accepted elsewhere.
     pub fn new(stream: TcpStream) -> Self {
-        Wire(Closing(Some(BufReader::new(stream))))
+        Connection(Closing(Some(BufReader::new(stream))))
     }
 
     /// Connects.
     pub async fn connect(address: SocketAddr) -> Self {
-        Wire::new(within("a connection", TcpStream::connect(address)).await.expect("a connection"))
+        Connection::new(within("a connection", TcpStream::connect(address)).await.expect("a connection"))
     }
 
     /// Closes it, and waits until the other side has seen that and closed as well, without another word.
     pub async fn close(mut self) {
-        self.end_sending().await;
-        self.closed().await;
+        self.shutdown_write().await;
+        self.expect_closed().await;
     }
 
     /// Ends its sending, and waits until the other side has closed as well. What that still said.
-    pub async fn hang_up(mut self) -> String {
-        self.end_sending().await;
-        String::from_utf8_lossy(&self.rest().await).into_owned()
+    pub async fn shutdown_and_read(mut self) -> String {
+        self.shutdown_write().await;
+        String::from_utf8_lossy(&self.read_to_end().await).into_owned()
     }
 
     /// Ends its sending and goes on reading.
-    pub async fn end_sending(&mut self) {
+    pub async fn shutdown_write(&mut self) {
         self.0.get_mut().shutdown().await.expect("the sending's end");
     }
 
@@ -117,11 +117,11 @@
     }
 
     /// Both halves, for a peer that writes and reads at the same time.
-    pub fn split(mut self) -> (ReadWire, WriteWire) {
+    pub fn split(mut self) -> (ConnectionReader, ConnectionWriter) {
         let buffered = self.0.take();
         assert!(buffered.buffer().is_empty(), "nothing has been read yet");
         let (reading, writing) = buffered.into_inner().into_split();
-        (ReadWire(BufReader::new(reading)), WriteWire(writing))
+        (ConnectionReader(BufReader::new(reading)), ConnectionWriter(writing))
     }
 
     /// Writes bytes as they are.
@@ -186,24 +186,24 @@
     }
 
     /// Waits for the other side to close.
-    pub async fn closed(&mut self) {
+    pub async fn expect_closed(&mut self) {
         let mut rest = Vec::new();
         let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
         assert!(rest.is_empty(), "closed only after {:?}", String::from_utf8_lossy(&rest));
     }
 
     /// Writes as much as the other side takes before it closes.
-    pub async fn write_what_is_taken(&mut self, text: &str) {
+    pub async fn write_until_closed(&mut self, text: &str) {
         let _ = within("writing", self.0.get_mut().write_all(text.as_bytes())).await;
     }
 
     /// Waits for the other side to close, whatever it still says.
-    pub async fn ended(&mut self) {
-        self.rest().await;
+    pub async fn wait_closed(&mut self) {
+        self.read_to_end().await;
     }
 
     /// What the other side says up to this text, which it has to come to.
-    pub async fn until(&mut self, end: &str) -> String {
+    pub async fn read_until(&mut self, end: &str) -> String {
         let mut text = Vec::new();
         while !text.ends_with(end.as_bytes()) {
             text.push(self.first_byte().await);
@@ -212,7 +212,7 @@
     }
 
     /// What the other side still says before it closes.
-    pub async fn rest(&mut self) -> Vec<u8> {
+    pub async fn read_to_end(&mut self) -> Vec<u8> {
         let mut rest = Vec::new();
         let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
         rest
@@ -225,7 +225,7 @@
     }
 
     /// Sends a request of a class and returns its answer.
-    pub async fn ask(&mut self, class: &str) -> Option<Message> {
+    pub async fn round_trip(&mut self, class: &str) -> Option<Message> {
         self.send(class, "20000m").await;
         self.read().await
     }
@@ -233,11 +233,11 @@
     /// Sends a request of a class under an id of its own, with this wait (`20000m`).
     pub async fn send(&mut self, class: &str, wait: &str) {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        self.send_as(&format!("r{}", NEXT.fetch_add(1, Ordering::Relaxed)), class, wait).await;
+        self.send_with_id(&format!("r{}", NEXT.fetch_add(1, Ordering::Relaxed)), class, wait).await;
     }
 
     /// The same under a given id.
-    pub async fn send_as(&mut self, id: &str, class: &str, wait: &str) {
+    pub async fn send_with_id(&mut self, id: &str, class: &str, wait: &str) {
         let method = if class == "safe" { "GET" } else { "POST" };
         let key = if class == "keyed" { "Idempotency-Key: k\r\n" } else { "" };
         let head =
@@ -248,15 +248,15 @@
 }
 
 /// The reading half of a connection.
-pub struct ReadWire(BufReader<OwnedReadHalf>);
+pub struct ConnectionReader(BufReader<OwnedReadHalf>);
 
-impl ReadWire {
-    /// See [`Wire::frame`].
+impl ConnectionReader {
+    /// See [`Connection::frame`].
     pub async fn frame(&mut self) -> Option<Vec<u8>> {
         within("a frame", read_frame(&mut self.0)).await
     }
 
-    /// See [`Wire::line`].
+    /// See [`Connection::line`].
     pub async fn line(&mut self) -> Option<String> {
         let mut line = String::new();
         let read = within("a line", self.0.read_line(&mut line)).await;
@@ -265,9 +265,9 @@
 }
 
 /// The writing half of a connection.
-pub struct WriteWire(OwnedWriteHalf);
+pub struct ConnectionWriter(OwnedWriteHalf);
 
-impl WriteWire {
+impl ConnectionWriter {
     /// Writes bytes as they are.
     pub async fn write_bytes(&mut self, bytes: &[u8]) {
         within("writing", self.0.write_all(bytes)).await.expect("writing");
@@ -283,7 +283,7 @@
 
 /// A loopback address for one use, with the port left to the system. A port is soon given out again: on a shared address,
 /// what is meant for a server that has ended could reach another test's.
-pub fn own_address() -> SocketAddr {
+pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let process = std::process::id();
     let octet = |n: u32| u8::try_from(n % 254 + 1).expect("at most 254");
@@ -297,7 +297,7 @@
 impl Peer {
     /// Listens at an address of its own.
     pub async fn new() -> Self {
-        Peer::listening(TcpListener::bind(own_address()).await.expect("a port"))
+        Peer::listening(TcpListener::bind(unique_address()).await.expect("a port"))
     }
 
     fn listening(listener: TcpListener) -> Self {
@@ -306,7 +306,7 @@
     }
 
     /// One that nobody reaches: it has closed before anybody is told of it.
-    pub async fn gone() -> Self {
+    pub async fn unreachable() -> Self {
         let mut peer = Peer::new().await;
         let _guard = nothing_starts();
         peer.0 .0 = None;
@@ -314,10 +314,10 @@
     }
 
     /// Listens so that the system takes next to nothing for it that it doesn't read.
-    pub fn narrow() -> Self {
+    pub fn with_small_buffer() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4096).expect("a small buffer");
-        socket.bind(own_address()).expect("a port");
+        socket.bind(unique_address()).expect("a port");
         Peer::listening(socket.listen(64).expect("a port"))
     }
 
@@ -327,24 +327,24 @@
     }
 
     /// The next connection.
-    pub async fn accept(&self) -> Wire {
+    pub async fn accept(&self) -> Connection {
         let accepted = within("a connection to be accepted", self.0.accept()).await;
-        Wire::new(accepted.expect("a connection").0)
+        Connection::new(accepted.expect("a connection").0)
     }
 
     /// A new connection and the first request on it.
-    pub async fn request(&self) -> (Wire, Message) {
+    pub async fn request(&self) -> (Connection, Message) {
         let mut wire = self.accept().await;
         let request = wire.read().await.expect("a request");
         (wire, request)
     }
 
     /// Whether no connection waits to be accepted.
-    pub async fn untouched(&self) -> bool {
+    pub async fn has_no_connection(&self) -> bool {
         match tokio::time::timeout(Duration::from_millis(50), self.0.accept()).await {
             Err(_) => true,
             Ok(accepted) => {
-                let mut wire = Wire::new(accepted.expect("a connection").0);
+                let mut wire = Connection::new(accepted.expect("a connection").0);
                 let said = tokio::time::timeout(Duration::from_millis(50), wire.read_message()).await;
                 println!("touched by {said:?}");
                 false
@@ -353,10 +353,10 @@
     }
 
     /// Whether no request comes, be there a connection or not.
-    pub async fn unasked(&self) -> bool {
+    pub async fn has_no_request(&self) -> bool {
         let asked = async {
             let stream = self.0.accept().await.expect("a connection").0;
-            Wire::new(stream).read_message().await
+            Connection::new(stream).read_message().await
         };
         !matches!(tokio::time::timeout(Duration::from_millis(100), asked).await, Ok(Some(_)))
     }
@@ -372,7 +372,7 @@
 /// A listener whose queue of connections is full, which lets a further one wait until the kernel asks again.
 pub async fn full_listener() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind(own_address()).expect("a port");
+    socket.bind(unique_address()).expect("a port");
     let listener = socket.listen(1).expect("a listener");
     let address = listener.local_addr().expect("an address");
     let patience = Duration::from_millis(300);
@@ -384,21 +384,21 @@
 }
 
 /// Takes the connections that fill such a listener's queue, so that those that wait come up.
-pub async fn let_in(listener: &TcpListener, filling: &[TcpStream]) {
+pub async fn accept_backlog(listener: &TcpListener, filling: &[TcpStream]) {
     for _ in filling {
         within("a connection", listener.accept()).await.expect("a connection");
     }
 }
 
 /// All that the other side sends over a connection until it closes.
-pub async fn all_sent(mut stream: TcpStream) -> String {
+pub async fn read_all(mut stream: TcpStream) -> String {
     let mut sent = Vec::new();
     let _ = within("its end", stream.read_to_end(&mut sent)).await;
     String::from_utf8_lossy(&sent).into_owned()
 }
 
 /// An open watch.
-pub struct Watch(pub Wire);
+pub struct Watch(pub Connection);
 
 impl Watch {
     /// Writes one line as a chunk.
@@ -406,7 +406,7 @@
         self.0.write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1)).await;
     }
 
-    /// Sends a list; [`Node::holds`] tells when it has been taken.
+    /// Sends a list; [`Node::wait_for_list`] tells when it has been taken.
     pub async fn list(&mut self, revision: u64, complete: bool, members: &[Value]) {
         let list = json!({"revision": revision, "complete": complete, "members": members});
         self.line(&list.to_string()).await;
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,6 +1,6 @@
 //! A server on a socket: HTTP/1.1 in the platform's terms round a [`ServerModel`].
 
-use crate::book::Book;
+use crate::results::Results;
 use birchswitch_lab::model::{Admission, Capacity, Job, Progress, ServerModel};
 use birchswitch_lab::rng::Rng;
 use bytes::Bytes;
@@ -33,7 +33,7 @@
     /// Zero of all times in the books.
     pub origin: Instant,
     /// The books.
-    pub book: RefCell<Book>,
+    pub results: RefCell<Results>,
     /// For how long a cell remembers a key.
     pub window: Duration,
     /// Whether answers tell what their servers hold.
@@ -60,9 +60,9 @@
 
 impl Shared {
     /// With empty memories.
-    pub fn new(book: Book, window: Duration) -> Rc<Self> {
-        let (origin, book, tells) = (Instant::now(), RefCell::new(book), Cell::new(false));
-        Rc::new(Shared { origin, book, window, tells, keys: RefCell::default() })
+    pub fn new(results: Results, window: Duration) -> Rc<Self> {
+        let (origin, results, tells) = (Instant::now(), RefCell::new(results), Cell::new(false));
+        Rc::new(Shared { origin, results, window, tells, keys: RefCell::default() })
     }
 
     fn now(&self) -> Duration {
@@ -159,7 +159,7 @@
         let accepting = spawn_local(self.clone().accept(listener));
         let working = spawn_local(self.clone().work());
         state.tasks = vec![accepting, working];
-        self.shared.book.borrow_mut().servers[self.index].starts += 1;
+        self.shared.results.borrow_mut().servers[self.index].starts += 1;
         Ok(())
     }
 
@@ -171,8 +171,8 @@
             let mut state = self.state.borrow_mut();
             let open = std::mem::take(&mut state.open);
             self.forget_waiting(&open);
-            let book = &mut self.shared.book.borrow_mut().servers[self.index];
-            book.most_waiting = book.most_waiting.max(state.model.max_queued());
+            let results = &mut self.shared.results.borrow_mut().servers[self.index];
+            results.most_waiting = results.most_waiting.max(state.model.max_queued());
             (std::mem::take(&mut state.tasks), open)
         };
         for task in tasks {
@@ -219,7 +219,7 @@
         let had_fallen = state.model.collapsed();
         let value = call(&mut state.model, self.shared.now(), &mut state.progress);
         if state.model.collapsed() && !had_fallen {
-            self.shared.book.borrow_mut().servers[self.index].fallen += 1;
+            self.shared.results.borrow_mut().servers[self.index].fallen += 1;
         }
         self.book_progress(state);
         self.changed.notify_one();
@@ -241,7 +241,7 @@
                 Progress::Started(_) => {
                     if let Some(open) = state.open.get(&job) {
                         claim(&open.key, Work::Begun);
-                        self.shared.book.borrow_mut().run(self.index, open.class, open.order, open.work);
+                        self.shared.results.borrow_mut().run(self.index, open.class, open.order, open.work);
                     }
                 }
                 Progress::Completed(_) => {
@@ -312,7 +312,7 @@
         match request.uri().path() {
             "/stats" | "/health/live" => {
                 let load = self.with_model(|model, now, out| model.load(now, out));
-                self.shared.book.borrow_mut().servers[self.index].probes += 1;
+                self.shared.results.borrow_mut().servers[self.index].probes += 1;
                 let text = serde_json::json!({
                     "outstanding": load.held, "backlog": load.waiting, "utilization": load.busy,
                 });
@@ -328,7 +328,7 @@
         let id = header("x-request-id").unwrap_or_default();
         let order = id.split('-').next().and_then(|o| u64::from_str_radix(o, 16).ok());
         let class = request.uri().path().trim_start_matches('/').to_owned();
-        let class = self.shared.book.borrow().classes.iter().position(|c| c.name == class);
+        let class = self.shared.results.borrow().classes.iter().position(|c| c.name == class);
         let (Some(order), Some(class)) = (order, class) else {
             return plain(StatusCode::BAD_REQUEST, "no order that a client placed");
         };
@@ -361,7 +361,7 @@
             if let Some(key) = &key {
                 self.shared.keys.borrow_mut().remove(key);
             }
-            self.shared.book.borrow_mut().servers[self.index].turned_away += 1;
+            self.shared.results.borrow_mut().servers[self.index].turned_away += 1;
             let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "turned away");
             answer.headers_mut().insert("x-not-processed", hyper::header::HeaderValue::from_static("1"));
             return answer;
--- a/crates/standin/tests/stand_ins.rs
+++ b/crates/standin/tests/stand_ins.rs
@@ -1,9 +1,9 @@
 //! What the stand-ins do on sockets: tests that lean on them are worth no more than this.
 
 use birchswitch_lab::model::Capacity;
-use birchswitch_standin::book::Book;
 use birchswitch_standin::registry::Registry;
-use birchswitch_standin::scripted::{own_address, Wire};
+use birchswitch_standin::results::Results;
+use birchswitch_standin::scripted::{unique_address, Connection};
 use birchswitch_standin::server::{Server, Shared};
 use serde_json::{json, Value};
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 fn fleet(servers: usize) -> (Rc<Shared>, Vec<Rc<Server>>) {
     let classes = [("keyed", false), ("unsafe", false)];
     let classes = classes.map(|(name, repeatable)| (name.to_owned(), Duration::from_secs(1), repeatable));
-    let shared = Shared::new(Book::new(classes, servers), Duration::from_secs(60));
+    let shared = Shared::new(Results::new(classes, servers), Duration::from_secs(60));
     let capacity = Capacity {
         cold_cache: 0.0,
         cores: 1,
@@ -27,7 +27,7 @@
     };
     let server = |n: usize| {
         // The first two share a cell.
-        let server = Server::new(n, n as u16 / 2, own_address(), capacity.clone(), 1, shared.clone());
+        let server = Server::new(n, n as u16 / 2, unique_address(), capacity.clone(), 1, shared.clone());
         server.start(false).expect("a port");
         server
     };
@@ -36,14 +36,14 @@
 }
 
 /// Sends an order with so much work, in microseconds.
-async fn order(wire: &mut Wire, class: &str, number: u64, work: u64) {
+async fn order(wire: &mut Connection, class: &str, number: u64, work: u64) {
     let key = if class == "keyed" { format!("Idempotency-Key: {number:x}\r\n") } else { String::new() };
     let head =
         format!("POST /{class} HTTP/1.1\r\nHost: a\r\nX-Request-ID: {number:x}-0\r\nX-Cost: {work}\r\n");
     wire.write(&format!("{head}{key}Content-Length: 0\r\n\r\n")).await;
 }
 
-async fn answer(wire: &mut Wire) -> u16 {
+async fn answer(wire: &mut Connection) -> u16 {
     wire.read().await.expect("an answer").status()
 }
 
@@ -51,8 +51,8 @@
 async fn what_runs_is_recorded_and_keys_are_remembered_in_their_cell() {
     let test = async {
         let (shared, servers) = fleet(3);
-        let runs = || shared.book.borrow().servers.iter().map(|s| s.runs).collect::<Vec<_>>();
-        let twice = || shared.book.borrow().classes.iter().map(|c| c.run_twice).collect::<Vec<_>>();
+        let runs = || shared.results.borrow().servers.iter().map(|s| s.runs).collect::<Vec<_>>();
+        let twice = || shared.results.borrow().classes.iter().map(|c| c.run_twice).collect::<Vec<_>>();
         for (server, class, run, run_twice) in [
             (0, "keyed", [1, 0, 0], [0, 0]),
             (1, "keyed", [1, 0, 0], [0, 0]), // The same cell: it is known there.
@@ -60,12 +60,12 @@
             (0, "unsafe", [2, 0, 1], [1, 0]),
             (1, "unsafe", [2, 1, 1], [1, 1]), // Nobody remembers it.
         ] {
-            let mut wire = Wire::connect(servers[server].address()).await;
+            let mut wire = Connection::connect(servers[server].address()).await;
             order(&mut wire, class, 7, 100).await;
             assert_eq!(answer(&mut wire).await, 200);
             assert_eq!((runs(), twice()), (run.to_vec(), run_twice.to_vec()), "{class} at s{server}");
         }
-        assert_eq!(shared.book.borrow().faults().len(), 2);
+        assert_eq!(shared.results.borrow().violations().len(), 2);
     };
     LocalSet::new().run_until(test).await;
 }
@@ -75,12 +75,15 @@
     let test = async {
         let (shared, servers) = fleet(1);
         let address = servers[0].address();
-        let (mut one, mut two, mut three) =
-            (Wire::connect(address).await, Wire::connect(address).await, Wire::connect(address).await);
+        let (mut one, mut two, mut three) = (
+            Connection::connect(address).await,
+            Connection::connect(address).await,
+            Connection::connect(address).await,
+        );
         order(&mut one, "unsafe", 1, 60_000_000).await;
         order(&mut two, "unsafe", 2, 60_000_000).await;
         // Both are there once the server says so.
-        let mut probe = Wire::connect(address).await;
+        let mut probe = Connection::connect(address).await;
         loop {
             probe.write("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n").await;
             let load: Value =
@@ -93,8 +96,8 @@
         order(&mut three, "unsafe", 3, 100).await;
         let turned_away = three.read().await.expect("an answer");
         assert_eq!((turned_away.status(), turned_away.header("x-not-processed")), (503, Some("1")));
-        let book = shared.book.borrow();
-        assert_eq!((book.servers[0].runs, book.servers[0].turned_away), (1, 1));
+        let results = shared.results.borrow();
+        assert_eq!((results.servers[0].runs, results.servers[0].turned_away), (1, 1));
     };
     LocalSet::new().run_until(test).await;
 }
@@ -104,9 +107,9 @@
     let test = async {
         let (shared, servers) = fleet(1);
         let address = servers[0].address();
-        let mut open = Wire::connect(address).await;
+        let mut open = Connection::connect(address).await;
         order(&mut open, "keyed", 1, 60_000_000).await;
-        while shared.book.borrow().servers[0].runs == 0 {
+        while shared.results.borrow().servers[0].runs == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         servers[0].die().await;
@@ -115,10 +118,10 @@
         servers[0].start(true).expect("its address is free");
         assert_eq!(servers[0].address(), address);
         // It had begun: the cell remembers its key, though nobody heard the answer.
-        let mut again = Wire::connect(address).await;
+        let mut again = Connection::connect(address).await;
         order(&mut again, "keyed", 1, 100).await;
         assert_eq!(answer(&mut again).await, 200);
-        assert_eq!(shared.book.borrow().servers[0].runs, 1);
+        assert_eq!(shared.results.borrow().servers[0].runs, 1);
     };
     LocalSet::new().run_until(test).await;
 }
@@ -127,7 +130,7 @@
 async fn a_frozen_server_says_nothing_until_it_thaws() {
     let test = async {
         let (_shared, servers) = fleet(1);
-        let mut wire = Wire::connect(servers[0].address()).await;
+        let mut wire = Connection::connect(servers[0].address()).await;
         let length = Duration::from_millis(200);
         let began = tokio::time::Instant::now();
         servers[0].freeze(length);
@@ -142,9 +145,9 @@
 async fn the_registry_tells_lists_and_changes() {
     let test = async {
         let registry = Registry::start().await.expect("a port");
-        registry.tell(json!({"id": "a", "phase": "active"}));
-        registry.tell(json!({"id": "b", "phase": "active"}));
-        let mut wire = Wire::connect(registry.address()).await;
+        registry.announce(json!({"id": "a", "phase": "active"}));
+        registry.announce(json!({"id": "b", "phase": "active"}));
+        let mut wire = Connection::connect(registry.address()).await;
         let mut whole = async || -> Value {
             wire.write("GET /registry/instances HTTP/1.1\r\nHost: a\r\n\r\n").await;
             serde_json::from_slice(&wire.read().await.expect("a list").body).expect("a list")
@@ -153,7 +156,7 @@
         assert_eq!((&list["complete"], list["members"].as_array().map(Vec::len)), (&json!(true), Some(2)));
 
         let since = list["revision"].as_u64().expect("a revision");
-        let mut watch = Wire::connect(registry.address()).await;
+        let mut watch = Connection::connect(registry.address()).await;
         watch
             .write(&format!("GET /registry/instances?follow=1&since={since} HTTP/1.1\r\nHost: a\r\n\r\n"))
             .await;
@@ -161,7 +164,7 @@
         while !line().await.is_empty() {} // The head.
         let first = (line().await, line().await);
         assert!(first.1.contains("\"members\":[]"), "nothing is new: {first:?}");
-        registry.tell(json!({"id": "b", "phase": "left"}));
+        registry.announce(json!({"id": "b", "phase": "left"}));
         let change = loop {
             let line = line().await;
             if line.contains("members") {
--- a/node/tests/attempts.rs
+++ b/node/tests/attempts.rs
@@ -42,7 +42,7 @@
         wire.answer("503 Service Unavailable", headers, "").await;
         let status = client.read().await.expect("an answer").status();
         assert!(![200, 429, 503].contains(&status), "answered {status}, which promises that it did not run");
-        assert!(other.untouched().await, "sent again");
+        assert!(other.has_no_connection().await, "sent again");
     }
 }
 
@@ -78,15 +78,15 @@
         wire.write(begun).await;
         drop(wire);
         assert_eq!(client.read().await.expect("an answer").status(), 504);
-        assert!(other.untouched().await, "sent again");
+        assert!(other.has_no_connection().await, "sent again");
     }
 }
 
 /// A refused connection carried nothing, so that even an unsafe request may be refused: the client may come again.
 #[tokio::test]
 async fn a_refused_connection_never_ran() {
-    let (node, _discovery, _watch) = Node::serving(&[("s", &Peer::gone().await)]).await;
-    let answer = node.client().await.ask("unsafe").await.expect("an answer");
+    let (node, _discovery, _watch) = Node::serving(&[("s", &Peer::unreachable().await)]).await;
+    let answer = node.client().await.round_trip("unsafe").await.expect("an answer");
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.header("retry-after"), Some("1.500"));
 }
@@ -142,7 +142,7 @@
         wire.write(&(answer(&k.to_string()) + &with)).await;
         assert_eq!(client.read().await.expect("an answer").body, k.to_string().as_bytes());
         wire.write(later).await; // It is given back by then.
-        wire.closed().await;
+        wire.expect_closed().await;
     }
 }
 
@@ -172,10 +172,10 @@
         let mut client = node.client().await;
         client.send("unsafe", "60000m").await;
         let (mut wire, _) = server.request().await;
-        wire.write_what_is_taken(&answer).await;
+        wire.write_until_closed(&answer).await;
         let status = client.read().await.expect("an answer").status();
         assert_eq!(status, 504, "{answer:.80}");
-        wire.ended().await;
+        wire.wait_closed().await;
     }
     assert!(node.memory_peak() < MEMORY_MB << 10);
 }
@@ -203,7 +203,7 @@
     client.send("unsafe", "400m").await;
     let (mut wire, _) = server.request().await;
     assert_eq!(client.read().await.expect("an answer").status(), 504);
-    wire.closed().await;
+    wire.expect_closed().await;
 }
 
 /// Nothing is owed to a client that has left, and nothing more is sent for it.
@@ -218,10 +218,10 @@
         got = two.request() => (got, &one),
     };
     // Whoever only ends its sending is told that its request is given up.
-    let told = client.hang_up().await;
+    let told = client.shutdown_and_read().await;
     assert!(told.starts_with("HTTP/1.1 503 "), "{told}");
     wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await;
-    assert!(other.untouched().await, "sent again");
+    assert!(other.has_no_connection().await, "sent again");
     let mut client = node.client().await;
     client.send("safe", "20000m").await;
     let next = tokio::select! {
@@ -238,11 +238,11 @@
     let discovery = Peer::new().await;
     let mut settings = settings();
     settings["report"] = serde_json::json!({"how": "pull", "fields": ["outstanding", "utilization"]});
-    let node = Node::with(&discovery, settings, 1024).await;
+    let node = Node::start(&discovery, settings, 1024).await;
     let (mut watch, _) = discovery.watch().await;
     let members = [member("busy", busy.address(), "active"), member("idle", idle.address(), "active")];
     watch.list(1, true, &members).await;
-    node.ready().await;
+    node.wait_until_ready().await;
     let (served, mut by) = tokio::sync::mpsc::unbounded_channel();
     let reports = [
         (busy, "busy", r#"{"outstanding":9,"utilization":1.0,"spare":null}"#),
@@ -270,7 +270,7 @@
     let in_a_row = async {
         let mut row = 0;
         while row < 20 {
-            let answer = node.client().await.ask("unsafe").await.expect("an answer");
+            let answer = node.client().await.round_trip("unsafe").await.expect("an answer");
             if answer.status() == 200 {
                 row = if by.recv().await == Some("idle") { row + 1 } else { 0 };
             }
--- a/node/tests/capacity.rs
+++ b/node/tests/capacity.rs
@@ -21,7 +21,7 @@
         "name": "n", "listen": "127.0.0.1:0", "discovery": discovery.address().to_string(), "seed": "1f",
         "limits": {"sockets": 1024, "memory_mb": 192}, "settings": settings(),
     });
-    Node::told(config, &[]).await
+    Node::with_config(config, &[]).await
 }
 
 /// Memory and time that whole lists cost, and what a change costs.
@@ -34,20 +34,20 @@
         let (mut watch, _) = discovery.watch().await;
         let members = members(count);
         watch.list(1, true, &members).await;
-        node.holds(1).await;
-        let (memory, before) = (node.memory_peak(), node.cpu());
+        node.wait_for_list(1).await;
+        let (memory, before) = (node.memory_peak(), node.cpu_time());
         const LISTS: u64 = 20;
         for revision in 2..2 + LISTS {
             watch.list(revision, true, &members).await;
-            node.holds(revision).await;
+            node.wait_for_list(revision).await;
         }
-        let whole = (node.cpu() - before) / LISTS as u32;
-        let before = node.cpu();
+        let whole = (node.cpu_time() - before) / LISTS as u32;
+        let before = node.cpu_time();
         for revision in 100..100 + LISTS {
             watch.list(revision, false, &members[..1]).await;
-            node.holds(revision).await;
+            node.wait_for_list(revision).await;
         }
-        let change = (node.cpu() - before) / LISTS as u32;
+        let change = (node.cpu_time() - before) / LISTS as u32;
         let bytes = json!({"revision": 1, "complete": true, "members": members}).to_string().len();
         println!(
             "{count} backends: {memory} KiB at the most, a whole list of {bytes} bytes {whole:?}, a change {change:?}"
@@ -65,14 +65,14 @@
         let node = node(&discovery).await;
         let (mut watch, _) = discovery.watch().await;
         watch.list(1, true, &[member("s", server.address(), "active")]).await;
-        node.holds(1).await;
+        node.wait_for_list(1).await;
         let mut clients = Vec::new();
         for _ in 0..count {
             clients.push(node.client().await);
         }
         node.get("/health/live").await;
-        let (memory, before) = (node.memory_peak(), node.cpu());
+        let (memory, before) = (node.memory_peak(), node.cpu_time());
         tokio::time::sleep(Duration::from_secs(2)).await;
-        println!("{count} connections: {memory} KiB, {:?} a second", (node.cpu() - before) / 2);
+        println!("{count} connections: {memory} KiB, {:?} a second", (node.cpu_time() - before) / 2);
     }
 }
--- a/node/tests/clients.rs
+++ b/node/tests/clients.rs
@@ -48,7 +48,7 @@
 #[tokio::test]
 async fn more_connections_than_descriptors() {
     let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving_within(64, settings(), &[("s", &server)]).await;
+    let (node, _discovery, _watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
     let mut crowd = Vec::new();
     for k in 0..100 {
         let mut client = node.client().await;
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn a_burst_of_idle_connections_keeps_nobody_out() {
     let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving_within(64, settings(), &[("s", &server)]).await;
+    let (node, _discovery, _watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
     node.signal("STOP").await;
     let mut crowd = Vec::new();
     for _ in 0..100 {
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn a_burst_of_requests_is_served() {
     let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving_within(64, settings(), &[("s", &server)]).await;
+    let (node, _discovery, _watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
     node.signal("STOP").await;
     let mut crowd = Vec::new();
     for _ in 0..40 {
@@ -154,7 +154,7 @@
 #[tokio::test]
 async fn more_servers_than_descriptors() {
     let discovery = Peer::new().await;
-    let node = Node::with(&discovery, settings(), 64).await;
+    let node = Node::start(&discovery, settings(), 64).await;
     let mut servers = Vec::new();
     for _ in 0..40 {
         servers.push(Peer::new().await);
@@ -163,7 +163,7 @@
     let list = |only: usize| vec![member(&format!("s{only}"), servers[only].address(), "active")];
     let all: Vec<_> = (0..servers.len()).flat_map(list).collect();
     watch.list(1, true, &all).await;
-    node.ready().await;
+    node.wait_until_ready().await;
     let mut wires = Vec::new();
     let mut client = node.client().await;
     for k in 0..servers.len() {
@@ -172,7 +172,7 @@
             member(&format!("s{s}"), servers[s].address(), if s == k { "active" } else { "leaving" })
         });
         watch.list(2 + k as u64, false, &phases.collect::<Vec<_>>()).await;
-        node.holds(2 + k as u64).await;
+        node.wait_for_list(2 + k as u64).await;
         client.send("unsafe", "20000m").await;
         let (mut wire, _) = servers[k].request().await;
         wire.answer("200 OK", "", "").await;
@@ -189,16 +189,16 @@
     let discovery = Peer::new().await;
     let mut settings = settings();
     settings["limits"]["conn_idle_ns"] = json!(400_000_000);
-    let node = Node::with(&discovery, settings, 1024).await;
+    let node = Node::start(&discovery, settings, 1024).await;
     let (mut watch, _) = discovery.watch().await;
     watch.list(1, true, &[member("s", server.address(), "active")]).await;
-    node.ready().await;
+    node.wait_until_ready().await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     wire.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
-    wire.closed().await;
+    wire.expect_closed().await;
 }
 
 /// What a node has taken when it is told to end, and what still comes for a moment, is answered first.
@@ -211,18 +211,18 @@
     before.send("unsafe", "20000m").await;
     let (mut first, _) = server.request().await;
     node.signal("TERM").await;
-    node.logged("leaving").await;
+    node.wait_for_log("leaving").await;
     assert_eq!(node.get("/health/ready").await.status(), 503);
     let mut after = node.client().await;
     after.send("unsafe", "20000m").await;
     let (mut second, _) = server.request().await;
-    idle.closed().await; // It takes no more.
+    idle.expect_closed().await; // It takes no more.
     for (wire, client) in [(&mut first, &mut before), (&mut second, &mut after)] {
         wire.answer("200 OK", "", "served").await;
         let answer = client.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 }
 
 /// What waits for a place when the node is told to end has been taken by its machine: closing on it loses a request.
@@ -230,10 +230,10 @@
 async fn clients_in_the_queue_are_served_at_the_end() {
     let server = Peer::new().await;
     let discovery = Peer::new().await;
-    let mut node = Node::with(&discovery, settings(), 64).await;
+    let mut node = Node::start(&discovery, settings(), 64).await;
     let (mut watch, _) = discovery.watch().await;
     watch.list(1, true, &[member("s", server.address(), "active")]).await;
-    node.ready().await;
+    node.wait_until_ready().await;
     let mut busy = Vec::new();
     let mut wires = Vec::new();
     for _ in 0..16 {
@@ -245,7 +245,7 @@
     let mut waiting = node.client().await;
     waiting.send("unsafe", "20000m").await;
     node.signal("TERM").await;
-    node.logged("leaving").await;
+    node.wait_for_log("leaving").await;
     // Past the time in which it takes more. Were the machine slower than that, the test would only see less.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     for (wire, client) in wires.iter_mut().zip(&mut busy) {
@@ -255,7 +255,7 @@
     let (mut wire, _) = server.request().await;
     wire.answer("200 OK", "", "").await;
     assert_eq!(waiting.read().await.expect("an answer").status(), 200);
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 }
 
 /// A node that was killed starts again at its address at once, though its connections linger in the system.
@@ -263,21 +263,21 @@
 async fn a_killed_node_starts_again() {
     let server = Peer::new().await;
     let discovery = Peer::new().await;
-    let mut killed = Node::at(own_address(), &discovery, settings(), 1024).await;
+    let mut killed = Node::start_at(unique_address(), &discovery, settings(), 1024).await;
     let (mut watch, _) = discovery.watch().await;
     watch.list(1, true, &[member("s", server.address(), "active")]).await;
-    killed.ready().await;
+    killed.wait_until_ready().await;
     let mut client = killed.client().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     killed.signal("KILL").await;
-    assert!(!killed.exited().await.success());
-    wire.closed().await;
-    let node = Node::at(killed.address, &discovery, settings(), 1024).await;
+    assert!(!killed.wait_for_exit().await.success());
+    wire.expect_closed().await;
+    let node = Node::start_at(killed.address, &discovery, settings(), 1024).await;
     let (mut watch, request) = discovery.watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=0 HTTP/1.1");
     watch.list(1, true, &[member("s", server.address(), "active")]).await;
-    node.ready().await;
+    node.wait_until_ready().await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
--- a/node/tests/closings.rs
+++ b/node/tests/closings.rs
@@ -11,11 +11,11 @@
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     for head in ["NONSENSE\r\n\r\n", "POST /unsafe HTTP/1.1\r\nContent-Length: x\r\n\r\n"] {
         let mut client = node.client().await;
-        client.write_what_is_taken(&format!("{head}{}", "x".repeat(100_000))).await;
+        client.write_until_closed(&format!("{head}{}", "x".repeat(100_000))).await;
         let answer = client.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (400, Some("close")));
-        client.write_what_is_taken(&"y".repeat(10_000)).await; // Taken and thrown away.
-        client.closed().await;
+        client.write_until_closed(&"y".repeat(10_000)).await; // Taken and thrown away.
+        client.expect_closed().await;
     }
 }
 
@@ -27,7 +27,7 @@
     let mut client = node.client().await;
     client.write("NONSENSE\r\n\r\n").await;
     assert_eq!(client.read().await.expect("an answer").status(), 400);
-    client.closed().await; // Its sending has ended; it still reads.
+    client.expect_closed().await; // Its sending has ended; it still reads.
     client.write_bytes(b"late").await;
     client.write_bytes(b"later").await; // After a reset this could not be written.
 }
@@ -48,7 +48,7 @@
     wire.answer("200 OK", "", "").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    client.closed().await;
+    client.expect_closed().await;
     client.write_bytes(b"late").await;
     client.write_bytes(b"later").await;
 }
@@ -83,10 +83,10 @@
 /// another server.
 #[tokio::test]
 async fn an_unsafe_request_cut_before_its_end_goes_on() {
-    let (narrow, other) = (Peer::narrow(), Peer::new().await);
+    let (narrow, other) = (Peer::with_small_buffer(), Peer::new().await);
     let mut settings = settings();
     settings["limits"]["second_copies"] = json!(false);
-    let (node, _discovery, mut watch) = Node::serving_under(settings, &[("narrow", &narrow)]).await;
+    let (node, _discovery, mut watch) = Node::serving_with_settings(settings, &[("narrow", &narrow)]).await;
     // More than the system holds for a server that does not read.
     let body = "x".repeat(8 << 20);
     let head = format!(
@@ -103,7 +103,7 @@
     let mut wire = narrow.accept().await;
     assert_eq!(wire.first_byte().await, b'P');
     watch.list(2, false, &[member("other", other.address(), "active")]).await;
-    node.holds(2).await;
+    node.wait_for_list(2).await;
     wire.reset();
     let (mut wire, request) = other.request().await;
     assert_eq!(request.header("x-request-id"), Some("cut"));
@@ -126,7 +126,7 @@
     };
     wire.reset();
     assert_eq!(client.read().await.expect("an answer").status(), 504);
-    assert!(other.untouched().await, "sent again");
+    assert!(other.has_no_connection().await, "sent again");
 }
 
 /// An answer without a length ends with its connection; a reset is no end, and what was passed on shows that it is not whole.
--- a/node/tests/departures.rs
+++ b/node/tests/departures.rs
@@ -16,8 +16,8 @@
 /// A client's first request has reached one of two servers.
 struct Asked {
     node: Node,
-    client: Wire,
-    wire: Wire,
+    client: Connection,
+    wire: Connection,
     /// The one that it has not reached.
     other: Peer,
     _listening: Peer,
@@ -42,16 +42,16 @@
     /// The server turns the request away unseen, which would be followed by a further attempt. None comes.
     async fn no_attempt_follows(mut self) {
         self.wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await;
-        assert!(self.other.untouched().await, "sent again");
+        assert!(self.other.has_no_connection().await, "sent again");
         self.node.get("/health/live").await;
-        assert!(self.other.untouched().await, "sent again");
+        assert!(self.other.has_no_connection().await, "sent again");
     }
 }
 
 /// Waits until the node has noticed the close, as the connection's end shows.
-async fn gone(mut client: Wire) {
-    client.end_sending().await;
-    client.ended().await;
+async fn gone(mut client: Connection) {
+    client.shutdown_write().await;
+    client.wait_closed().await;
 }
 
 /// What was sent behind the request hides the connection's end from whoever reads only up to it.
@@ -60,7 +60,7 @@
     let asked_for = asked(&[request("a"), request("b"), request("c")].concat()).await;
     let Asked { client, .. } = asked_for;
     gone(client).await;
-    let left = Asked { client: Wire::connect(asked_for.node.address).await, ..asked_for };
+    let left = Asked { client: Connection::connect(asked_for.node.address).await, ..asked_for };
     left.no_attempt_follows().await;
 }
 
@@ -72,7 +72,7 @@
     // The system holds some of it; the rest is never taken.
     let _ = tokio::time::timeout(Duration::from_millis(300), left.client.write_bytes(flood.as_bytes())).await;
     left.client.reset();
-    left.client = Wire::connect(left.node.address).await;
+    left.client = Connection::connect(left.node.address).await;
     tokio::time::sleep(Duration::from_millis(100)).await; // The bound of the terms.
     left.no_attempt_follows().await;
 }
@@ -81,11 +81,11 @@
 #[tokio::test]
 async fn a_client_that_ends_its_sending_is_answered_at_once() {
     let mut left = asked(&request("a")).await;
-    left.client.end_sending().await;
+    left.client.shutdown_write().await;
     let answer = left.client.read().await.expect("an answer");
     assert_eq!(answer.status(), 503, "harmless to repeat, since the class is safe");
-    left.client.closed().await;
-    left.client = Wire::connect(left.node.address).await;
+    left.client.expect_closed().await;
+    left.client = Connection::connect(left.node.address).await;
     left.no_attempt_follows().await;
 }
 
@@ -97,7 +97,7 @@
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     let (_wire, _) = server.request().await;
-    client.end_sending().await;
+    client.shutdown_write().await;
     assert_eq!(client.read().await.expect("an answer").status(), 504);
 }
 
@@ -105,15 +105,15 @@
 #[tokio::test]
 async fn nothing_is_sent_over_a_connection_that_comes_up_after_the_client_went() {
     let (listener, address, filling) = full_listener().await;
-    let (node, _discovery, _watch) = Node::listing(1024, settings(), &[("s", address)]).await;
+    let (node, _discovery, _watch) = Node::serving_at(1024, settings(), &[("s", address)]).await;
     let mut client = node.client().await;
     client.write(&[request("a"), request("b")].concat()).await;
     node.get("/health/live").await; // The request has been read, and its connection is under way.
     gone(client).await;
-    let_in(&listener, &filling).await;
+    accept_backlog(&listener, &filling).await;
     let (stream, _) = within("the node's connection", listener.accept()).await.expect("a connection");
     drop(node);
-    let sent = all_sent(stream).await;
+    let sent = read_all(stream).await;
     assert!(sent.is_empty(), "sent for nobody: {sent:?}");
 }
 
@@ -133,20 +133,20 @@
 async fn nothing_is_sent_of_a_large_body_whose_client_went() {
     for part in [1, 2] {
         let (listener, address, filling) = full_listener().await;
-        let (node, _discovery, _watch) = Node::listing(1024, settings(), &[("s", address)]).await;
+        let (node, _discovery, _watch) = Node::serving_at(1024, settings(), &[("s", address)]).await;
         let mut client = node.client().await;
         let (head, body) = upload("a");
         client.write(&head).await;
         client.write(&body[..body.len() / part]).await;
         node.get("/health/live").await; // Its beginning has been read, and its connection is under way.
-        client.end_sending().await;
+        client.shutdown_write().await;
         tokio::time::sleep(Duration::from_millis(100)).await; // The bound of the terms.
-        let_in(&listener, &filling).await;
+        accept_backlog(&listener, &filling).await;
         let (stream, _) = within("the node's connection", listener.accept()).await.expect("a connection");
         // The connection is up for the node too, and what it had to write is on its way.
         node.get("/health/live").await;
         drop(node);
-        let sent = all_sent(stream).await;
+        let sent = read_all(stream).await;
         assert!(sent.is_empty(), "sent for nobody: {} bytes, one in {part} parts was sent", sent.len());
     }
 }
@@ -156,7 +156,7 @@
 async fn a_large_body_is_not_sent_again_for_a_client_that_went() {
     let (head, body) = upload("a");
     let mut left = asked(&(head + &body)).await;
-    left.client.end_sending().await;
+    left.client.shutdown_write().await;
     tokio::time::sleep(Duration::from_millis(100)).await; // The bound of the terms.
     left.no_attempt_follows().await;
 }
@@ -165,7 +165,7 @@
 #[tokio::test]
 async fn a_client_that_left_the_queue_is_not_served() {
     let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving_within(64, settings(), &[("s", &server)]).await;
+    let (node, _discovery, _watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
     let mut busy = Vec::new();
     for _ in 0..16 {
         let mut client = node.client().await;
@@ -174,13 +174,13 @@
     }
     let mut waiting = node.client().await;
     waiting.write(&request("left")).await;
-    waiting.end_sending().await;
+    waiting.shutdown_write().await;
     for (client, wire) in &mut busy {
         wire.answer("200 OK", "Connection: close\r\n", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
-    waiting.ended().await;
-    assert!(server.unasked().await, "sent for nobody");
+    waiting.wait_closed().await;
+    assert!(server.has_no_request().await, "sent for nobody");
 }
 
 /// A request that waited behind another has less time left: that is what its server is told.
@@ -206,7 +206,7 @@
     let server = Peer::new().await;
     let mut settings = settings();
     settings["limits"]["try_limit"] = json!(1);
-    let (node, _discovery, _watch) = Node::serving_under(settings, &[("s", &server)]).await;
+    let (node, _discovery, _watch) = Node::serving_with_settings(settings, &[("s", &server)]).await;
     let mut client = node.client().await;
     let all = ["a", "b", "c", "d"].map(|id| request(id).replace("20000m", "500m")).concat();
     let began = std::time::Instant::now();
@@ -217,5 +217,5 @@
     }
     // Each in its own time, not one after another.
     assert!(began.elapsed() < Duration::from_millis(1000), "after {:?}", began.elapsed());
-    assert!(server.untouched().await, "sent on after its time");
+    assert!(server.has_no_connection().await, "sent on after its time");
 }
--- a/node/tests/final_answers.rs
+++ b/node/tests/final_answers.rs
@@ -6,8 +6,13 @@
 use std::time::Duration;
 
 /// Sends a request that a server answers at once, and checks that the client's next answer is that one.
-async fn next_answer_is_its_own(client: &mut Wire, class: &str, servers: &mut Wire, server: &Peer) {
-    client.send_as(&format!("next-{class}"), class, "20000m").await;
+async fn next_answer_is_its_own(
+    client: &mut Connection,
+    class: &str,
+    servers: &mut Connection,
+    server: &Peer,
+) {
+    client.send_with_id(&format!("next-{class}"), class, "20000m").await;
     let answered = tokio::select! {
         Some(request) = servers.read() => {
             servers.answer("200 OK", "", "next").await;
@@ -79,7 +84,7 @@
         node.signal("CONT").await;
         let answer = client.read().await.expect("an answer");
         assert!([503, 504].contains(&answer.status()), "{class}: {}", answer.start);
-        assert!(other.untouched().await, "{class}: sent again after its time");
+        assert!(other.has_no_connection().await, "{class}: sent again after its time");
     }
 }
 
@@ -97,10 +102,10 @@
         };
         // A part of an answer, then its end: the rest never comes.
         first.write("HTTP/1.1 200 OK\r\nContent-Le").await;
-        first.end_sending().await;
+        first.shutdown_write().await;
         let (mut second, _) = other.request().await;
         node.signal("STOP").await;
-        first.write_what_is_taken("ngth: 5\r\n\r\nfirst").await;
+        first.write_until_closed("ngth: 5\r\n\r\nfirst").await;
         second.answer("200 OK", "", "second").await;
         node.signal("CONT").await;
         let answer = client.read().await.expect("an answer");
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -1,14 +1,14 @@
 //! The node inside a modelled fleet in which things go wrong: the rules hold whatever the moment.
 
-use birchswitch_standin::book::Book;
 use birchswitch_standin::fleet::{play, Plan};
 use birchswitch_standin::process::node_binary;
+use birchswitch_standin::results::Results;
 use birchswitch_standin::script::Script;
 use birchswitch_standin::site::Site;
 use std::time::Duration;
 
 /// Plays a script of faults on a site, holds the rules against its books, and returns these.
-async fn unbroken(site: Site, text: &str) -> Book {
+async fn unbroken(site: Site, text: &str) -> Results {
     let script = Script::parse(text, 8, 2).expect("a script");
     println!("{}: {script}", site.name());
     let plan = Plan {
@@ -27,7 +27,7 @@
     };
     let book = tokio::task::LocalSet::new().run_until(play(plan, |_| {})).await.expect("a fleet that runs");
     println!("{book}");
-    assert_eq!(book.faults(), Vec::<String>::new());
+    assert_eq!(book.violations(), Vec::<String>::new());
     assert!(book.classes.iter().all(|c| !c.latencies.is_empty()), "every class was served");
     book
 }
--- a/node/tests/health.rs
+++ b/node/tests/health.rs
@@ -3,10 +3,10 @@
 
 use birchswitch_standin::process::{block_on, node_binary};
 use birchswitch_standin::rig::history::History;
-use birchswitch_standin::rig::leases::holders;
+use birchswitch_standin::rig::leases::concurrent_holders;
 use birchswitch_standin::rig::{LeasePlan, Plan, Rig};
 use birchswitch_standin::script::Script;
-use birchswitch_standin::scripted::{call, own_address, settings, within, Wire};
+use birchswitch_standin::scripted::{call, settings, unique_address, within, Connection};
 use serde_json::json;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             count.set(count.get() + 1);
             spawn_local(async move {
-                let mut wire = Wire::new(stream);
+                let mut wire = Connection::new(stream);
                 while wire.read().await.is_some() {
                     wire.answer("200 OK", "", "{\"outstanding\":0,\"utilization\":0.1}").await;
                 }
@@ -45,12 +45,12 @@
 async fn order_until(rig: &Rig, nodes: &[usize], what: &str, holds: impl Fn(&History) -> bool) {
     let mut clients = Vec::new();
     for n in nodes {
-        clients.push(Wire::connect(rig.listen(*n).expect("it runs")).await);
+        clients.push(Connection::connect(rig.listen(*n).expect("it runs")).await);
     }
     within(what, async {
         while !holds(&rig.history()) {
             for client in &mut clients {
-                let status = client.ask("safe").await.expect("an answer").status();
+                let status = client.round_trip("safe").await.expect("an answer").status();
                 assert!(status == 200 || status == 503, "{status}");
             }
             sleep(Duration::from_millis(5)).await;
@@ -60,7 +60,7 @@
 }
 
 async fn until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) {
-    rig.until(what, Duration::from_secs(30), holds, |_| "nothing".to_owned()).await.expect("in time");
+    rig.wait_until(what, Duration::from_secs(30), holds, |_| "nothing".to_owned()).await.expect("in time");
 }
 
 /// Places that began the task, in order.
@@ -82,7 +82,7 @@
 }
 
 async fn spared(rig: &Rig, node: usize) -> u64 {
-    let figures = call(rig.operators(node).expect("it runs"), "METRICS").await;
+    let figures = call(rig.ops_address(node).expect("it runs"), "METRICS").await;
     let line = figures.lines().find(|l| l.starts_with("app_probes_spared ")).expect("the figure");
     line.rsplit(' ').next().and_then(|n| n.parse().ok()).expect("a number")
 }
@@ -90,8 +90,8 @@
 #[test]
 fn one_node_asks_silent_servers_for_all_and_another_after_it() {
     block_on(async {
-        let up = bound(own_address()).await;
-        let down = bound(own_address()).await.local_addr().expect("an address");
+        let up = bound(unique_address()).await;
+        let down = bound(unique_address()).await.local_addr().expect("an address");
         let servers = vec![up.local_addr().expect("an address"), down];
         serve(up);
         let mut site = settings();
@@ -103,7 +103,7 @@
         let operator = "[health]\nleast = \"500ms\"\nmost = \"500ms\"\n".to_owned();
         let plan = Plan { servers, settings: site, operator, lease: Some(lease.clone()), ..plan };
         let mut rig = Rig::start(plan).await.expect("a rig");
-        rig.agreed(Duration::from_secs(60)).await.expect("one membership");
+        rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
         until(&rig, "one that asks", |h| !begun(h).is_empty()).await;
         let first = begun(&rig.history())[0];
         let all: Vec<usize> = (0..NODES).collect();
@@ -111,9 +111,9 @@
         order_until(&rig, &all, "a server to be told of", |h| silent(h) == 1).await;
         let other = *all.iter().find(|n| **n != first).expect("another");
         within("a question to be spared", async {
-            let mut client = Wire::connect(rig.listen(other).expect("it runs")).await;
+            let mut client = Connection::connect(rig.listen(other).expect("it runs")).await;
             while spared(&rig, other).await == 0 {
-                client.ask("safe").await.expect("an answer");
+                client.round_trip("safe").await.expect("an answer");
             }
         })
         .await;
@@ -132,7 +132,7 @@
         rig.kill(first).await.expect("killed");
         until(&rig, "another that asks", |h| begun(h).iter().any(|p| *p != first)).await;
         let history = rig.history();
-        assert_eq!(holders(&history, &lease, "health/"), Vec::<String>::new());
+        assert_eq!(concurrent_holders(&history, &lease, "health/"), Vec::<String>::new());
         rig.close().await.expect("they end");
     })
     .expect("a runtime");
@@ -148,7 +148,7 @@
         let plan = Plan::new(node_binary().expect("this program's path"), NODES, script);
         let plan = Plan { operator: "[health]\n".to_owned(), lease: Some(lease.clone()), ..plan };
         let mut rig = Rig::start(plan).await.expect("a rig");
-        rig.agreed(Duration::from_secs(60)).await.expect("one membership");
+        rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
         until(&rig, "one that has it", |h| !begun(h).is_empty()).await;
         let first = begun(&rig.history())[0];
         rig.stop(first).await.expect("it ends in order");
@@ -166,7 +166,7 @@
         assert!(ended < began, "ended before the next begins");
         // A lease that nobody gives back lives for two thirds of its time at least.
         assert!(Duration::from_nanos(began - ended) < Duration::from_secs(5), "{} ns", began - ended);
-        assert_eq!(holders(&history, &lease, "health/"), Vec::<String>::new());
+        assert_eq!(concurrent_holders(&history, &lease, "health/"), Vec::<String>::new());
         rig.close().await.expect("they end");
     })
     .expect("a runtime");
--- a/node/tests/large.rs
+++ b/node/tests/large.rs
@@ -72,7 +72,7 @@
         wire.write(&format!("HTTP/1.1 200 OK\r\n{head}{}", body(200_000))).await;
         assert_eq!(client.first_byte().await, b'H');
         drop(wire);
-        let rest = client.rest().await;
+        let rest = client.read_to_end().await;
         assert!(!rest.ends_with(b"0\r\n\r\n") && rest.len() < 300_000, "{} bytes", rest.len());
     }
 }
@@ -171,7 +171,7 @@
     assert_eq!(wire.first_byte().await, b'P');
     let status = client.read().await.expect("an answer").status();
     assert!(matches!(status, 503 | 504), "{status}");
-    wire.ended().await;
+    wire.wait_closed().await;
 }
 
 /// Nothing is held back of an answer whose length nobody knows: it may be large, and then its first bytes count.
@@ -186,7 +186,7 @@
     assert_eq!(client.first_byte().await, b'H', "its end has not been written");
     wire.write("4\r\nlast\r\n0\r\n\r\n").await;
     drop(wire);
-    client.until("0\r\n\r\n").await;
+    client.read_until("0\r\n\r\n").await;
 }
 
 /// An answer may end with its connection, if it says so.
--- a/node/tests/leases.rs
+++ b/node/tests/leases.rs
@@ -1,12 +1,12 @@
 //! Leases among processes: no two act at once, whatever fails; what breaks without a safeguard is found; commands run under a lease.
 
-use birchswitch_standin::process::{block_on, node_binary, runs, signal};
+use birchswitch_standin::process::{block_on, is_running, node_binary, signal};
+use birchswitch_standin::rig::fenced_resource::FencedResource;
 use birchswitch_standin::rig::history::now;
-use birchswitch_standin::rig::leases::{overlaps, play, Act, Case, Outcome, CASES, SOUND};
-use birchswitch_standin::rig::receiver::Receiver;
+use birchswitch_standin::rig::leases::{overlaps, play, Activity, Case, Outcome, BASELINE, CASES};
 use birchswitch_standin::rig::{LeasePlan, Plan, Rig};
 use birchswitch_standin::script::Script;
-use birchswitch_standin::scripted::{call, within, Wire};
+use birchswitch_standin::scripted::{call, within, Connection};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::process::Stdio;
@@ -30,15 +30,15 @@
 fn holds(name: &str) {
     let case = CASES.iter().find(|c| c.name == name).expect("a case");
     let outcome = outcome(case, SEED);
-    assert_eq!(outcome.wrong, Vec::<String>::new(), "{name}, seed {SEED}: {}", case.script);
+    assert_eq!(outcome.violations, Vec::<String>::new(), "{name}, seed {SEED}: {}", case.script);
     println!(
         "{name}: {} acts, {} grants, {} lost, gap {:?}",
-        outcome.acts.len(),
+        outcome.activities.len(),
         outcome.grants,
         outcome.lost,
         outcome.gap
     );
-    assert!(outcome.acts.len() > 2, "{name}: {:?}", outcome.acts);
+    assert!(outcome.activities.len() > 2, "{name}: {:?}", outcome.activities);
 }
 
 #[test]
@@ -78,14 +78,14 @@
 
 /// The first of a few seeds in which something breaks.
 fn found(case: &Case, seeds: u64) -> Option<(u64, Vec<String>)> {
-    (1..=seeds).map(|seed| (seed, outcome(case, seed).wrong)).find(|(_, wrong)| !wrong.is_empty())
+    (1..=seeds).map(|seed| (seed, outcome(case, seed).violations)).find(|(_, wrong)| !wrong.is_empty())
 }
 
 /// All voters die and come back at once while the holder lives, again and again: what they forgot they grant a second time.
 #[test]
 fn voters_that_do_not_abstain_are_found() {
     let script = "1s n0-n4 die\n1s n0-n4 start\n4s n0-n4 die\n4s n0-n4 start\n7s n0-n4 die\n7s n0-n4 start";
-    let case = Case { name: "no abstention", script, without: &["abstention"], ..SOUND };
+    let case = Case { name: "no abstention", script, without: &["abstention"], ..BASELINE };
     assert!(found(&case, 4).is_some());
 }
 
@@ -93,13 +93,13 @@
 #[test]
 fn votes_of_less_than_a_majority_are_found() {
     let script = "1s wire split n0-n1 n2-n6\n5s wire heal\n6s wire split n0-n1 n2-n6\n9s wire heal";
-    let case = Case { name: "no majority", script, without: &["majority"], ..SOUND };
+    let case = Case { name: "no majority", script, without: &["majority"], ..BASELINE };
     assert!(found(&case, 4).is_some());
 }
 
 #[test]
 fn voters_that_keep_to_no_promise_are_found() {
-    let case = Case { name: "no promises", script: "6s wire lose 0", without: &["promises"], ..SOUND };
+    let case = Case { name: "no promises", script: "6s wire lose 0", without: &["promises"], ..BASELINE };
     assert!(found(&case, 2).is_some());
 }
 
@@ -110,7 +110,7 @@
     let plan =
         Plan::new(node_binary().expect("this program's path"), 5, Script::parse("", 0, 5).expect("a script"));
     let mut rig = Rig::start(Plan { lease: Some(lease), ..plan }).await.expect("a rig");
-    rig.agreed(Duration::from_secs(60)).await.expect("one membership");
+    rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
     let (earlier, later) = (3, 4);
     let first = granted(&rig, later).await;
     for place in [later, 0, 1, 2] {
@@ -124,8 +124,8 @@
 }
 
 /// The first grant that a node's caller is told of.
-async fn granted(rig: &Rig, place: usize) -> Act {
-    let mut session = Wire::connect(rig.operators(place).expect("it runs")).await;
+async fn granted(rig: &Rig, place: usize) -> Activity {
+    let mut session = Connection::connect(rig.ops_address(place).expect("it runs")).await;
     session.write("LEASE task 1\n").await;
     within("a grant", async {
         loop {
@@ -133,7 +133,7 @@
             let line = session.line().await.expect("an answer");
             if let ["HELD", token, _, left] = line.split_ascii_whitespace().collect::<Vec<_>>()[..] {
                 let (token, left) = (token.parse().expect("a token"), left.parse::<u64>().expect("a time"));
-                return Act { place, token, begin: now(), end: asked + left * 1_000_000 };
+                return Activity { place, token, begin: now(), end: asked + left * 1_000_000 };
             }
             sleep(Duration::from_millis(20)).await;
             session.write("\n").await;
@@ -157,7 +157,7 @@
 #[test]
 fn tokens_rise_when_a_later_holder_dies_with_all_voters() {
     let script = "1s n6 die\n1500ms n6 start\n2s n5 pause 4s\n8s n6 die\n8s n0-n4 die\n8s n0-n4 start\n13s wire lose 0";
-    let case = Case { script, contend: &[5, 6], keeps: Duration::from_secs(60), ..SOUND };
+    let case = Case { script, contenders: &[5, 6], hold_time: Duration::from_secs(60), ..BASELINE };
     assert_eq!(found(&Case { name: "a floor", ..case }, 1), None);
 }
 
@@ -166,7 +166,13 @@
 #[test]
 fn clocks_beyond_the_promised_drift_are_found() {
     let script = "1s wire split n5 n0-n4\n4s wire heal\n4s wire split n6 n0-n4\n7s wire heal\n7s wire split n5 n0-n4\n10s wire heal";
-    let case = Case { script, contend: &[5, 6], keeps: Duration::from_secs(60), eager: true, ..SOUND };
+    let case = Case {
+        script,
+        contenders: &[5, 6],
+        hold_time: Duration::from_secs(60),
+        retry_at_once: true,
+        ..BASELINE
+    };
     let rates = &[1.1, 1.1, 1.1, 1.1, 1.1, 0.9, 1.1];
     assert!(found(&Case { name: "10% off", rates, ..case }, 12).is_some());
     let (rates, without) = (&[1.05, 1.05, 1.05, 1.05, 1.05, 0.95, 1.05], &["margin"]);
@@ -183,7 +189,7 @@
         let mut sessions = Vec::new();
         for n in 0..200 {
             for desk in &desks[..2] {
-                let mut session = Wire::connect(*desk).await;
+                let mut session = Connection::connect(*desk).await;
                 session.write(&format!("LEASE name{n} 1\n")).await;
                 assert!(session.line().await.expect("an answer").starts_with("WAITING"));
                 session.write("\n").await;
@@ -218,8 +224,8 @@
     let plan = Plan::new(node_binary().expect("this program's path"), 3, script);
     let plan = Plan { lease: Some(lease), ..plan };
     let rig = Rig::start(plan).await.expect("a rig");
-    rig.agreed(Duration::from_secs(60)).await.expect("one membership");
-    let desks = (0..3).map(|n| rig.operators(n).expect("it runs")).collect();
+    rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
+    let desks = (0..3).map(|n| rig.ops_address(n).expect("it runs")).collect();
     (rig, desks)
 }
 
@@ -315,7 +321,7 @@
         assert!(call(desks[0], "ENDLEASE a").await.starts_with("SUCCESS 1 told"));
         let (code, _, why) = ended(held).await;
         assert_eq!(code, Some(76), "{why}");
-        assert!(!runs(forked), "what it forked is gone");
+        assert!(!is_running(forked), "what it forked is gone");
         assert_eq!(ended(lease_run(desks[1], "a", &["--wait", "5"], "true")).await.0, Some(0));
 
         // The node that it was held through is killed: nobody extends it.
@@ -354,9 +360,9 @@
 
 /// A command tells its number, stops itself between its last look at the lease and its act, and acts once it is woken. Its client stands
 /// still too, so that nobody ends it, and its node is killed: another holds and acts when it goes on. What the receiver made of that.
-async fn acts_late(fenced: bool) -> Rc<Receiver> {
+async fn acts_late(fenced: bool) -> Rc<FencedResource> {
     let (mut rig, desks) = electorate().await;
-    let receiver = Receiver::start(fenced).await.expect("a receiver");
+    let receiver = FencedResource::start(fenced).await.expect("a receiver");
     let (host, port) = (receiver.address().ip(), receiver.address().port());
     let act = format!(
         "exec 3<>/dev/tcp/{host}/{port}; echo BEGIN $BIRCHSWITCH_LEASE_TOKEN >&3; read -r word <&3; echo $word; sleep 30"
@@ -370,7 +376,7 @@
     let resumed = Command::new("kill").args(["-CONT", &stopped.to_string()]).status().await;
     assert!(resumed.expect("kill").success());
     within("the late act", async {
-        while receiver.refused().len() + receiver.taken().len() < 2 {
+        while receiver.rejected_tokens().len() + receiver.accepted().len() < 2 {
             sleep(Duration::from_millis(10)).await;
         }
     })
@@ -378,7 +384,7 @@
     // The client wakes, finds its time over and kills what is left.
     signal(&late, "CONT").await.expect("it runs");
     assert_eq!(ended(late).await.0, Some(76));
-    assert!(!runs(stopped));
+    assert!(!is_running(stopped));
     receiver
 }
 
@@ -387,10 +393,13 @@
 fn a_holder_stopped_between_its_look_and_its_act_is_refused_by_its_token() {
     on_a_set(async {
         let fenced = acts_late(true).await;
-        assert_eq!((fenced.wrong(), fenced.taken().len(), fenced.refused().len()), (Vec::new(), 1, 1));
-        assert!(fenced.refused()[0] < fenced.taken()[0].token);
+        assert_eq!(
+            (fenced.violations(), fenced.accepted().len(), fenced.rejected_tokens().len()),
+            (Vec::new(), 1, 1)
+        );
+        assert!(fenced.rejected_tokens()[0] < fenced.accepted()[0].token);
         let open = acts_late(false).await;
-        assert!(!open.wrong().is_empty(), "without the check two act: {:?}", open.taken());
+        assert!(!open.violations().is_empty(), "without the check two act: {:?}", open.accepted());
     });
 }
 
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -17,22 +17,22 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 
     watch.list(2, true, &[member("two", two.address(), "active")]).await;
-    at_one.closed().await; // Nothing more goes to a server that is gone.
+    at_one.expect_closed().await; // Nothing more goes to a server that is gone.
     client.send("unsafe", "20000m").await;
     (at_two, _) = two.request().await;
     at_two.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 
     watch.list(3, false, &[member("two", one.address(), "active")]).await;
-    at_two.closed().await;
+    at_two.expect_closed().await;
     client.send("unsafe", "20000m").await;
     (at_one, _) = one.request().await;
     at_one.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 
     watch.list(4, false, &[json!({"id": "two", "phase": "left"})]).await;
-    at_one.closed().await;
-    assert_eq!(client.ask("unsafe").await.expect("an answer").status(), 503);
+    at_one.expect_closed().await;
+    assert_eq!(client.round_trip("unsafe").await.expect("an answer").status(), 503);
 }
 
 /// A restart under the same id leaves no connection worth keeping, though a dead machine's look open.
@@ -48,14 +48,14 @@
     let mut entry = member("s", server.address(), "active");
     entry["up_since_ms"] = json!(1_700_000_000_000u64);
     watch.list(2, false, &[entry.clone()]).await;
-    old.closed().await;
+    old.expect_closed().await;
     client.send("unsafe", "20000m").await;
     let (mut new, _) = server.request().await;
     new.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
     // The same start told once more is no restart.
     watch.list(3, true, &[entry]).await;
-    node.holds(3).await;
+    node.wait_for_list(3).await;
     tokio::time::sleep(std::time::Duration::from_millis(50)).await; // It rests before it is used again.
     client.send("unsafe", "20000m").await;
     new.read().await.expect("the next request on the same connection");
@@ -66,19 +66,19 @@
 #[tokio::test]
 async fn a_drain_told_while_connecting_keeps_the_request_back() {
     let (listener, address, filling) = full_listener().await;
-    let (node, _discovery, mut watch) = Node::listing(1024, settings(), &[("s", address)]).await;
+    let (node, _discovery, mut watch) = Node::serving_at(1024, settings(), &[("s", address)]).await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     node.get("/health/live").await; // The request has been read, and its connection is under way.
     watch.list(2, false, &[member("s", address, "leaving")]).await;
-    node.holds(2).await;
-    let_in(&listener, &filling).await;
+    node.wait_for_list(2).await;
+    accept_backlog(&listener, &filling).await;
     let answer = client.read().await.expect("an answer");
     assert_eq!(answer.status(), 503);
     let (stream, _) = within("the node's connection", listener.accept()).await.expect("a connection");
     drop(client);
     drop(node);
-    let sent = all_sent(stream).await;
+    let sent = read_all(stream).await;
     assert!(sent.is_empty(), "sent to a draining server: {sent:?}");
 }
 
@@ -87,13 +87,13 @@
 async fn a_move_told_while_connecting_sends_nothing_to_the_old_address() {
     let new = Peer::new().await;
     let (listener, address, filling) = full_listener().await;
-    let (node, _discovery, mut watch) = Node::listing(1024, settings(), &[("s", address)]).await;
+    let (node, _discovery, mut watch) = Node::serving_at(1024, settings(), &[("s", address)]).await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     node.get("/health/live").await; // The request has been read, and its connection is under way.
     watch.list(2, false, &[member("s", new.address(), "active")]).await;
-    node.holds(2).await;
-    let_in(&listener, &filling).await;
+    node.wait_for_list(2).await;
+    accept_backlog(&listener, &filling).await;
     let (old, _) = within("the node's connection", listener.accept()).await.expect("a connection");
     // Whether it goes to the new address or back to the client is the balancer's to say.
     let answer = tokio::select! {
@@ -105,7 +105,7 @@
     };
     assert!([200, 503].contains(&answer.expect("an answer").status()));
     drop(node);
-    let sent = all_sent(old).await;
+    let sent = read_all(old).await;
     assert!(sent.is_empty(), "sent to the old address: {sent:?}");
 }
 
@@ -116,7 +116,7 @@
     let discovery = Peer::new().await;
     let mut settings = settings();
     settings["report"] = json!({"how": "pull", "fields": ["outstanding", "utilization"]});
-    let node = Node::with(&discovery, settings, 1024).await;
+    let node = Node::start(&discovery, settings, 1024).await;
     let (mut watch, _) = discovery.watch().await;
     let mut revision = 0;
     let mut ask = async |key: &str, value: &serde_json::Value, report: &str| {
@@ -126,7 +126,7 @@
         // Named twice, beside a sane one and one that nobody knows and that has left.
         let left = json!({"id": "", "phase": "left"});
         watch.list(revision, true, &[odd.clone(), odd, member("t", server.address(), "active"), left]).await;
-        node.holds(revision).await;
+        node.wait_for_list(revision).await;
         let mut client = node.client().await;
         client.send("safe", "20000m").await;
         let answering = async {
@@ -182,23 +182,23 @@
     let window = std::time::Duration::from_secs(2); // Ample for all that comes before the repeat.
     let mut settings = settings();
     settings["profiles"][1]["repeat_window_ns"] = json!(window.as_nanos() as u64);
-    let node = Node::with(&discovery, settings, 1024).await;
+    let node = Node::start(&discovery, settings, 1024).await;
     let (mut watch, _) = discovery.watch().await;
     watch.list(1, true, &[member("first", first.address(), "active")]).await;
-    node.ready().await;
+    node.wait_until_ready().await;
     let mut client = node.client().await;
     client.send("keyed", "20000m").await;
     let (mut wire, _) = first.request().await;
     watch.list(2, false, &[member("second", address, "active")]).await;
-    node.holds(2).await;
+    node.wait_for_list(2).await;
     wire.answer("500 Internal Server Error", "", "").await;
     tokio::time::sleep(window).await;
-    let_in(&listener, &filling).await;
+    accept_backlog(&listener, &filling).await;
     assert_eq!(client.read().await.expect("an answer").status(), 504);
     let (stream, _) = within("the node's connection", listener.accept()).await.expect("a connection");
     drop(client);
     drop(node);
-    let sent = all_sent(stream).await;
+    let sent = read_all(stream).await;
     assert!(sent.is_empty(), "sent after the window: {sent:?}");
 }
 
@@ -216,7 +216,7 @@
     let (mut node, discovery, mut watch) = Node::serving(&[("s", &server)]).await;
     for line in bad {
         watch.line(&line).await;
-        node.logged("unusable line").await;
+        node.wait_for_log("unusable line").await;
         let (next, request) = discovery.watch().await;
         assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
         watch = next;
@@ -236,7 +236,7 @@
     let (_node, discovery, mut watch) = Node::serving(&[("s", &server)]).await;
     let (_next, request) = discovery.watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
-    watch.0.closed().await;
+    watch.0.expect_closed().await;
 }
 
 #[tokio::test]
@@ -253,7 +253,7 @@
     watch.0.write(&format!("{:x}\r\n{a}\r\n", a.len())).await;
     watch.0.write(&format!("1\r\n\n\r\n{:x}\r\n{b}\n\r\n", b.len() + 1).replacen("1\r\n\n\r\n", "", 1)).await;
     drop(server);
-    assert_eq!(node.client().await.ask("unsafe").await.expect("an answer").status(), 503);
+    assert_eq!(node.client().await.round_trip("unsafe").await.expect("an answer").status(), 503);
 }
 
 /// Where lists come on request, the balancer says when to ask; the end of a watch is a failed call.
@@ -263,12 +263,12 @@
     let discovery = Peer::new().await;
     let mut settings = settings();
     settings["registry_mode"] = json!("subscribe");
-    let node = Node::with(&discovery, settings, 1024).await;
+    let node = Node::start(&discovery, settings, 1024).await;
     assert_eq!(node.get("/health/ready").await.status(), 503);
     let (mut wire, _) = discovery.request().await;
     wire.answer("503 Service Unavailable", "", "").await;
     let (mut watch, request) = discovery.watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=0 HTTP/1.1");
     watch.list(1, true, &[member("s", server.address(), "active")]).await;
-    node.ready().await;
+    node.wait_until_ready().await;
 }
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -3,7 +3,7 @@
 
 use birchswitch_cluster::wire::{self, Body, Message, Sender, Update};
 use birchswitch_cluster::{Generation, MemberId, Record};
-use birchswitch_standin::process::{block_on, cpu, node_binary, runs};
+use birchswitch_standin::process::{block_on, cpu_time, is_running, node_binary};
 use birchswitch_standin::rig::{cases, Plan, Rig};
 use birchswitch_standin::script::Script;
 use birchswitch_standin::scripted::*;
@@ -25,7 +25,7 @@
 
 async fn rig(plan: Plan) -> Rig {
     let rig = Rig::start(plan).await.expect("a rig");
-    rig.agreed(Duration::from_secs(60)).await.expect("one membership");
+    rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
     rig
 }
 
@@ -38,7 +38,7 @@
     on_a_set(async {
         let outcome = cases::play(case, node_binary().expect("a path"), SEED, |_| ()).await;
         let outcome = outcome.unwrap_or_else(|error| panic!("{name}, seed {SEED}: {error}"));
-        assert_eq!(outcome.wrong, Vec::<String>::new(), "{name}, seed {SEED}, {}", case.script);
+        assert_eq!(outcome.violations, Vec::<String>::new(), "{name}, seed {SEED}, {}", case.script);
     });
 }
 
@@ -88,7 +88,7 @@
         assert_eq!(pids.len(), 3);
         assert!(panics.await.is_err());
         within("the processes' end", async {
-            while pids.iter().any(|p| runs(*p)) {
+            while pids.iter().any(|p| is_running(*p)) {
                 sleep(Duration::from_millis(20)).await;
             }
         })
@@ -105,7 +105,7 @@
 fn operators_see_members_what_they_tell_and_who_leaves() {
     on_a_set(async {
         let mut rig = rig(Plan { streams: true, ..plan(3, "0s wire cut discovery n2") }).await;
-        let [n0, n2] = [0, 2].map(|n| rig.operators(n).expect("it runs"));
+        let [n0, n2] = [0, 2].map(|n| rig.ops_address(n).expect("it runs"));
         let list = |text: &str, name: &str| {
             let line = line(text, &format!("{name} "));
             line.rsplit(' ').next().unwrap_or_default().to_owned()
@@ -137,7 +137,7 @@
         assert!(line(&text, "n0 own ").contains(" z0 "), "{text}");
         line(&text, "n1 alive ");
         rig.play(|_| ()).await.expect("the script");
-        rig.tell(0, "leaving");
+        rig.announce(0, "leaving");
         seen("22", "n0").await;
         seen("22", "n1").await;
         assert_eq!(list(&call(n2, "MEMBERS").await, "n2"), "21");
@@ -149,7 +149,7 @@
         line(&figures, "app_cluster_dropped 0");
         assert!(call(n2, "LEAVE").await.starts_with("SUCCESS "));
         assert!(call(n2, "LEAVE").await.starts_with("FAILURE "), "it is no member any more");
-        rig.until(
+        rig.wait_until(
             "word of the leaving",
             Duration::from_secs(20),
             |h| [0, 1].iter().all(|n| h.lines.iter().any(|l| l.place == *n && l.kind == "left")),
@@ -170,11 +170,11 @@
     on_a_set(async {
         let rig = rig(plan(4, "")).await;
         let (address, pid) = (rig.listen(0).expect("it runs"), rig.pid(0).expect("it runs"));
-        let before = cpu(pid);
+        let before = cpu_time(pid);
         let mut clients = tokio::task::JoinSet::new();
         for _ in 0..32 {
             clients.spawn_local(async move {
-                let mut client = Wire::connect(address).await;
+                let mut client = Connection::connect(address).await;
                 loop {
                     client.write(&"GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n".repeat(32)).await;
                     for _ in 0..32 {
@@ -184,13 +184,13 @@
             });
         }
         within("two seconds of work", async {
-            while cpu(pid) < before + Duration::from_secs(2) {
+            while cpu_time(pid) < before + Duration::from_secs(2) {
                 sleep(Duration::from_millis(20)).await;
             }
         })
         .await;
         clients.shutdown().await;
-        rig.agreed(Duration::from_secs(20)).await.expect("one membership");
+        rig.wait_for_agreement(Duration::from_secs(20)).await.expect("one membership");
         let history = rig.close().await.expect("all end well");
         let verdicts: Vec<_> = history.lines.iter().filter(|l| l.kind == "verdict").collect();
         assert!(verdicts.is_empty(), "{verdicts:?}");
@@ -220,8 +220,8 @@
 fn strangers_neither_stop_a_node_nor_get_more_than_they_send() {
     on_a_set(async {
         let rig = rig(plan(3, "")).await;
-        let (node, operators) = (rig.wire().real(0).expect("it runs"), rig.operators(0).expect("it runs"));
-        let mut client = Wire::connect(rig.listen(0).expect("it runs")).await;
+        let (node, operators) = (rig.wire().real(0).expect("it runs"), rig.ops_address(0).expect("it runs"));
+        let mut client = Connection::connect(rig.listen(0).expect("it runs")).await;
         let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(SEED);
         // Whom it names is asked from then on; who sent it gets an answer.
@@ -259,13 +259,13 @@
             let _ = stranger.send_to(bytes, node).await;
             if n % 5_000 == 0 {
                 assert_eq!(
-                    client.ask("unsafe").await.expect("an answer").status(),
+                    client.round_trip("unsafe").await.expect("an answer").status(),
                     503,
                     "no server is there"
                 );
             }
         }
-        assert_eq!(client.ask("unsafe").await.expect("an answer").status(), 503);
+        assert_eq!(client.round_trip("unsafe").await.expect("an answer").status(), 503);
         assert!(dropped().await > before);
         let mut answered = 0;
         while let Ok(Ok(length)) = timeout(Duration::from_millis(500), stranger.recv(&mut buffer)).await {
@@ -276,7 +276,7 @@
         let history = rig.history();
         let verdicts = history.lines.iter().filter(|l| l.kind == "verdict" && l.text("member") != "stranger");
         assert_eq!(verdicts.count(), 0);
-        assert!(runs(rig.pid(0).expect("it runs")));
+        assert!(is_running(rig.pid(0).expect("it runs")));
     });
 }
 
@@ -287,9 +287,9 @@
         let server = Peer::new().await;
         let servers = vec![server.address()];
         let mut rig = rig(Plan { streams: true, servers, ..plan(3, "0s wire cut servers n0") }).await;
-        let mut client = Wire::connect(rig.listen(0).expect("it runs")).await;
+        let mut client = Connection::connect(rig.listen(0).expect("it runs")).await;
         within("the list", async {
-            let desk = rig.operators(0).expect("it runs");
+            let desk = rig.ops_address(0).expect("it runs");
             while !call(desk, "STATUS").await.starts_with("SUCCESS") {
                 sleep(Duration::from_millis(20)).await;
             }
--- a/node/tests/operations.rs
+++ b/node/tests/operations.rs
@@ -16,16 +16,16 @@
 /// A node that has taken a list of these servers, and where operators call it.
 async fn serving(servers: &[(&str, &Peer)], variables: &[(&str, &str)]) -> (Node, SocketAddr, Peer, Watch) {
     let discovery = Peer::new().await;
-    let mut node = Node::told(config(&discovery), variables).await;
-    let operators = node.operators().await;
+    let mut node = Node::with_config(config(&discovery), variables).await;
+    let operators = node.ops_address().await;
     let (mut watch, _) = discovery.watch().await;
     let members: Vec<Value> = servers.iter().map(|s| member(s.0, s.1.address(), "active")).collect();
     watch.list(1, true, &members).await;
-    node.ready().await;
+    node.wait_until_ready().await;
     (node, operators, discovery, watch)
 }
 
-async fn served_by(client: &mut Wire, server: &Peer) {
+async fn served_by(client: &mut Connection, server: &Peer) {
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     wire.answer("200 OK", "Connection: close\r\n", "").await;
@@ -56,8 +56,8 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
     // Without a server requests are refused; one whose client leaves is not in hand any more.
     watch.list(2, true, &[]).await;
-    node.holds(2).await;
-    assert_eq!(client.ask("keyed").await.expect("an answer").status(), 503);
+    node.wait_for_list(2).await;
+    assert_eq!(client.round_trip("keyed").await.expect("an answer").status(), 503);
     let figures = call(operators, "METRICS").await;
     has(&figures, "app_results{disposition=\"succeeded\",service=\"safe\"} 1");
     has(&figures, "app_results{disposition=\"declined\",service=\"keyed\"} 1");
@@ -74,22 +74,22 @@
     assert!(call(operators, "SUSPEND out").await.starts_with("SUCCESS "));
     assert!(call(operators, "SUSPEND out").await.starts_with("SUCCESS "), "said twice");
     let mut client = node.client().await;
-    assert_eq!(client.ask("unsafe").await.expect("an answer").status(), 503, "nobody else is there");
+    assert_eq!(client.round_trip("unsafe").await.expect("an answer").status(), 503, "nobody else is there");
     // It restarts, goes, and comes back.
     let mut entry = member("out", out.address(), "active");
     entry["up_since_ms"] = json!(1_700_000_000_000u64);
     watch.list(2, true, &[entry.clone(), member("kept", kept.address(), "active")]).await;
-    node.holds(2).await;
+    node.wait_for_list(2).await;
     watch.list(3, false, &[json!({"id": "out", "phase": "left"})]).await;
     watch.list(4, false, &[entry]).await;
-    node.holds(4).await;
+    node.wait_for_list(4).await;
     for _ in 0..8 {
         served_by(&mut client, &kept).await;
     }
-    assert!(out.untouched().await);
+    assert!(out.has_no_connection().await);
     assert!(call(operators, "METRICS").await.lines().any(|l| l == "app_ejected 1"));
     watch.list(5, false, &[json!({"id": "kept", "phase": "left"})]).await;
-    node.holds(5).await;
+    node.wait_for_list(5).await;
     assert!(call(operators, "RESTORE out").await.starts_with("SUCCESS "), "once undoes both");
     served_by(&mut client, &out).await;
 }
@@ -104,7 +104,7 @@
     assert!(call(operators, "SUSPEND s").await.starts_with("SUCCESS "));
     drop(node);
     let (node, operators, ..) = serving(&[("s", &server)], &kept).await;
-    assert_eq!(node.client().await.ask("unsafe").await.expect("an answer").status(), 503);
+    assert_eq!(node.client().await.round_trip("unsafe").await.expect("an answer").status(), 503);
     assert!(call(operators, "RESTORE s").await.starts_with("SUCCESS "));
     served_by(&mut node.client().await, &server).await;
     std::fs::remove_dir_all(state.path().join("birchswitch")).expect("removed");
@@ -116,8 +116,8 @@
 #[tokio::test]
 async fn silent_callers_keep_nobody_out() {
     let discovery = Peer::new().await;
-    let mut node = Node::told(config(&discovery), &[]).await;
-    let operators = node.operators().await;
+    let mut node = Node::with_config(config(&discovery), &[]).await;
+    let operators = node.ops_address().await;
     assert!(call(operators, "STATUS").await.starts_with("FAILURE "), "no list names a server");
     let mut silent = Vec::new();
     for _ in 0..40 {
@@ -130,5 +130,5 @@
     let before = node.descriptors();
     assert!(before < 64, "{before} descriptors");
     node.signal("TERM").await;
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 }
--- a/node/tests/order_mix.rs
+++ b/node/tests/order_mix.rs
@@ -153,7 +153,7 @@
 
 /// Places an order over HTTP.
 async fn over_http(address: SocketAddr, class: &str, text: &str) -> Outcome {
-    let mut wire = Wire::connect(address).await;
+    let mut wire = Connection::connect(address).await;
     let method = if class == "safe" { "GET" } else { "POST" };
     let head = format!(
         "{method} /{class}/{text} HTTP/1.1\r\nHost: a\r\nX-Request-ID: {text}\r\nX-Timeout: 1000m\r\n"
@@ -260,10 +260,10 @@
         "limits": {"sockets": 1024, "memory_mb": 64}, "settings": settings,
     });
     let path = file.path().to_str().expect("a path");
-    let mut node = Node::told(config, &[("GW_OPERATOR", path)]).await;
+    let mut node = Node::with_config(config, &[("GW_OPERATOR", path)]).await;
     let mut fronts = Vec::new();
     for way in 1..=WAYS.len() {
-        let line = node.logged(&format!("way{way}: listening on ")).await;
+        let line = node.wait_for_log(&format!("way{way}: listening on ")).await;
         fronts.push(line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address"));
     }
     let mut watches = Vec::new();
@@ -273,8 +273,8 @@
         watch.list(1, true, &members).await;
         watches.push(watch);
         match way {
-            0 => node.ready().await,
-            _ => drop(node.logged(&format!("way{way}: holds a list")).await),
+            0 => node.wait_until_ready().await,
+            _ => drop(node.wait_for_log(&format!("way{way}: holds a list")).await),
         }
     }
     let order = text(deeds, 1);
