--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -26,20 +26,20 @@
     let config = json!({
         "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "settings": settings(),
     });
-    let mut node = Node::told(config, &[("GW_DISCOVERY", &first.address().to_string())]).await;
+    let mut node = Node::with_config(config, &[("GW_DISCOVERY", &first.address().to_string())]).await;
     let (mut watch, _) = first.watch().await;
     let listed = [member("kept", kept.address(), "active"), member("gone", gone.address(), "active")];
     watch.list(70, true, &listed).await;
-    node.ready().await;
+    node.wait_until_ready().await;
 
     node.reconfigure("discovery", json!(second.address().to_string())).await;
-    watch.0.closed().await;
+    watch.0.expect_closed().await;
     let mut watch = take_over(&second, 7, &listed[..1]).await;
-    node.holds(7).await;
+    node.wait_for_list(7).await;
     watch
         .list(8, false, &[member("new", new.address(), "active"), member("kept", kept.address(), "left")])
         .await;
-    node.holds(8).await;
+    node.wait_for_list(8).await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = new.request().await;
@@ -48,12 +48,12 @@
 
     // Told again without a change, the watch stays; after that it moves once more.
     node.signal("HUP").await;
-    node.logged("configuration read again").await;
+    node.wait_for_log("configuration read again").await;
     node.reconfigure("discovery", json!(third.address().to_string())).await;
-    watch.0.closed().await;
+    watch.0.expect_closed().await;
     let _watch = take_over(&third, 1, &[]).await;
-    node.holds(1).await;
-    assert!(second.untouched().await);
+    node.wait_for_list(1).await;
+    assert!(second.has_no_connection().await);
 }
 
 /// A file with anything wrong in it is not used at all.
@@ -76,13 +76,13 @@
     texts.push(bad.to_string());
     for (k, text) in texts.iter().enumerate() {
         node.replace_config(text).await;
-        node.logged("the configuration stays as it is").await;
+        node.wait_for_log("the configuration stays as it is").await;
         watch.list(2 + k as u64, false, &[]).await;
-        node.holds(2 + k as u64).await;
+        node.wait_for_list(2 + k as u64).await;
     }
-    assert!(other.untouched().await);
+    assert!(other.has_no_connection().await);
     node.replace_config(&good.to_string()).await;
-    watch.0.closed().await;
+    watch.0.expect_closed().await;
 }
 
 /// The new address may not answer at first, or say that it can't. It is asked until it has told a whole list.
@@ -99,7 +99,7 @@
         wire.answer(status, "", body).await;
     }
     let _watch = take_over(&other, 3, &[]).await;
-    node.holds(3).await;
+    node.wait_for_list(3).await;
 }
 
 /// Where lists come on request the new address is asked at once as well: the balancer knows of no reason to.
@@ -109,14 +109,14 @@
     let (first, second) = (Peer::new().await, Peer::new().await);
     let mut settings = settings();
     settings["registry_mode"] = json!("subscribe");
-    let mut node = Node::with(&first, settings, 1024).await;
+    let mut node = Node::start(&first, settings, 1024).await;
     let (mut watch, _) = first.watch().await;
     watch.list(9, true, &[]).await;
-    node.holds(9).await;
+    node.wait_for_list(9).await;
     node.reconfigure("discovery", json!(second.address().to_string())).await;
-    watch.0.closed().await;
+    watch.0.expect_closed().await;
     let _watch = take_over(&second, 2, &[member("s", server.address(), "active")]).await;
-    node.ready().await;
+    node.wait_until_ready().await;
 }
 
 /// SIGHUP may come while the node leaves: it still finishes what it has, and exits as if it had not been told.
@@ -129,7 +129,7 @@
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     node.signal("TERM").await;
-    node.logged("leaving").await;
+    node.wait_for_log("leaving").await;
     for _ in 0..3 {
         node.signal("HUP").await;
     }
@@ -137,5 +137,5 @@
     let _watch = take_over(&other, 2, &[member("s", server.address(), "active")]).await;
     wire.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 }
--- a/node/tests/rude.rs
+++ b/node/tests/rude.rs
@@ -7,11 +7,11 @@
 /// Writes something, and expects this answer and then the connection's end.
 async fn turned_down(node: &Node, text: &str, status: u16) {
     let mut client = node.client().await;
-    client.write_what_is_taken(text).await;
+    client.write_until_closed(text).await;
     let answer = client.read().await.unwrap_or_else(|| panic!("no answer to {text:.200}"));
     assert_eq!(answer.status(), status, "{text:.200}");
     assert_eq!(answer.header("connection"), Some("close"), "{text:.200}");
-    client.ended().await;
+    client.wait_closed().await;
 }
 
 /// With both headers a node and a server may differ on where the body ends, and the rest of it would be a request that
@@ -29,7 +29,7 @@
     }
     let differing = "Content-Length: 0\r\nContent-Length: 5\r\n";
     turned_down(&node, &format!("{HEAD}X-Request-ID: r\r\n{differing}\r\n{hidden}"), 400).await;
-    assert!(server.untouched().await, "passed on");
+    assert!(server.has_no_connection().await, "passed on");
 }
 
 /// Chunks alone are fine. What comes behind them is not read as a request: the connection ends.
@@ -44,8 +44,8 @@
     assert_eq!(request.body, b"abc");
     wire.answer("200 OK", "", "served").await;
     assert_eq!(client.read().await.expect("an answer").body, b"served");
-    client.ended().await;
-    assert!(server.untouched().await, "read on");
+    client.wait_closed().await;
+    assert!(server.has_no_connection().await, "read on");
 }
 
 /// A length that is no number, that does not fit what has come, or that is more than a node takes is answered as soon as
@@ -62,7 +62,7 @@
     turned_down(&node, &text, 400).await;
     turned_down(&node, &format!("{HEAD}X-Long: {}", "a".repeat(1 << 20)), 431).await;
     turned_down(&node, &format!("{HEAD}{}", "X-Many: 1\r\n".repeat(500)), 431).await;
-    assert!(server.untouched().await, "passed on");
+    assert!(server.has_no_connection().await, "passed on");
 }
 
 /// The id of a request that is open, or that a server may still be working on, is no new request's: the server would take
@@ -73,9 +73,9 @@
     // Without probes, each connection brings a request of the test's own, and each request a connection of its own.
     let mut settings = settings();
     settings["limits"]["may_probe"] = false.into();
-    let (node, _discovery, _watch) = Node::serving_under(settings, &[("s", &server)]).await;
+    let (node, _discovery, _watch) = Node::serving_with_settings(settings, &[("s", &server)]).await;
     let mut first = node.client().await;
-    first.send_as("same", "unsafe", "20000m").await;
+    first.send_with_id("same", "unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     let second = format!("{HEAD}X-Request-ID: same\r\nContent-Length: 0\r\n\r\n");
     turned_down(&node, &second, 409).await;
@@ -83,11 +83,11 @@
     assert_eq!(first.read().await.expect("an answer").body, b"first");
 
     let mut leaving = node.client().await;
-    leaving.send_as("left", "unsafe", "20000m").await;
+    leaving.send_with_id("left", "unsafe", "20000m").await;
     let (mut wire, request) = server.request().await;
     assert_eq!(request.header("x-request-id"), Some("left"));
     // It may have run: so it is told.
-    let told = leaving.hang_up().await;
+    let told = leaving.shutdown_and_read().await;
     assert!(told.starts_with("HTTP/1.1 504 "), "{told}");
     turned_down(&node, &second.replace("same", "left"), 409).await;
     wire.answer("200 OK", "", "").await;
@@ -106,8 +106,8 @@
     assert_eq!(kept.read().await.expect("an answer").status(), 200);
     let body = format!("{HEAD}X-Request-ID: r\r\nContent-Length: 9\r\n\r\nhalf");
     tokio::join!(
-        silent.closed(),
-        kept.closed(),
+        silent.expect_closed(),
+        kept.expect_closed(),
         turned_down(&node, "POST /unsafe HTT", 408),
         turned_down(&node, &body, 408),
     );
@@ -117,7 +117,7 @@
 #[tokio::test]
 async fn a_silent_crowd_pushes_nobody_out() {
     let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving_within(64, settings(), &[("s", &server)]).await;
+    let (node, _discovery, _watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
     let serving = tokio::spawn(async move {
         let mut wires = tokio::task::JoinSet::new();
         loop {
@@ -132,17 +132,17 @@
     // Kept from before the crowd. In it, a connection is given up after each answer.
     let mut usual = node.client().await;
     let began = std::time::Instant::now();
-    assert_eq!(usual.ask("unsafe").await.expect("an answer").status(), 200);
+    assert_eq!(usual.round_trip("unsafe").await.expect("an answer").status(), 200);
     let mut crowd = Vec::new();
     for k in 0..200 {
         crowd.push(node.client().await);
         if k % 20 == 0 {
-            assert_eq!(node.client().await.ask("unsafe").await.expect("an answer").status(), 200);
+            assert_eq!(node.client().await.round_trip("unsafe").await.expect("an answer").status(), 200);
         }
     }
     // A machine too busy to come here within the time for which it is kept shows nothing.
     if began.elapsed().as_millis() < 1500 {
-        assert_eq!(usual.ask("unsafe").await.expect("its connection is kept").status(), 200);
+        assert_eq!(usual.round_trip("unsafe").await.expect("its connection is kept").status(), 200);
     }
     assert!(node.descriptors() <= 64);
     serving.abort();
@@ -153,15 +153,15 @@
 #[tokio::test]
 async fn clients_that_ask_once_keep_nobody_out() {
     let discovery = Peer::new().await;
-    let node = Node::with(&discovery, settings(), 64).await;
+    let node = Node::start(&discovery, settings(), 64).await;
     let (mut watch, _) = discovery.watch().await;
     watch.list(1, true, &[]).await;
-    node.holds(1).await;
+    node.wait_for_list(1).await;
     let mut kept = Vec::new();
     let began = std::time::Instant::now();
     for _ in 0..400 {
         let mut client = node.client().await;
-        assert_eq!(client.ask("unsafe").await.expect("an answer").status(), 503);
+        assert_eq!(client.round_trip("unsafe").await.expect("an answer").status(), 503);
         kept.push(client);
     }
     // Closing only what has been idle for two seconds would let in 16 in that time: 50 s for all.
@@ -183,8 +183,8 @@
         assert_eq!(client.read().await.expect("an answer").body, id.as_bytes());
     }
     assert_eq!(client.read().await.expect("an answer").status(), 400);
-    client.ended().await;
-    assert!(server.untouched().await, "read on");
+    client.wait_closed().await;
+    assert!(server.has_no_connection().await, "read on");
 }
 
 /// Two headers of a kind that counts once, figures that are none and methods that don't go with the class are malformed.
@@ -205,7 +205,7 @@
     {
         turned_down(&node, &format!("{}X-Request-ID: a\r\n\r\n", HEAD.replacen(from, to, 1)), status).await;
     }
-    assert!(server.untouched().await, "passed on");
+    assert!(server.has_no_connection().await, "passed on");
     let answer = node.get("/health/live").await;
     assert_eq!((answer.status(), answer.header("connection")), (200, None));
 }
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -17,7 +17,7 @@
 
 /// A client's connection on which one request was answered. The server's own connection ends with that answer: one that
 /// stays would be used again for the next request, instead of a new one.
-async fn resting(node: &Node, server: &Peer) -> Wire {
+async fn resting(node: &Node, server: &Peer) -> Connection {
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
@@ -55,8 +55,8 @@
         assert_eq!((answer.status(), answer.body.as_slice()), (200, id.as_bytes()));
         assert_eq!(answer.header("connection"), connection, "{id}");
     }
-    client.closed().await;
-    assert!(node.exited().await.success());
+    client.expect_closed().await;
+    assert!(node.wait_for_exit().await.success());
 }
 
 /// Half of a request has come when the node is told to end, the rest while it still accepts.
@@ -71,7 +71,7 @@
     rested.write(&whole[0][..cut]).await;
     fresh.write(&whole[1][..40]).await;
     node.signal("TERM").await;
-    node.logged("leaving").await;
+    node.wait_for_log("leaving").await;
     rested.write(&whole[0][cut..]).await;
     fresh.write(&whole[1][40..]).await;
     let (one, two) = (server.request().await, server.request().await);
@@ -80,9 +80,9 @@
     }
     for mut client in [rested, fresh] {
         assert_eq!(client.read().await.expect("an answer").status(), 200);
-        client.closed().await;
+        client.expect_closed().await;
     }
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 }
 
 /// The rest of a request never comes: its client is told that the node ends, wherever it stopped.
@@ -102,10 +102,10 @@
     for client in [&mut in_head, &mut in_body, &mut first_head] {
         let answer = client.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
-        client.closed().await;
+        client.expect_closed().await;
     }
-    assert!(node.exited().await.success());
-    assert!(server.untouched().await, "sent on");
+    assert!(node.wait_for_exit().await.success());
+    assert!(server.has_no_connection().await, "sent on");
 }
 
 /// A whole request and the signal reach the node in the same moment.
@@ -128,7 +128,7 @@
         let answer = client.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 }
 
 /// Requests on a resting connection and on one that waits to be accepted come in the moment in which the node closes what
@@ -139,7 +139,7 @@
     let (mut node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = resting(&node, &server).await;
     node.signal("TERM").await;
-    node.logged("leaving").await;
+    node.wait_for_log("leaving").await;
     node.signal("STOP").await;
     client.send("unsafe", "20000m").await;
     let mut fresh = node.client().await;
@@ -154,7 +154,7 @@
     for client in [&mut client, &mut fresh] {
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 }
 
 /// A server hangs with a request whose deadline lies beyond what the platform waits: the client is answered before the
@@ -172,8 +172,8 @@
     // Were the machine slower than that, nothing would be shown: the platform's clock is what counts.
     assert!(signalled.elapsed() < Duration::from_millis(3700), "after {:?}", signalled.elapsed());
     assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")));
-    wire.closed().await;
-    assert!(node.exited().await.success());
+    wire.expect_closed().await;
+    assert!(node.wait_for_exit().await.success());
 }
 
 /// An answer of which half was passed on goes on to its end.
@@ -190,9 +190,9 @@
     node.signal("TERM").await;
     takes_no_more(&node).await;
     wire.write(&half).await;
-    let rest = client.rest().await;
+    let rest = client.read_to_end().await;
     assert!(rest.ends_with(half.as_bytes()) && rest.len() > 2 * half.len(), "{} bytes", rest.len());
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 }
 
 /// A client goes on sending on its connection for as long as that stays open: what the server sees is what was answered.
@@ -215,12 +215,12 @@
     let (mut answered, mut sent) = (1, 1);
     loop {
         sent += 1;
-        client.write_what_is_taken(&request(&format!("n{sent}"), "unsafe", "")).await;
+        client.write_until_closed(&request(&format!("n{sent}"), "unsafe", "")).await;
         let Some(answer) = client.read().await else { break };
         assert_eq!(answer.status(), 200);
         answered += 1;
     }
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
     assert_eq!(serving.await.expect("a server"), answered, "of {sent} sent");
 }
 
@@ -234,10 +234,10 @@
     node.get("/health/live").await;
     let signalled = std::time::Instant::now();
     node.signal("TERM").await;
-    rested.closed().await;
-    silent.closed().await;
+    rested.expect_closed().await;
+    silent.expect_closed().await;
     drop((rested, silent));
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
     assert!(signalled.elapsed() < Duration::from_secs(3), "it waited {:?}", signalled.elapsed());
 }
 
@@ -250,10 +250,10 @@
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     node.signal("TERM").await;
-    node.logged("leaving").await;
+    node.wait_for_log("leaving").await;
     node.reconfigure("settings", json!({})).await;
-    node.logged("the configuration stays as it is").await;
+    node.wait_for_log("the configuration stays as it is").await;
     wire.answer("200 OK", "Connection: close\r\n", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 }
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -11,13 +11,13 @@
 async fn drops_all(node: &Node, discovery: &Peer, revision: u64) -> Watch {
     let (mut watch, _) = discovery.watch().await;
     watch.list(revision, true, &[]).await;
-    node.holds(revision).await;
+    node.wait_for_list(revision).await;
     watch
 }
 
 async fn is_refused(node: &Node, server: &Peer) {
-    assert_eq!(node.client().await.ask("unsafe").await.expect("an answer").status(), 503);
-    assert!(server.untouched().await, "sent to a server that is gone");
+    assert_eq!(node.client().await.round_trip("unsafe").await.expect("an answer").status(), 503);
+    assert!(server.has_no_connection().await, "sent to a server that is gone");
 }
 
 /// A watch that breaks in some way, and is opened anew in time.
@@ -25,7 +25,7 @@
     let server = Peer::new().await;
     let mut settings = settings();
     settings["registry_mode"] = told;
-    let (node, discovery, watch) = Node::serving_under(settings, &[("s", &server)]).await;
+    let (node, discovery, watch) = Node::serving_with_settings(settings, &[("s", &server)]).await;
     let began = Instant::now();
     breaks(&discovery, watch).await;
     let _watch = drops_all(&node, &discovery, 2).await;
@@ -41,7 +41,7 @@
 #[tokio::test]
 async fn a_watch_that_falls_silent_at_once() {
     for mode in MODES {
-        is_opened_anew(json!(mode), async |_, mut watch| watch.0.closed().await).await;
+        is_opened_anew(json!(mode), async |_, mut watch| watch.0.expect_closed().await).await;
     }
 }
 
@@ -55,9 +55,9 @@
         watch.line("").await;
         tokio::time::sleep(Duration::from_secs(2)).await;
     }
-    assert!(discovery.untouched().await, "it is well, and was opened anew");
+    assert!(discovery.has_no_connection().await, "it is well, and was opened anew");
     let silent = Instant::now();
-    watch.0.closed().await;
+    watch.0.expect_closed().await;
     let _watch = drops_all(&node, &discovery, 2).await;
     assert!(silent.elapsed() < TOLD, "told after {:?}", silent.elapsed());
     is_refused(&node, &server).await;
@@ -68,7 +68,7 @@
     for mode in MODES {
         is_opened_anew(json!(mode), async |_, mut watch| {
             watch.0.write("1e\r\n{\"revision\":2,\"complete\":tr\r\n").await;
-            watch.0.closed().await;
+            watch.0.expect_closed().await;
         })
         .await;
     }
@@ -81,7 +81,7 @@
         watch.0.write("e\r\n{\"revision\":2,\r\n").await;
         tokio::spawn(async move {
             loop {
-                watch.0.write_what_is_taken("1\r\n \r\n").await;
+                watch.0.write_until_closed("1\r\n \r\n").await;
                 tokio::time::sleep(Duration::from_millis(300)).await;
             }
         });
@@ -109,7 +109,7 @@
 async fn a_watch_that_falls_silent_and_calls_that_are_refused() {
     for mode in MODES {
         is_opened_anew(json!(mode), async |discovery, mut watch| {
-            watch.0.closed().await;
+            watch.0.expect_closed().await;
             for _ in 0..2 {
                 let (mut wire, _) = discovery.request().await;
                 wire.answer("503 Service Unavailable", "", "").await;
@@ -142,14 +142,14 @@
 async fn lists_may_be_indented() {
     let server = Peer::new().await;
     let discovery = Peer::new().await;
-    let node = Node::with(&discovery, settings(), 1024).await;
+    let node = Node::start(&discovery, settings(), 1024).await;
     let (mut watch, _) = discovery.watch().await;
     let list = json!({"revision": 1, "complete": true, "members": [member("s", server.address(), "active")]});
     let text = serde_json::to_string_pretty(&list).expect("a list");
     for line in text.lines() {
         watch.line(line).await;
     }
-    node.holds(1).await;
+    node.wait_for_list(1).await;
     assert_eq!(node.get("/health/ready").await.status(), 200);
 }
 
@@ -167,9 +167,9 @@
     wire.answer("200 OK", "", &list.to_string()).await;
     let late = json!({"revision": 9, "complete": true, "members": [member("s", server.address(), "active")]});
     let late = late.to_string();
-    watch.0.write_what_is_taken(&format!("{:x}\r\n{late}\n\r\n", late.len() + 1)).await;
+    watch.0.write_until_closed(&format!("{:x}\r\n{late}\n\r\n", late.len() + 1)).await;
     node.signal("CONT").await;
-    node.holds(3).await;
+    node.wait_for_list(3).await;
     is_refused(&node, &server).await;
 }
 
@@ -183,7 +183,7 @@
     let (_silent, _) = new.request().await;
     let (mut wire, _) = new.request().await;
     wire.answer("200 OK", "", "{\"revision\":5,\"complete\":true,\"members\":[]}").await;
-    node.holds(5).await;
+    node.wait_for_list(5).await;
     assert!(moved.elapsed() < Duration::from_secs(4), "told after {:?}", moved.elapsed());
     is_refused(&node, &server).await;
     drop(watch);
@@ -194,7 +194,7 @@
 #[tokio::test]
 async fn idle_clients_leave_room_for_calls_to_discovery() {
     let server = Peer::new().await;
-    let (node, discovery, watch) = Node::serving_within(64, settings(), &[("s", &server)]).await;
+    let (node, discovery, watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
     drop(watch);
     let mut idle = Vec::new();
     for _ in 0..120 {
@@ -206,7 +206,7 @@
     }
     let (mut watch, _) = discovery.watch().await;
     watch.list(2, false, &[member("s", server.address(), "leaving")]).await;
-    node.holds(2).await;
+    node.wait_for_list(2).await;
     is_refused(&node, &server).await;
 }
 
@@ -216,7 +216,7 @@
     let server = Peer::new().await;
     for mode in MODES {
         for deed in ["silent", "refusing", "gone"] {
-            let discovery = if deed == "gone" { Peer::gone().await } else { Peer::new().await };
+            let discovery = if deed == "gone" { Peer::unreachable().await } else { Peer::new().await };
             let mut settings = settings();
             settings["registry_mode"] = json!(mode);
             let known = json!({"revision": 4, "complete": true,
@@ -225,7 +225,7 @@
                 "name": "n", "listen": "127.0.0.1:0", "discovery": discovery.address().to_string(), "seed": "1f",
                 "limits": {"sockets": 256, "memory_mb": MEMORY_MB}, "settings": settings, "known": known,
             });
-            let node = Node::told(config, &[]).await;
+            let node = Node::with_config(config, &[]).await;
             assert_eq!(node.get("/health/ready").await.status(), 200, "{mode}, {deed}");
             let calls = async {
                 if deed != "gone" {
--- a/node/tests/thrift.rs
+++ b/node/tests/thrift.rs
@@ -57,7 +57,7 @@
     Said { kind: header.kind, name: header.name.to_owned(), seqid: header.seqid, text, number }
 }
 
-async fn next(wire: &mut Wire) -> Said {
+async fn next(wire: &mut Connection) -> Said {
     said(&wire.frame().await.expect("a message"))
 }
 
@@ -104,24 +104,24 @@
             "limits": {"sockets": 1024, "memory_mb": 64}, "settings": settings(),
         });
         let path = file.path().to_str().expect("a path");
-        let mut node = Node::told(config, &[("GW_OPERATOR", path)]).await;
-        let line = node.logged("thrift orders: listening on ").await;
+        let mut node = Node::with_config(config, &[("GW_OPERATOR", path)]).await;
+        let line = node.wait_for_log("thrift orders: listening on ").await;
         let address = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
         let (http_watch, _) = http.watch().await;
         let (mut watch, _) = thrift.watch().await;
         let members: Vec<_> = servers.iter().map(|s| member(s.0, s.1.address(), "active")).collect();
         watch.list(1, true, &members).await;
-        node.logged("thrift orders: holds a list").await;
+        node.wait_for_log("thrift orders: holds a list").await;
         Shop { node, address, discoveries: (http, http_watch, thrift, watch), _file: file }
     }
 
-    async fn client(&self) -> Wire {
-        Wire::connect(self.address).await
+    async fn client(&self) -> Connection {
+        Connection::connect(self.address).await
     }
 }
 
 /// The server that is called, whichever it is, and the other one.
-async fn called<'a>(one: &'a Peer, two: &'a Peer) -> (Wire, &'a Peer) {
+async fn called<'a>(one: &'a Peer, two: &'a Peer) -> (Connection, &'a Peer) {
     tokio::select! {
         wire = one.accept() => (wire, two),
         wire = two.accept() => (wire, one),
@@ -228,9 +228,9 @@
         assert_eq!((answer.kind, answer.seqid), (MessageType::Exception, seqid), "{what}");
         assert_eq!(answer.number, Some(ExceptionType::InternalError as i64), "{what}: {answer:?}");
         assert!(answer.text.starts_with("failed: "), "{what}: {answer:?}");
-        assert!(other.untouched().await, "{what}: sent again");
+        assert!(other.has_no_connection().await, "{what}: sent again");
         if !what.contains("exception") {
-            wire.ended().await; // Nothing more is sent over it.
+            wire.wait_closed().await; // Nothing more is sent over it.
         }
     }
 }
@@ -256,8 +256,8 @@
     let answer = next(&mut client).await;
     assert_eq!((answer.seqid, answer.number), (5, Some(ExceptionType::Unknown as i64)));
     assert!(answer.text.starts_with("timed out: "), "{answer:?}");
-    assert!(other.untouched().await, "sent again");
-    wire.closed().await;
+    assert!(other.has_no_connection().await, "sent again");
+    wire.expect_closed().await;
 }
 
 /// An exception that the operator lists proves that nothing ran: even an unsafe call goes on to another server.
@@ -286,7 +286,7 @@
 /// A refusal says that nothing ran and how long to wait.
 #[tokio::test]
 async fn a_refusal_says_how_long_to_wait() {
-    let shop = Shop::new(&[("s", &Peer::gone().await)], "").await;
+    let shop = Shop::new(&[("s", &Peer::unreachable().await)], "").await;
     let mut client = shop.client().await;
     client.write_bytes(&call("buy", 9, "order")).await;
     let answer = next(&mut client).await;
@@ -304,7 +304,7 @@
     let mut wire = server.accept().await;
     let first = next(&mut wire).await;
     assert_eq!(first.text, "first");
-    assert!(server.untouched().await, "the second went out beside the first");
+    assert!(server.has_no_connection().await, "the second went out beside the first");
     wire.write_bytes(&reply("buy", first.seqid, "first")).await;
     assert_eq!(next(&mut client).await.text, "first");
     let second = next(&mut wire).await;
@@ -352,8 +352,8 @@
     let mut wire = server.accept().await;
     let first = next(&mut wire).await;
     assert_eq!(first.text, "first");
-    client.end_sending().await;
-    client.closed().await; // It has been noticed.
+    client.shutdown_write().await;
+    client.expect_closed().await; // It has been noticed.
     wire.write_bytes(&reply("buy", first.seqid, "first")).await;
     let mut other = shop.client().await;
     other.write_bytes(&call("buy", 4, "another's")).await;
@@ -375,7 +375,7 @@
     client.write_bytes(&unknown).await;
     let answer = next(&mut client).await;
     assert_eq!((answer.seqid, answer.number), (3, Some(ExceptionType::InvalidMessageType as i64)));
-    client.closed().await; // Its sending has ended; it still reads.
+    client.expect_closed().await; // Its sending has ended; it still reads.
     client.write_bytes(b"late").await;
     client.write_bytes(b"later").await; // After a reset this could not be written.
 }
@@ -411,7 +411,7 @@
     assert_eq!(next(&mut client).await.text, "one");
     drop(wire);
     shop.node.signal("TERM").await;
-    shop.node.logged("leaving").await;
+    shop.node.wait_for_log("leaving").await;
     shop.node.signal("STOP").await;
     client.write_bytes(&call("buy", 2, "order")).await;
     let mut fresh = shop.client().await;
@@ -426,11 +426,11 @@
     for client in [&mut client, &mut fresh] {
         assert_eq!(next(client).await.text, "served");
     }
-    assert!(shop.node.exited().await.success());
+    assert!(shop.node.wait_for_exit().await.success());
 }
 
 /// Answers the call that comes next.
-async fn answer_next(wire: &mut Wire, text: &str) {
+async fn answer_next(wire: &mut Connection, text: &str) {
     let got = next(wire).await;
     wire.write_bytes(&reply("buy", got.seqid, text)).await;
 }
@@ -489,7 +489,7 @@
             }
         }
     };
-    async fn echo(mut wire: Wire) {
+    async fn echo(mut wire: Connection) {
         while let Some(bytes) = wire.frame().await {
             let got = said(&bytes);
             wire.write_bytes(&reply("buy", got.seqid, &got.text)).await;
@@ -578,13 +578,13 @@
         client.write_bytes(&bytes).await;
         let answer = next(&mut client).await;
         assert_eq!((answer.seqid, answer.number), (3, Some(kind as i64)), "{answer:?}");
-        client.ended().await;
+        client.wait_closed().await;
     }
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 16], &[0x7f; 16], b"\0\0\0\x05\x80\x01\x00\x09\x00"]
     {
         let mut client = shop.client().await;
         client.write_bytes(bytes).await;
-        client.ended().await;
+        client.wait_closed().await;
     }
     // These are calls, but none that is served: the connection goes on.
     let mut client = shop.client().await;
@@ -596,13 +596,13 @@
         let answer = next(&mut client).await;
         assert_eq!((answer.seqid, answer.number, answer.text.as_str()), (5, Some(kind as i64), text));
     }
-    assert!(server.untouched().await, "passed on");
+    assert!(server.has_no_connection().await, "passed on");
 }
 
 /// A oneway of which only a part went out may have been taken for whole by nobody knows whom: it is not sent again.
 #[tokio::test]
 async fn a_oneway_written_in_part_goes_nowhere_else() {
-    let (one, two) = (Peer::narrow(), Peer::narrow());
+    let (one, two) = (Peer::with_small_buffer(), Peer::with_small_buffer());
     let large = "message_kb = 3000\nmemory_mb = 8\nconnections = 2";
     let shop = Shop::with(&[("one", &one), ("two", &two)], large, "connections = 4").await;
     let mut client = shop.client().await;
@@ -619,7 +619,7 @@
     assert_eq!((got.name.as_str(), got.text.as_str()), ("buy", "order"));
     wire.write_bytes(&reply("buy", got.seqid, "done")).await;
     assert_eq!(next(&mut client).await.text, "done");
-    assert!(other.untouched().await, "sent again");
+    assert!(other.has_no_connection().await, "sent again");
 }
 
 /// A restart told by the list ends the connections made before, at the same address too.
@@ -636,7 +636,7 @@
     let mut entry = member("s", server.address(), "active");
     entry["up_since_ms"] = json!(1_700_000_000_000u64);
     shop.discoveries.3.list(2, false, &[entry]).await;
-    old.closed().await;
+    old.expect_closed().await;
     client.write_bytes(&call("buy", 2, "after")).await;
     let mut fresh = server.accept().await;
     let got = next(&mut fresh).await;
@@ -654,8 +654,8 @@
     let mut silent = shop.client().await;
     let mut endless = shop.client().await;
     endless.write_bytes(&call("buy", 1, "order")[..20]).await;
-    silent.closed().await;
-    endless.closed().await;
+    silent.expect_closed().await;
+    endless.expect_closed().await;
     let mut crowd = Vec::new();
     for _ in 0..12 {
         crowd.push(shop.client().await);
@@ -768,12 +768,12 @@
     let mut wire = server.accept().await;
     let got = next(&mut wire).await;
     shop.node.signal("TERM").await;
-    shop.node.logged("leaving").await;
+    shop.node.wait_for_log("leaving").await;
     tokio::time::sleep(std::time::Duration::from_millis(700)).await;
     wire.write_bytes(&reply("buy", got.seqid, "done")).await;
     assert_eq!(next(&mut client).await.text, "done");
-    client.ended().await;
-    assert!(shop.node.exited().await.success());
+    client.wait_closed().await;
+    assert!(shop.node.wait_for_exit().await.success());
 }
 
 /// A bad operator's file is told in one line, before anything is started.
@@ -812,7 +812,7 @@
             "listen": "127.0.0.1:0", "discovery": discovery.address().to_string(), "seed": "1f", "settings": settings(),
         });
         let path = file.path().to_str().expect("a path");
-        let (process, _config) = start_with(&config.to_string(), &[("GW_OPERATOR", path)]);
+        let (process, _config) = start_with_env(&config.to_string(), &[("GW_OPERATOR", path)]);
         let output = within("its end", process.wait_with_output()).await.expect("its output");
         let said = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{text}");
--- a/node/tests/thrift_interop.rs
+++ b/node/tests/thrift_interop.rs
@@ -105,7 +105,7 @@
 
 /// Serves for as long as the test runs: one thread for each connection.
 fn serve(dialect: Dialect) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
-    let listener = TcpListener::bind(own_address()).expect("a port");
+    let listener = TcpListener::bind(unique_address()).expect("a port");
     let address = listener.local_addr().expect("an address");
     let ran = Arc::new(Mutex::new(Vec::new()));
     let processor = Arc::new(ShopSyncProcessor::new(Handler(ran.clone())));
@@ -205,12 +205,12 @@
             "limits": {"sockets": 1024, "memory_mb": 64}, "settings": settings(),
         });
         let path = file.path().to_str().expect("a path");
-        let mut node = Node::told(config, &[("GW_OPERATOR", path)]).await;
-        let line = node.logged("thrift orders: listening on ").await;
+        let mut node = Node::with_config(config, &[("GW_OPERATOR", path)]).await;
+        let line = node.wait_for_log("thrift orders: listening on ").await;
         let front = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
         let (mut watch, _) = thrift.watch().await;
         watch.list(1, true, &[member("s", address, "active")]).await;
-        node.logged("thrift orders: holds a list").await;
+        node.wait_for_log("thrift orders: holds a list").await;
         for clients in [FramedBinary, FramedCompact, Binary, Compact] {
             let seen = tokio::task::spawn_blocking(move || play(front, clients));
             let seen = within("the mix", seen).await.expect("no panic");
--- a/node/tests/tuner.rs
+++ b/node/tests/tuner.rs
@@ -2,8 +2,8 @@
 
 use birchswitch_standin::process::{block_on, node_binary};
 use birchswitch_standin::rig::history::History;
-use birchswitch_standin::rig::load::{Load, Order, Rate};
-use birchswitch_standin::rig::site::{Habits, Site};
+use birchswitch_standin::rig::load::{Load, NodeLoad, RequestSpec};
+use birchswitch_standin::rig::site::{ServerBehavior, Site};
 use birchswitch_standin::rig::{limits, LeasePlan, Plan, Rig};
 use birchswitch_standin::script::Script;
 use std::cell::Cell;
@@ -14,8 +14,13 @@
 
 const NODES: usize = 4;
 const SERVERS: usize = 6;
-const FINE: Habits = Habits { takes: Duration::from_millis(8), errs: 0, stumbles: 20, tells: 0.5 };
-const TAIL: Habits = Habits { stumbles: 350, ..FINE };
+const FINE: ServerBehavior = ServerBehavior {
+    service_time: Duration::from_millis(8),
+    error_permille: 0,
+    slow_permille: 20,
+    reported_load: 0.5,
+};
+const TAIL: ServerBehavior = ServerBehavior { slow_permille: 350, ..FINE };
 
 fn on_a_set<T>(test: impl Future<Output = T>) -> T {
     block_on(test).expect("a runtime")
@@ -23,7 +28,7 @@
 
 async fn open(drill: &str) -> (Rig, Site, Load) {
     let site = Site::start(SERVERS, FINE).await.expect("servers");
-    site.behave(0, TAIL);
+    site.set_behavior(0, TAIL);
     let mut script = Script::parse("0s wire lose 0", 0, NODES).expect("a script");
     script.seed = 1;
     let operator = format!("[tuner]\nlook = \"1s\"\nttl = \"4s\"\npercentile = 92.0\n{drill}\n");
@@ -39,15 +44,15 @@
         ..Plan::new(node_binary().expect("this program's path"), NODES, script)
     };
     let rig = Rig::start(plan).await.expect("a rig");
-    rig.agreed(Duration::from_secs(60)).await.expect("one membership");
-    let order = Order { class: "safe".into(), tenant: "one".into(), key: None, cost: None };
-    let rate = || Rate { per_s: Rc::new(Cell::new(60.0)), orders: vec![order.clone()] };
-    let load = Load::start((0..NODES).map(|_| rate()).collect(), rig.fronts());
+    rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
+    let order = RequestSpec { class: "safe".into(), tenant: "one".into(), key: None, cost: None };
+    let rate = || NodeLoad { per_s: Rc::new(Cell::new(60.0)), requests: vec![order.clone()] };
+    let load = Load::start((0..NODES).map(|_| rate()).collect(), rig.client_addresses());
     (rig, site, load)
 }
 
 async fn until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) {
-    rig.until(what, Duration::from_secs(180), holds, |_| "nothing".to_owned()).await.expect("in time");
+    rig.wait_until(what, Duration::from_secs(180), holds, |_| "nothing".to_owned()).await.expect("in time");
 }
 
 fn count(history: &History, kind: &str) -> usize {
@@ -58,7 +63,7 @@
 async fn share(site: &Site, server: usize, seconds: u64) -> f64 {
     let before = site.count();
     sleep(Duration::from_secs(seconds)).await;
-    let seen = site.seen().split_off(before);
+    let seen = site.received().split_off(before);
     seen.iter().filter(|s| s.server == server).count() as f64 / seen.len() as f64 * SERVERS as f64
 }
 
--- a/node/tests/verdicts.rs
+++ b/node/tests/verdicts.rs
@@ -3,8 +3,8 @@
 
 use birchswitch_standin::process::{block_on, node_binary};
 use birchswitch_standin::rig::history::History;
-use birchswitch_standin::rig::load::{Load, Order, Rate};
-use birchswitch_standin::rig::site::{Habits, Site};
+use birchswitch_standin::rig::load::{Load, NodeLoad, RequestSpec};
+use birchswitch_standin::rig::site::{ServerBehavior, Site};
 use birchswitch_standin::rig::{limits, LeasePlan, Plan, Rig};
 use birchswitch_standin::script::Script;
 use std::cell::Cell;
@@ -17,8 +17,13 @@
 const SEED: u64 = 1;
 const NODES: usize = 6;
 const SERVERS: usize = 8;
-const FINE: Habits = Habits { takes: Duration::from_millis(10), errs: 0, stumbles: 0, tells: 0.5 };
-const BAD: Habits = Habits { errs: 1000, ..FINE };
+const FINE: ServerBehavior = ServerBehavior {
+    service_time: Duration::from_millis(10),
+    error_permille: 0,
+    slow_permille: 0,
+    reported_load: 0.5,
+};
+const BAD: ServerBehavior = ServerBehavior { error_permille: 1000, ..FINE };
 
 struct Court {
     rig: Rig,
@@ -47,17 +52,17 @@
         ..Plan::new(node_binary().expect("this program's path"), NODES, script)
     };
     let rig = Rig::start(plan).await.expect("a rig");
-    rig.agreed(Duration::from_secs(60)).await.expect("one membership");
-    let order = Order { class: "safe".into(), tenant: "one".into(), key: None, cost: None };
-    let rate = || Rate { per_s: Rc::new(Cell::new(15.0)), orders: vec![order.clone()] };
-    let load = Load::start((0..NODES).map(|_| rate()).collect(), rig.fronts());
+    rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
+    let order = RequestSpec { class: "safe".into(), tenant: "one".into(), key: None, cost: None };
+    let rate = || NodeLoad { per_s: Rc::new(Cell::new(15.0)), requests: vec![order.clone()] };
+    let load = Load::start((0..NODES).map(|_| rate()).collect(), rig.client_addresses());
     until(&rig, "a judge", |h| count(h, "judges") > 0).await;
     sleep(Duration::from_secs(2)).await;
     Court { rig, site, _load: load }
 }
 
 async fn until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) -> Duration {
-    rig.until(what, Duration::from_secs(40), holds, |_| "nothing".to_owned()).await.expect("in time")
+    rig.wait_until(what, Duration::from_secs(40), holds, |_| "nothing".to_owned()).await.expect("in time")
 }
 
 fn count(history: &History, kind: &str) -> usize {
@@ -74,7 +79,7 @@
 async fn shares(site: &Site, seconds: u64) -> Vec<f64> {
     let before = site.count();
     sleep(Duration::from_secs(seconds)).await;
-    let seen = site.seen().split_off(before);
+    let seen = site.received().split_off(before);
     let at = |n| seen.iter().filter(|s| s.server == n).count() as f64;
     (0..SERVERS).map(|n| at(n) / seen.len() as f64 * SERVERS as f64).collect()
 }
@@ -83,7 +88,7 @@
 fn a_server_that_fails_is_withheld_by_all_and_let_in_again_by_degrees() {
     on_a_set(async {
         let court = open("", false).await;
-        court.site.behave(0, BAD);
+        court.site.set_behavior(0, BAD);
         let took = until(&court.rig, "a verdict", |h| count(h, "condemned") > 0).await;
         let all =
             until(&court.rig, "all to obey", |h| withheld(h).values().filter(|n| **n > 0).count() == NODES)
@@ -91,7 +96,7 @@
         let shares_now = shares(&court.site, 3).await;
         println!("condemned after {took:?}, obeyed by all {all:?} later; shares {shares_now:.2?}");
         assert!(shares_now[0] < 0.25, "{shares_now:.2?}");
-        assert!(court.site.seen().iter().rev().take(600).any(|s| s.server == 0), "a trickle always");
+        assert!(court.site.received().iter().rev().take(600).any(|s| s.server == 0), "a trickle always");
         // Its judge dies: another takes up the matter, and meanwhile nobody obeys what is older than its end.
         let judge =
             court.rig.history().lines.iter().rev().find(|l| l.kind == "judges").map_or(0, |l| l.place);
@@ -99,7 +104,7 @@
         let mut court = court;
         court.rig.kill(judge).await.expect("killed");
         until(&court.rig, "another judge", |h| count(h, "judges") > judges).await;
-        court.site.behave(0, FINE);
+        court.site.set_behavior(0, FINE);
         until(&court.rig, "all to let it in", |h| {
             withheld(h).iter().all(|(place, n)| *n == 0 || *place == judge)
         })
@@ -115,7 +120,7 @@
         let mut court = open("", true).await;
         let script = Script::parse("0s wire cut n5 servers\n8s wire heal\n9s wire lose 0", 0, NODES)
             .expect("a script");
-        court.rig.rescript(script);
+        court.rig.set_script(script);
         court.rig.play(|_| ()).await.expect("played");
         assert_eq!(count(&court.rig.history(), "condemned"), 0);
         court.rig.close().await.expect("the end");
@@ -126,7 +131,7 @@
 fn a_release_that_breaks_all_condemns_nobody() {
     on_a_set(async {
         let court = open("", false).await;
-        (0..SERVERS).for_each(|n| court.site.behave(n, Habits { errs: 600, ..FINE }));
+        (0..SERVERS).for_each(|n| court.site.set_behavior(n, ServerBehavior { error_permille: 600, ..FINE }));
         sleep(Duration::from_secs(8)).await;
         assert_eq!(count(&court.rig.history(), "condemned"), 0);
         court.rig.close().await.expect("the end");
