--- a/crates/http/src/body/mod.rs
+++ b/crates/http/src/body/mod.rs
@@ -1,15 +1,17 @@
-//! Bodies: held whole while they are small, passed on as they come where they are not.
+//! Message bodies: small ones are read completely before they are forwarded, larger ones are streamed.
 //!
-//! A request's large body ([`Upload`]) comes once. What has come is kept for a further attempt as long as all kept bodies
-//! together have [`BufferBudget`]; once some of it is forgotten there is none, since nothing could be sent from the start.
+//! A large request body ([`Upload`]) is received once. The received part is retained for further attempts as long as the
+//! [`BufferBudget`] shared by all retained bodies allows. Once some of it is discarded there are no further attempts,
+//! since the body can't be sent from the start any more.
 //!
-//! | body | attempts | what a broken attempt comes to |
+//! | body | attempts | result of a broken attempt |
 //! | --- | --- | --- |
-//! | whole, at most [`HELD`] | as the decisions say | as the rules say |
-//! | larger, all of it kept so far | the same | never ran if its last byte was not out |
-//! | larger, some forgotten | no further one | the same: refused if it surely never ran, else failed |
+//! | complete, at most [`WHOLE_BODY_LIMIT`] | as decided by the engine | as the rules say |
+//! | larger, all of it retained so far | the same | never ran if its last byte was not sent |
+//! | larger, some of it discarded | no further one | the same: refused if it certainly never ran, else failed |
 //!
-//! An answer's large body ([`StreamedBody`]) goes to the client as it comes, and leaves its server as fast as there is room for it; its first bytes make the request served.
+//! A large response body ([`StreamedBody`]) is forwarded to the client as it arrives, and is read from the server as fast as
+//! the budget allows. Its first bytes make the request served.
 
 mod prefix;
 mod streamed;
@@ -25,109 +27,109 @@
 use std::time::Duration;
 pub use streamed::StreamedBody;
 use tokio::time::Instant;
-pub use upload::{Reader, Upload};
-
-/// The most of a body that is held whole before anything is done with it.
-pub const HELD: usize = 64 << 10;
-/// The most that a body may hold, either way.
-pub const MOST: u64 = 40 << 20;
-/// What comes more slowly than this, or not at all ...
-const LEAST_RATE: f64 = 32.0 * 1024.0;
-/// ... is borne for so long.
-const PATIENCE: Duration = Duration::from_millis(2500);
-/// Why a body ends before it is whole.
+pub use upload::{Upload, UploadReader};
+
+/// Bodies up to this size are read completely before they are forwarded.
+pub const WHOLE_BODY_LIMIT: usize = 64 << 10;
+/// Maximum size of a request or response body.
+pub const MAX_BODY: u64 = 40 << 20;
+/// Minimum rate in bytes per second at which a request body has to arrive ...
+const MIN_RATE: f64 = 32.0 * 1024.0;
+/// ... after this time, during which a slower or stalled sender is tolerated.
+const MIN_RATE_GRACE: Duration = Duration::from_millis(2500);
+/// Why a body ended before it was complete.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// Whoever sends it broke off, or broke HTTP.
+    /// The sender closed the connection or violated HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// It is longer than any may be.
-    #[error("over {MOST} bytes")]
+    /// The body exceeds [`MAX_BODY`].
+    #[error("body exceeds {MAX_BODY} bytes")]
     TooLong,
-    /// Another attempt reads it now.
-    #[error("another attempt has it")]
-    Taken,
-    /// Nothing came for too long.
-    #[error("silent for too long")]
-    Silent,
+    /// A later attempt has taken over reading it.
+    #[error("body is being read by a later attempt")]
+    Superseded,
+    /// Nothing was received for too long.
+    #[error("timed out waiting for the body")]
+    TimedOut,
 }
 
-/// Whether a sender that has sent `bytes` since `since` has kept up. One that has not gets no more time.
-pub fn until(since: Instant, bytes: u64) -> Instant {
-    since + PATIENCE + Duration::from_secs_f64(bytes as f64 / LEAST_RATE)
+/// The time until which a sender that has sent `bytes` since `start` has kept up with the minimum rate.
+pub fn progress_deadline(start: Instant, bytes: u64) -> Instant {
+    start + MIN_RATE_GRACE + Duration::from_secs_f64(bytes as f64 / MIN_RATE)
 }
 
-/// Bytes that all bodies kept for one purpose may take together.
+/// A memory budget in bytes, shared by all bodies that are buffered for one purpose.
 #[derive(Debug)]
 pub struct BufferBudget(Cell<usize>);
 
 impl BufferBudget {
-    /// Room for so many.
+    /// Creates a budget of this many bytes.
     pub fn new(bytes: usize) -> Rc<Self> {
         Rc::new(BufferBudget(Cell::new(bytes)))
     }
 
-    fn take(&self, bytes: usize) -> bool {
+    fn try_reserve(&self, bytes: usize) -> bool {
         let left = self.0.get().checked_sub(bytes);
         left.map(|left| self.0.set(left)).is_some()
     }
 
-    fn left(&self) -> usize {
+    fn available(&self) -> usize {
         self.0.get()
     }
 
-    fn give_back(&self, bytes: usize) {
+    fn release(&self, bytes: usize) {
         self.0.set(self.0.get() + bytes);
     }
 }
 
-/// A request's body.
+/// The body of a client's request.
 #[derive(Clone)]
-pub enum Payload {
-    /// All of it.
+pub enum RequestBody {
+    /// The complete body.
     Whole(Bytes),
-    /// It still comes.
+    /// A body that is still being received.
     Streamed(Rc<Upload>),
 }
 
-/// A body as it goes to a server.
-pub enum Outgoing {
-    /// All of it, until it is taken.
+/// The body of a request to a server.
+pub enum OutgoingBody {
+    /// The complete body, until hyper takes it.
     Whole(Option<Bytes>),
-    /// It still comes.
-    Streamed(Reader),
+    /// A body that is still being received.
+    Streamed(UploadReader),
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Outgoing::Whole(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
-            Outgoing::Streamed(reader) => Pin::new(reader).poll_frame(cx),
+            OutgoingBody::Whole(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
+            OutgoingBody::Streamed(reader) => Pin::new(reader).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Outgoing::Streamed(reader) => reader.is_end_stream(),
+            OutgoingBody::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            OutgoingBody::Streamed(reader) => reader.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
-            Outgoing::Streamed(reader) => reader.size_hint(),
+            OutgoingBody::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
+            OutgoingBody::Streamed(reader) => reader.size_hint(),
         }
     }
 }
 
-/// An answer's body.
-pub enum Reply {
-    /// All of it.
+/// The body of a response to a client.
+pub enum ResponseBody {
+    /// The complete body.
     Whole(Bytes),
-    /// It still comes.
+    /// A body that is still being received.
     Streamed(StreamedBody),
 }
--- a/crates/http/src/body/streamed.rs
+++ b/crates/http/src/body/streamed.rs
@@ -1,6 +1,6 @@
-//! An answer's body that is passed on as it comes.
+//! A response body that is streamed to the client.
 
-use super::{BodyError, BufferBudget, MOST};
+use super::{BodyError, BufferBudget, MAX_BODY};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::RefCell;
@@ -14,73 +14,76 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{timeout_at, Instant};
 
-/// A server that is silent for so long in the midst of an answer has ended it.
-const SILENCE: Duration = Duration::from_secs(10);
+/// A response is given up when its server sends nothing for this long in the middle of the body.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer's body that still comes. It is read from its server as fast as that gives it, as long as there is [`BufferBudget`] for what
-/// the client has not taken yet: a client that reads slowly holds up no server.
+/// A response body that is still being received. A task reads it from the server as fast as the server sends, as long as the
+/// [`BufferBudget`] has space for what the client has not taken yet, so that a slow client does not hold up the server.
 pub struct StreamedBody {
     pipe: Rc<Pipe>,
-    pump: AbortHandle,
+    reader_task: AbortHandle,
     length: Option<u64>,
 }
 
 struct Pipe {
-    room: Rc<BufferBudget>,
-    state: RefCell<Piped>,
-    /// Something was taken out.
-    taken: Notify,
+    budget: Rc<BufferBudget>,
+    state: RefCell<PipeState>,
+    /// Signalled when a chunk is taken out.
+    space_freed: Notify,
 }
 
 #[derive(Default)]
-struct Piped {
-    /// What has come and was not taken, each with what it takes of the room.
+struct PipeState {
+    /// Chunks that the client has not taken, each with the bytes reserved for it in the budget.
     queue: VecDeque<(Bytes, usize)>,
-    ended: Option<Result<(), BodyError>>,
-    reader: Option<Waker>,
+    result: Option<Result<(), BodyError>>,
+    consumer: Option<Waker>,
 }
 
 impl Pipe {
-    fn put(&self, data: Bytes, room: usize) {
+    fn push(&self, data: Bytes, reserved: usize) {
         let mut state = self.state.borrow_mut();
-        state.queue.push_back((data, room));
-        state.reader.take().into_iter().for_each(Waker::wake);
+        state.queue.push_back((data, reserved));
+        state.consumer.take().into_iter().for_each(Waker::wake);
     }
 
-    fn end(&self, ended: Result<(), BodyError>) {
+    fn finish(&self, result: Result<(), BodyError>) {
         let mut state = self.state.borrow_mut();
-        state.ended = Some(ended);
-        state.reader.take().into_iter().for_each(Waker::wake);
+        state.result = Some(result);
+        state.consumer.take().into_iter().for_each(Waker::wake);
     }
 
-    /// Waits until these bytes may be put in. Some always may, so that an answer moves on however little room there is.
-    async fn admit(&self, bytes: usize) -> usize {
+    /// Waits until a chunk of this size may be pushed, and returns the number of bytes reserved for it. A chunk is always
+    /// accepted into an empty queue, so that a response progresses even if the budget is used up.
+    async fn reserve(&self, bytes: usize) -> usize {
         loop {
-            let taken = self.taken.notified();
-            if self.room.take(bytes) {
+            let freed = self.space_freed.notified();
+            if self.budget.try_reserve(bytes) {
                 return bytes;
             }
             if self.state.borrow().queue.is_empty() {
                 return 0;
             }
-            taken.await;
+            freed.await;
         }
     }
 
-    /// Reads what still comes, until `due` at the latest, however steadily it comes.
-    async fn fill(&self, mut rest: Incoming, mut read: u64, due: Instant) -> Result<(), BodyError> {
+    /// Reads the rest of the body, until `deadline` at the latest even if it keeps arriving.
+    async fn copy_from(&self, mut rest: Incoming, mut read: u64, deadline: Instant) -> Result<(), BodyError> {
         while !rest.is_end_stream() {
             let next = poll_fn(|cx| Pin::new(&mut rest).poll_frame(cx));
-            let patience = due.min(Instant::now() + SILENCE);
-            let Some(frame) = timeout_at(patience, next).await.map_err(|_| BodyError::Silent)? else { break };
-            // Trailers belong to this connection's message.
+            let wait_until = deadline.min(Instant::now() + READ_TIMEOUT);
+            let Some(frame) = timeout_at(wait_until, next).await.map_err(|_| BodyError::TimedOut)? else {
+                break;
+            };
+            // Trailers are hop-by-hop and not forwarded.
             let Ok(data) = frame?.into_data() else { continue };
             read += data.len() as u64;
-            if read > MOST {
+            if read > MAX_BODY {
                 return Err(BodyError::TooLong);
             }
-            let room = self.admit(data.len()).await;
-            self.put(data, room);
+            let reserved = self.reserve(data.len()).await;
+            self.push(data, reserved);
         }
         Ok(())
     }
@@ -88,40 +91,41 @@
 
 impl Drop for Pipe {
     fn drop(&mut self) {
-        self.state.get_mut().queue.iter().for_each(|(_, room)| self.room.give_back(*room));
+        self.state.get_mut().queue.iter().for_each(|(_, reserved)| self.budget.release(*reserved));
     }
 }
 
 impl StreamedBody {
-    /// Of which these first parts have come. Once all has come `end` is called; where it breaks off, or nobody wants it any
-    /// more, `end` is dropped, and with it the connection that it holds. What has not come by `due` is not waited for.
+    /// Starts streaming a body of which `prefix` has been received. `on_complete` is called once all of it has been received.
+    /// If the body breaks off, or the client does not want it any more, `on_complete` is dropped, and with it the connection
+    /// that it owns. Reading stops at `deadline`.
     pub fn new(
-        first: Vec<Bytes>,
+        prefix: Vec<Bytes>,
         rest: Incoming,
-        room: Rc<BufferBudget>,
-        due: Instant,
-        end: impl FnOnce() + 'static,
+        budget: Rc<BufferBudget>,
+        deadline: Instant,
+        on_complete: impl FnOnce() + 'static,
     ) -> Self {
-        let read = first.iter().map(|b| b.len() as u64).sum();
+        let read = prefix.iter().map(|b| b.len() as u64).sum();
         let length = rest.size_hint().exact().map(|rest| rest + read);
-        let queue = first.into_iter().map(|data| (data, 0)).collect();
-        let state = RefCell::new(Piped { queue, ..Piped::default() });
-        let pipe = Rc::new(Pipe { room, state, taken: Notify::new() });
-        let filling = pipe.clone();
-        let pump = spawn_local(async move {
-            let ended = filling.fill(rest, read, due).await;
-            if ended.is_ok() {
-                end();
+        let queue = prefix.into_iter().map(|data| (data, 0)).collect();
+        let state = RefCell::new(PipeState { queue, ..PipeState::default() });
+        let pipe = Rc::new(Pipe { budget, state, space_freed: Notify::new() });
+        let writer = pipe.clone();
+        let reader_task = spawn_local(async move {
+            let result = writer.copy_from(rest, read, deadline).await;
+            if result.is_ok() {
+                on_complete();
             }
-            filling.end(ended);
+            writer.finish(result);
         });
-        StreamedBody { pipe, pump: pump.abort_handle(), length }
+        StreamedBody { pipe, reader_task: reader_task.abort_handle(), length }
     }
 }
 
 impl Drop for StreamedBody {
     fn drop(&mut self) {
-        self.pump.abort();
+        self.reader_task.abort();
     }
 }
 
@@ -131,19 +135,19 @@
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let mut state = self.pipe.state.borrow_mut();
-        if let Some((data, room)) = state.queue.pop_front() {
-            self.pipe.room.give_back(room);
-            self.pipe.taken.notify_one();
+        if let Some((data, reserved)) = state.queue.pop_front() {
+            self.pipe.budget.release(reserved);
+            self.pipe.space_freed.notify_one();
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
-        match state.ended.take() {
+        match state.result.take() {
             Some(Ok(())) => {
-                state.ended = Some(Ok(()));
+                state.result = Some(Ok(()));
                 Poll::Ready(None)
             }
             Some(Err(error)) => Poll::Ready(Some(Err(error))),
             None => {
-                state.reader = Some(cx.waker().clone());
+                state.consumer = Some(cx.waker().clone());
                 Poll::Pending
             }
         }
@@ -151,7 +155,7 @@
 
     fn is_end_stream(&self) -> bool {
         let state = self.pipe.state.borrow();
-        state.queue.is_empty() && matches!(state.ended, Some(Ok(())))
+        state.queue.is_empty() && matches!(state.result, Some(Ok(())))
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/crates/http/src/body/upload.rs
+++ b/crates/http/src/body/upload.rs
@@ -1,6 +1,7 @@
-//! A request's body that is too large to be held whole: it comes once, and is kept for further attempts while there is room.
+//! A request body that is too large to be read completely first: it is received once, and retained for further attempts while
+//! the budget allows.
 
-use super::{until, BodyError, BufferBudget, HELD, MOST, PATIENCE};
+use super::{progress_deadline, BodyError, BufferBudget, MAX_BODY, MIN_RATE_GRACE, WHOLE_BODY_LIMIT};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -12,172 +13,181 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// The most of a body that is read before an attempt reads it.
-const MOST_AHEAD: u64 = 4 * HELD as u64;
+/// Maximum number of bytes of a body that are read while no attempt reads it.
+const MAX_READ_AHEAD: u64 = 4 * WHOLE_BODY_LIMIT as u64;
 
-/// A request's body that is too large to be held whole.
+/// A request body that is too large to be read completely first.
 pub struct Upload {
     state: RefCell<State>,
-    room: Rc<BufferBudget>,
-    ended: Notify,
-    /// How long the client waits from the last byte on.
-    pub wait: Duration,
+    budget: Rc<BufferBudget>,
+    completed: Notify,
+    /// How long the client waits after its last byte.
+    pub client_timeout: Duration,
 }
 
 struct State {
     source: Incoming,
-    began: Instant,
-    /// Its length, where the client told.
+    started: Instant,
+    /// The body's length, if the client declared it.
     length: Option<u64>,
-    read: u64,
-    /// All that was read, unless `forgotten`.
-    kept: Vec<Bytes>,
-    kept_bytes: usize,
-    forgotten: bool,
-    /// The latest attempt's: earlier ones get no more.
-    reader: u32,
-    /// The last byte has come, or none will.
-    over: Option<bool>,
+    received: u64,
+    /// All that was received, unless `discarded`.
+    retained: Vec<Bytes>,
+    reserved_bytes: usize,
+    discarded: bool,
+    /// Number of the latest reader: earlier ones get no more data.
+    current_reader: u32,
+    /// `true`: the last byte was received. `false`: it never will be.
+    ended: Option<bool>,
 }
 
 impl State {
-    fn forget(&mut self, room: &BufferBudget) {
-        room.give_back(std::mem::take(&mut self.kept_bytes));
-        self.kept = Vec::new();
-        self.forgotten = true;
+    fn discard_retained(&mut self, budget: &BufferBudget) {
+        budget.release(std::mem::take(&mut self.reserved_bytes));
+        self.retained = Vec::new();
+        self.discarded = true;
     }
 }
 
 impl Upload {
-    /// Of a body of which these first parts have come since `began`.
+    /// Wraps a body of which `prefix` has been received since `started`.
     pub fn new(
-        first: Vec<Bytes>,
+        prefix: Vec<Bytes>,
         source: Incoming,
-        began: Instant,
-        room: Rc<BufferBudget>,
-        wait: Duration,
+        started: Instant,
+        budget: Rc<BufferBudget>,
+        client_timeout: Duration,
     ) -> Rc<Self> {
-        let bytes: usize = first.iter().map(Bytes::len).sum();
+        let bytes: usize = prefix.iter().map(Bytes::len).sum();
         let length = source.size_hint().exact().map(|rest| rest + bytes as u64);
-        // Held already: it may take room that is not there, and is then the first to go.
-        let kept_bytes = if room.take(bytes) { bytes } else { 0 };
+        // The prefix is in memory already. If the budget has no space for it, it is retained unreserved, and is discarded when
+        // a later chunk finds no space either.
+        let reserved_bytes = if budget.try_reserve(bytes) { bytes } else { 0 };
         let state = State {
-            over: (length == Some(bytes as u64)).then_some(true),
+            ended: (length == Some(bytes as u64)).then_some(true),
             source,
-            began,
+            started,
             length,
-            read: bytes as u64,
-            kept: first,
-            kept_bytes,
-            forgotten: false,
-            reader: 0,
+            received: bytes as u64,
+            retained: prefix,
+            reserved_bytes,
+            discarded: false,
+            current_reader: 0,
         };
-        Rc::new(Upload { state: RefCell::new(state), room, ended: Notify::new(), wait })
+        Rc::new(Upload { state: RefCell::new(state), budget, completed: Notify::new(), client_timeout })
     }
 
-    /// All of it for one more attempt; None: it can't be had from the start any more.
-    pub fn reader(self: &Rc<Self>) -> Option<Reader> {
+    /// Returns a reader of the whole body for one more attempt. `None`: the body can't be read from the start any more.
+    pub fn new_reader(self: &Rc<Self>) -> Option<UploadReader> {
         let mut state = self.state.borrow_mut();
-        if state.forgotten || state.over == Some(false) {
+        if state.discarded || state.ended == Some(false) {
             return None;
         }
-        state.reader += 1;
-        Some(Reader { upload: self.clone(), id: state.reader, at: 0, finished: Rc::default(), written: None })
+        state.current_reader += 1;
+        Some(UploadReader {
+            upload: self.clone(),
+            id: state.current_reader,
+            next_chunk: 0,
+            finished: Rc::default(),
+            on_written: None,
+        })
     }
 
-    /// Waits until the last byte has come. Pending for good where none will.
-    pub async fn whole(&self) {
-        let mut ended = std::pin::pin!(self.ended.notified());
-        while self.state.borrow().over != Some(true) {
-            ended.as_mut().await;
-            ended.set(self.ended.notified());
+    /// Waits until the last byte has been received. Never returns if it can't be.
+    pub async fn wait_complete(&self) {
+        let mut completed = std::pin::pin!(self.completed.notified());
+        while self.state.borrow().ended != Some(true) {
+            completed.as_mut().await;
+            completed.set(self.completed.notified());
         }
     }
 
-    /// Reads ahead as long as no attempt reads: what waits unread hides the end of the client's connection. Returns once an attempt
-    /// reads, the last byte has come, or as much is kept as may be. An error: the client broke off.
+    /// Reads ahead while no attempt reads, because unread bytes hide the end of the client's connection. Returns once an
+    /// attempt reads, the last byte has been received, or no more can be retained. An error means that the client broke off.
     pub async fn read_ahead(&self) -> Result<(), BodyError> {
         const NO_ATTEMPT: u32 = 0;
-        while self.may_read_ahead() {
+        while self.can_read_ahead() {
             match poll_fn(|cx| self.poll_source(cx, NO_ATTEMPT)).await {
                 Some(Ok(_)) => {}
-                Some(Err(BodyError::Taken)) | None => break,
+                Some(Err(BodyError::Superseded)) | None => break,
                 Some(Err(error)) => return Err(error),
             }
         }
         Ok(())
     }
 
-    /// Whether all that one read may bring can be kept.
-    fn may_read_ahead(&self) -> bool {
+    /// Whether everything that one more read may return can be retained.
+    fn can_read_ahead(&self) -> bool {
         let state = self.state.borrow();
-        !state.forgotten && state.over.is_none() && state.read < MOST_AHEAD && self.room.left() > HELD
+        !state.discarded
+            && state.ended.is_none()
+            && state.received < MAX_READ_AHEAD
+            && self.budget.available() > WHOLE_BODY_LIMIT
     }
 
-    /// Whether what still comes is not waited for any longer: its sender, or who takes it, is too slow.
-    pub fn stuck(&self) -> bool {
+    /// Whether the body is not waited for any longer: the client sends, or the server reads, too slowly.
+    pub fn is_stalled(&self) -> bool {
         let state = self.state.borrow();
-        state.over != Some(true) && Instant::now() >= until(state.began, state.read)
+        state.ended != Some(true) && Instant::now() >= progress_deadline(state.started, state.received)
     }
 
-    /// Reads what still comes and throws it away, so that the client, which reads nothing before it has written all, comes to
-    /// its answer.
+    /// Reads and discards the rest of the body, because a client may read the response only after it has written everything.
     pub async fn drain(self: Rc<Self>) {
         let id = {
             let mut state = self.state.borrow_mut();
-            state.reader += 1;
-            state.forget(&self.room);
-            state.reader
+            state.current_reader += 1;
+            state.discard_retained(&self.budget);
+            state.current_reader
         };
-        while !self.stuck() && self.state.borrow().over.is_none() {
+        while !self.is_stalled() && self.state.borrow().ended.is_none() {
             let next = poll_fn(|cx| self.poll_source(cx, id));
-            if !matches!(timeout(PATIENCE, next).await, Ok(Some(Ok(_)))) {
+            if !matches!(timeout(MIN_RATE_GRACE, next).await, Ok(Some(Ok(_)))) {
                 return;
             }
         }
     }
 
-    /// The next bytes that come, for the attempt of this number.
+    /// Polls the client's connection for the next bytes, on behalf of the reader with this number.
     fn poll_source(&self, cx: &mut Context, id: u32) -> Poll<Option<Result<Bytes, BodyError>>> {
         let mut state = self.state.borrow_mut();
-        if state.reader != id {
-            return Poll::Ready(Some(Err(BodyError::Taken)));
+        if state.current_reader != id {
+            return Poll::Ready(Some(Err(BodyError::Superseded)));
         }
-        match state.over {
+        match state.ended {
             Some(true) => return Poll::Ready(None),
-            Some(false) => return Poll::Ready(Some(Err(BodyError::Silent))),
+            Some(false) => return Poll::Ready(Some(Err(BodyError::TimedOut))),
             None => {}
         }
         let data = loop {
             match ready!(Pin::new(&mut state.source).poll_frame(cx)) {
-                // Trailers belong to this connection's message.
+                // Trailers are hop-by-hop and not forwarded.
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
                     Ok(data) => break Some(data),
                     Err(_) => {}
                 },
                 Some(Err(error)) => {
-                    state.over = Some(false);
+                    state.ended = Some(false);
                     return Poll::Ready(Some(Err(error.into())));
                 }
                 None => break None,
             }
         };
-        state.read += data.as_ref().map_or(0, |d| d.len() as u64);
-        if state.read > MOST {
-            state.over = Some(false);
+        state.received += data.as_ref().map_or(0, |d| d.len() as u64);
+        if state.received > MAX_BODY {
+            state.ended = Some(false);
             return Poll::Ready(Some(Err(BodyError::TooLong)));
         }
-        if data.is_none() || state.length == Some(state.read) || state.source.is_end_stream() {
-            state.over = Some(true);
-            self.ended.notify_waiters();
+        if data.is_none() || state.length == Some(state.received) || state.source.is_end_stream() {
+            state.ended = Some(true);
+            self.completed.notify_waiters();
         }
-        if let Some(data) = data.as_ref().filter(|_| !state.forgotten) {
-            if self.room.take(data.len()) {
-                state.kept_bytes += data.len();
-                state.kept.push(data.clone());
+        if let Some(data) = data.as_ref().filter(|_| !state.discarded) {
+            if self.budget.try_reserve(data.len()) {
+                state.reserved_bytes += data.len();
+                state.retained.push(data.clone());
             } else {
-                state.forget(&self.room);
+                state.discard_retained(&self.budget);
             }
         }
         Poll::Ready(data.map(Ok))
@@ -186,62 +196,62 @@
 
 impl Drop for Upload {
     fn drop(&mut self) {
-        self.state.get_mut().forget(&self.room);
+        self.state.get_mut().discard_retained(&self.budget);
     }
 }
 
-/// An upload as one attempt sends it.
-pub struct Reader {
+/// An upload as it is sent by one attempt.
+pub struct UploadReader {
     upload: Rc<Upload>,
     id: u32,
-    /// Parts of what is kept that were sent.
-    at: usize,
-    /// The last byte was handed over.
+    /// Number of retained chunks that were sent.
+    next_chunk: usize,
+    /// Whether the last byte was handed to hyper.
     pub finished: Rc<Cell<bool>>,
-    /// To be told when that is so.
-    pub written: Option<Box<dyn FnOnce()>>,
+    /// Called when that happens.
+    pub on_written: Option<Box<dyn FnOnce()>>,
 }
 
-impl Reader {
-    fn end(&mut self) {
+impl UploadReader {
+    fn mark_finished(&mut self) {
         if !self.finished.replace(true) {
-            self.written.take().into_iter().for_each(|written| written());
+            self.on_written.take().into_iter().for_each(|on_written| on_written());
         }
     }
 }
 
-impl Body for Reader {
+impl Body for UploadReader {
     type Data = Bytes;
     type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let me = self.get_mut();
-        let kept = {
+        let retained = {
             let state = me.upload.state.borrow();
-            if state.reader != me.id {
-                return Poll::Ready(Some(Err(BodyError::Taken)));
+            if state.current_reader != me.id {
+                return Poll::Ready(Some(Err(BodyError::Superseded)));
             }
-            state.kept.get(me.at).cloned()
+            state.retained.get(me.next_chunk).cloned()
         };
-        let next = match kept {
+        let next = match retained {
             Some(data) => Some(Ok(data)),
             None => ready!(me.upload.poll_source(cx, me.id)),
         };
-        // What came and was kept is not sent again by this attempt.
-        me.at += 1;
+        // A chunk that was just received may have been retained: this attempt does not send it again.
+        me.next_chunk += 1;
         if next.is_none() || me.is_end_stream() {
-            me.end();
+            me.mark_finished();
         }
         Poll::Ready(next.map(|next| next.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
         let state = self.upload.state.borrow();
-        state.over == Some(true) && (state.forgotten || self.at >= state.kept.len())
+        state.ended == Some(true) && (state.discarded || self.next_chunk >= state.retained.len())
     }
 
     fn size_hint(&self) -> SizeHint {
-        // Asked before anything is sent.
+        // hyper asks before anything is sent, so this is the length of the whole body.
         self.upload.state.borrow().length.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/http/src/front/client.rs
+++ b/crates/http/src/front/client.rs
@@ -1,6 +1,6 @@
-//! One client's connection: where it stands, what is owed on it, and what its gate may read.
+//! The state of one client connection: what it is waiting for, which responses are owed, and what its gate may read.
 
-use crate::gate::{self, Guard, Head, Next, Problem, Reading};
+use crate::gate::{self, Expected, GateHandler, Head, ReadMode, Rejection};
 use birchswitch_host::socket::{self, is_open_and_idle};
 use hyper::StatusCode;
 use std::cell::Cell;
@@ -10,103 +10,104 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection may wait this long for its first request, and a head may take as long; for the first one both count from
-/// the connecting. A client that sends nothing useful is owed a word or a close within 3 s of it.
-const FIRST: Duration = Duration::from_millis(2500);
-/// A client that takes nothing more of an answer for so long is given up.
-const TAKING: Duration = Duration::from_secs(10);
-/// A connection may wait this long for its next request ...
-const IDLE: Duration = Duration::from_secs(5);
-/// ... and at least this long, even where places are needed.
-const IDLE_LEAST: Duration = Duration::from_secs(2);
-/// One that has said nothing so far has less of a claim, but what was sent with the connecting needs a moment to come.
-const FIRST_LEAST: Duration = Duration::from_millis(10);
-/// So has one that has begun a head.
-const HEAD_LEAST: Duration = Duration::from_millis(200);
-
-/// A request that takes the place of one that was turned down, in the row of answers on its connection. No client can
-/// send one of this method.
-pub(super) const TURNED_DOWN: &str = "TURNED-DOWN";
-
-/// One connection.
+/// Time limit for the first request to start, and for a head to be received; for the first request both count from the
+/// connection's acceptance. A client that sends nothing useful has to get a response or a close within 3 s of it.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A client that takes nothing more of a response for this long is disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// A connection may be idle for this long between requests ...
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// ... and at least this long even when slots are needed for other connections.
+const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
+/// A connection without any input is evicted sooner, but what was sent right after connecting needs a moment to arrive.
+const EVICT_NEW_AFTER: Duration = Duration::from_millis(10);
+/// A connection with an incomplete head is evicted after this time.
+const EVICT_HEAD_AFTER: Duration = Duration::from_millis(200);
+
+/// The method of the request that hyper reads in place of a rejected one, so that the rejection is sent in the order of the
+/// connection's responses. Requests of clients with this method are rejected.
+pub(super) const REJECTED_METHOD: &str = "TURNED-DOWN";
+
+/// A client connection.
 pub(super) struct Client {
     pub(super) socket: Rc<TcpStream>,
-    stage: Cell<Stage>,
+    state: Cell<State>,
     since: Cell<Instant>,
-    /// Why the head under way is turned down, once it is.
-    pub(super) problem: Cell<Option<Problem>>,
-    /// Tells the connection's task that its stage has changed.
+    /// Why the current head is rejected, if it is.
+    pub(super) rejection: Cell<Option<Rejection>>,
+    /// Notifies the connection's task of a change of state.
     pub(super) wake: Notify,
-    /// Whole requests that were read, and answers that were handed over whole.
+    /// Complete requests that were read, and responses that were handed to hyper completely.
     requests: Cell<u64>,
-    answers: Cell<u64>,
-    /// When the last byte of the latest whole request came.
+    responses: Cell<u64>,
+    /// Arrival time of the last byte of the latest complete request.
     last_byte: Cell<Option<Instant>>,
-    /// Bytes behind the request in hand that were read already.
-    ahead: Cell<usize>,
-    /// The gate does not read on, so that it can't see the connection's end.
-    unread: Cell<bool>,
-    /// It is to close, and nothing had come of a further request when that was decided: where it stood, and since when.
-    silent_before: Cell<Option<(Stage, Instant)>>,
-    /// The client has ended its sending.
-    gone: Cell<bool>,
-    leaving: Notify,
-    /// The latest answer said that it is the connection's last.
-    last: Cell<bool>,
-    /// The node ends: nothing that comes from now on is read.
+    /// Number of bytes that were read ahead behind the current request.
+    read_ahead: Cell<usize>,
+    /// The gate does not read on, so it can't detect the end of the connection.
+    eof_undetectable: Cell<bool>,
+    /// Set when the connection is to close and had received nothing of a further request when that was decided: its state
+    /// before, and since when.
+    silent_before_close: Cell<Option<(State, Instant)>>,
+    /// The client has closed its sending side.
+    peer_closed: Cell<bool>,
+    disconnect: Notify,
+    /// The latest response told the client that the connection closes.
+    last_response: Cell<bool>,
+    /// The node is shutting down: further input is not read.
     finishing: Cell<bool>,
 }
 
-/// Where a connection stands.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stage {
-    /// Nothing has come yet.
+pub(super) enum State {
+    /// Nothing has been received yet.
     New,
-    /// A head has begun: since the connecting on the first request, since its first bytes on others.
-    Head,
-    /// The head under way took too long.
-    Late,
-    /// A request is in hand.
-    Busy,
-    /// An answer is passed on as it comes; `since` tells when some of it was last taken.
-    Passing,
-    /// It waits for the next request.
+    /// A head is being received: since the acceptance for the first request, since its first bytes for others.
+    ReadingHead,
+    /// The current head took too long.
+    HeadTimedOut,
+    /// A request is being processed.
+    Processing,
+    /// A response is being streamed; `since` is the time of the latest progress.
+    Streaming,
+    /// Waiting for the next request.
     Idle,
-    /// It is to close.
-    Leaving,
+    /// To be closed.
+    Closing,
 }
 
 impl Client {
     pub(super) fn new(stream: TcpStream) -> Rc<Self> {
         Rc::new(Client {
             socket: Rc::new(stream),
-            stage: Cell::new(Stage::New),
+            state: Cell::new(State::New),
             since: Cell::new(Instant::now()),
-            problem: Cell::new(None),
+            rejection: Cell::new(None),
             wake: Notify::new(),
             requests: Cell::new(0),
-            answers: Cell::new(0),
+            responses: Cell::new(0),
             last_byte: Cell::new(None),
-            ahead: Cell::new(0),
-            unread: Cell::new(false),
-            silent_before: Cell::new(None),
-            gone: Cell::new(false),
-            leaving: Notify::new(),
-            last: Cell::new(false),
+            read_ahead: Cell::new(0),
+            eof_undetectable: Cell::new(false),
+            silent_before_close: Cell::new(None),
+            peer_closed: Cell::new(false),
+            disconnect: Notify::new(),
+            last_response: Cell::new(false),
             finishing: Cell::new(false),
         })
     }
 
-    pub(super) fn stage(&self) -> Stage {
-        self.stage.get()
+    pub(super) fn state(&self) -> State {
+        self.state.get()
     }
 
-    pub(super) fn enter(&self, stage: Stage) {
-        self.stage.set(stage);
+    pub(super) fn enter(&self, state: State) {
+        self.state.set(state);
         self.since.set(Instant::now());
     }
 
-    /// When it entered its stage, or last took some of an answer.
+    /// When the connection entered its state, or last made progress with a streamed response.
     pub(super) fn since(&self) -> Instant {
         self.since.get()
     }
@@ -115,177 +116,180 @@
         now.saturating_duration_since(self.since.get())
     }
 
-    /// Some of the answer under way was taken.
-    pub(super) fn took(&self) {
-        if self.stage.get() == Stage::Passing {
+    /// Records that the client took some of a streamed response.
+    pub(super) fn record_progress(&self) {
+        if self.state.get() == State::Streaming {
             self.since.set(Instant::now());
         }
     }
 
-    /// An answer was handed over whole, or nobody wants the rest.
-    pub(super) fn answered(&self) {
-        self.answers.set(self.answers.get() + 1);
-        if matches!(self.stage.get(), Stage::Busy | Stage::Passing) {
-            self.enter(Stage::Idle);
+    /// Records that a response was handed to hyper completely, or that the rest of it is not needed.
+    pub(super) fn response_done(&self) {
+        self.responses.set(self.responses.get() + 1);
+        if matches!(self.state.get(), State::Processing | State::Streaming) {
+            self.enter(State::Idle);
         }
         self.wake.notify_one();
     }
 
-    /// The latest answer tells the client to close: nothing more is read.
-    pub(super) fn set_last(&self) {
-        self.last.set(true);
+    /// Records that the latest response tells the client to close: nothing more is read.
+    pub(super) fn set_last_response(&self) {
+        self.last_response.set(true);
     }
 
-    /// Whether the latest answer tells the client to close.
-    pub(super) fn is_last(&self) -> bool {
-        self.last.get()
+    /// Whether the latest response tells the client to close.
+    pub(super) fn is_last_response(&self) -> bool {
+        self.last_response.get()
     }
 
-    /// Whether more was read than the request in hand: closing would lose it.
-    pub(super) fn more_is_owed(&self) -> bool {
-        self.ahead.get() > 0
+    /// Whether input behind the current request was read, which would be lost if the connection closed.
+    pub(super) fn has_read_ahead(&self) -> bool {
+        self.read_ahead.get() > 0
     }
 
-    /// Whether nothing is owed on it and nothing has come on it.
-    pub(super) fn rests(&self) -> bool {
-        self.stage.get() == Stage::Idle && !self.more_is_owed() && is_open_and_idle(&self.socket)
+    /// Whether no response is owed and nothing was received.
+    pub(super) fn is_idle(&self) -> bool {
+        self.state.get() == State::Idle && !self.has_read_ahead() && is_open_and_idle(&self.socket)
     }
 
-    /// Whether it may be closed for others that need its place.
-    pub(super) fn in_the_way(&self) -> bool {
-        let least = match self.stage.get() {
-            Stage::New => FIRST_LEAST,
-            Stage::Head | Stage::Late => HEAD_LEAST,
-            Stage::Idle => IDLE_LEAST,
-            Stage::Busy | Stage::Passing | Stage::Leaving => return false,
+    /// Whether the connection may be closed to free its slot for another one.
+    pub(super) fn is_evictable(&self) -> bool {
+        let min_age = match self.state.get() {
+            State::New => EVICT_NEW_AFTER,
+            State::ReadingHead | State::HeadTimedOut => EVICT_HEAD_AFTER,
+            State::Idle => EVICT_IDLE_AFTER,
+            State::Processing | State::Streaming | State::Closing => return false,
         };
-        self.age(Instant::now()) >= least && is_open_and_idle(&self.socket)
+        self.age(Instant::now()) >= min_age && is_open_and_idle(&self.socket)
     }
 
-    /// Has the connection closed.
-    pub(super) fn leave(&self) {
-        let stage = self.stage.get();
-        let silent = matches!(stage, Stage::New | Stage::Idle);
-        self.silent_before.set(silent.then(|| (stage, self.since.get())));
-        self.enter(Stage::Leaving);
+    /// Asks the connection's task to close it.
+    pub(super) fn request_close(&self) {
+        let state = self.state.get();
+        let silent = matches!(state, State::New | State::Idle);
+        self.silent_before_close.set(silent.then(|| (state, self.since.get())));
+        self.enter(State::Closing);
         self.wake.notify_one();
     }
 
-    /// Whether it is to close now. Something may have come since that was decided: then it stays, and is served.
-    pub(super) fn closes(&self) -> bool {
-        if self.stage.get() != Stage::Leaving {
+    /// Whether the connection is to close now. If input arrived after that was decided, the connection returns to its former
+    /// state and is served.
+    pub(super) fn should_close(&self) -> bool {
+        if self.state.get() != State::Closing {
             return false;
         }
-        if let Some((stage, since)) = self.silent_before.get().filter(|_| !is_open_and_idle(&self.socket)) {
-            self.stage.set(stage);
+        if let Some((state, since)) =
+            self.silent_before_close.get().filter(|_| !is_open_and_idle(&self.socket))
+        {
+            self.state.set(state);
             self.since.set(since);
             return false;
         }
         true
     }
 
-    /// Ends what has taken too long.
-    pub(super) fn sweep(&self, now: Instant) {
+    /// Applies the time limits of the current state.
+    pub(super) fn check_timeouts(&self, now: Instant) {
         let age = self.age(now);
-        match self.stage.get() {
-            // Never one on which a request has come that was not read yet.
-            Stage::New if age >= FIRST && is_open_and_idle(&self.socket) => self.leave(),
-            Stage::Passing if age >= TAKING => self.leave(),
-            Stage::Idle if age >= IDLE && is_open_and_idle(&self.socket) => self.leave(),
-            Stage::Head if age >= FIRST => {
-                self.stage.set(Stage::Late);
+        match self.state.get() {
+            // A connection that has received a request that was not read yet is never closed.
+            State::New if age >= HEAD_TIMEOUT && is_open_and_idle(&self.socket) => self.request_close(),
+            State::Streaming if age >= WRITE_TIMEOUT => self.request_close(),
+            State::Idle if age >= IDLE_TIMEOUT && is_open_and_idle(&self.socket) => self.request_close(),
+            State::ReadingHead if age >= HEAD_TIMEOUT => {
+                self.state.set(State::HeadTimedOut);
                 self.wake.notify_one();
             }
             _ => {}
         }
     }
 
-    /// The node ends. From here on nothing is read that has not been read before: a head of which some has come is turned
-    /// down, and what has come whole is still answered.
+    /// Stops reading because the node shuts down: an incomplete head is rejected, and requests that were received completely are
+    /// still answered.
     pub(super) fn finish(&self) {
         self.finishing.set(true);
         self.wake.notify_one();
     }
 
-    /// When the last byte of the request that was just read came, if its gate knows.
+    /// Arrival time of the last byte of the request that was just read, if the gate knows it.
     pub(super) fn take_last_byte(&self) -> Option<Instant> {
         self.last_byte.take()
     }
 
-    /// Whether the client has ended its sending, as far as is known at once.
-    pub(super) async fn has_gone(&self) -> bool {
-        self.gone.get() || socket::is_read_closed(&self.socket).await
+    /// Whether the client is known to have closed its sending side, without waiting.
+    pub(super) async fn is_disconnected(&self) -> bool {
+        self.peer_closed.get() || socket::is_read_closed(&self.socket).await
     }
 
-    /// Waits until the client has ended its sending.
-    pub(super) async fn left(&self) {
-        while !self.gone.get() {
+    /// Waits until the client has closed its sending side.
+    pub(super) async fn disconnected(&self) {
+        while !self.peer_closed.get() {
             tokio::select! {
-                () = self.leaving.notified() => {}
-                () = socket::wait_read_closed(&self.socket), if self.unread.get() => return,
+                () = self.disconnect.notified() => {}
+                () = socket::wait_read_closed(&self.socket), if self.eof_undetectable.get() => return,
             }
         }
     }
 
-    /// From now on its gate can't see the connection's end by reading.
-    pub(super) fn set_unread(&self) {
-        if !self.unread.replace(true) {
-            self.leaving.notify_one();
+    /// Records that the gate can't detect the end of the connection by reading any more.
+    pub(super) fn set_eof_undetectable(&self) {
+        if !self.eof_undetectable.replace(true) {
+            self.disconnect.notify_one();
         }
     }
 }
 
-impl Guard for Rc<Client> {
-    const BETWEEN: Next = Next::Head;
+impl GateHandler for Rc<Client> {
+    const BETWEEN_MESSAGES: Expected = Expected::Head;
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        gate::request_head(bytes)
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, Rejection> {
+        gate::parse_request_head(bytes)
     }
 
-    fn turn_down(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
-        self.problem.set(Some(problem));
+    fn reject(&self, rejection: Rejection) -> std::io::Result<&'static [u8]> {
+        self.rejection.set(Some(rejection));
         Ok(b"TURNED-DOWN / HTTP/1.1\r\n\r\n")
     }
 
-    fn begun(&self) -> Result<(), Problem> {
-        match self.stage.get() {
-            Stage::New => self.stage.set(Stage::Head),
-            Stage::Idle => self.enter(Stage::Head),
-            // It had said nothing, and does in the moment in which it is to close.
-            Stage::Leaving if self.silent_before.get().is_some() => self.enter(Stage::Head),
-            Stage::Late => return Err((StatusCode::REQUEST_TIMEOUT, "the head took too long")),
-            Stage::Head | Stage::Busy | Stage::Passing | Stage::Leaving => {}
+    fn head_started(&self) -> Result<(), Rejection> {
+        match self.state.get() {
+            State::New => self.state.set(State::ReadingHead),
+            State::Idle => self.enter(State::ReadingHead),
+            // The connection was silent, and its request arrived just as it was about to close.
+            State::Closing if self.silent_before_close.get().is_some() => self.enter(State::ReadingHead),
+            State::HeadTimedOut => return Err((StatusCode::REQUEST_TIMEOUT, "the head took too long")),
+            State::ReadingHead | State::Processing | State::Streaming | State::Closing => {}
         }
         Ok(())
     }
 
-    fn reading(&self) -> Reading {
-        let in_hand = self.requests.get() > self.answers.get();
-        match in_hand {
-            _ if self.last.get() => Reading::Stopped,
-            true if self.finishing.get() => Reading::Stopped,
-            true => Reading::Ahead,
-            false if self.finishing.get() => Reading::Held,
-            false => Reading::Through,
+    fn read_mode(&self) -> ReadMode {
+        let processing = self.requests.get() > self.responses.get();
+        match processing {
+            _ if self.last_response.get() => ReadMode::Stopped,
+            true if self.finishing.get() => ReadMode::Stopped,
+            true => ReadMode::Buffer,
+            false if self.finishing.get() => ReadMode::Drain,
+            false => ReadMode::Forward,
         }
     }
 
-    fn whole(&self, came: Instant) {
+    fn message_complete(&self, arrived: Instant) {
         self.requests.set(self.requests.get() + 1);
-        self.last_byte.set(Some(came));
+        self.last_byte.set(Some(arrived));
     }
 
-    fn ahead(&self, bytes: usize) {
-        self.ahead.set(bytes);
+    fn buffered_ahead(&self, bytes: usize) {
+        self.read_ahead.set(bytes);
     }
 
-    fn unread(&self) {
-        self.set_unread();
+    fn buffer_full(&self) {
+        self.set_eof_undetectable();
     }
 
-    fn ended(&self) {
-        self.gone.set(true);
-        self.leaving.notify_one();
+    fn peer_closed(&self) {
+        self.peer_closed.set(true);
+        self.disconnect.notify_one();
     }
 }
 
--- a/crates/http/src/front/client/tests.rs
+++ b/crates/http/src/front/client/tests.rs
@@ -1,64 +1,64 @@
-//! What comes in the moment in which a connection is to close for its silence.
+//! Input that arrives at the moment when a connection is about to be closed for inactivity.
 
-use super::{Client, Guard, Stage, FIRST, IDLE};
+use super::{Client, GateHandler, State, HEAD_TIMEOUT, IDLE_TIMEOUT};
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// A connection that was taken, and its client's end.
+/// An accepted connection and the client's end of it.
 async fn connection() -> (Rc<Client>, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let other = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("a connection");
-    let (taken, _) = listener.accept().await.expect("a connection");
-    (Client::new(taken), other)
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+    let peer = TcpStream::connect(listener.local_addr().expect("listener address")).await.expect("connect");
+    let (accepted, _) = listener.accept().await.expect("accept");
+    (Client::new(accepted), peer)
 }
 
-/// A byte that the node's system has and the node has not read.
-async fn unread_byte(client: &Client, other: &mut TcpStream) {
-    other.write_all(b"P").await.expect("written");
-    client.socket.readable().await.expect("an open socket");
+/// Sends a byte that the kernel has received and the node has not read.
+async fn send_unread_byte(client: &Client, peer: &mut TcpStream) {
+    peer.write_all(b"P").await.expect("write to the socket");
+    client.socket.readable().await.expect("socket is open");
 }
 
 #[tokio::test]
-async fn a_new_connection_on_which_something_came_is_not_ended_for_silence() {
-    let (client, mut other) = connection().await;
-    unread_byte(&client, &mut other).await;
-    client.sweep(Instant::now() + FIRST);
-    assert_eq!(client.stage(), Stage::New);
+async fn a_new_connection_with_unread_input_does_not_time_out() {
+    let (client, mut peer) = connection().await;
+    send_unread_byte(&client, &mut peer).await;
+    client.check_timeouts(Instant::now() + HEAD_TIMEOUT);
+    assert_eq!(client.state(), State::New);
 }
 
 #[tokio::test]
-async fn what_comes_after_the_decision_to_close_takes_the_connection_back() {
-    for (stage, longest) in [(Stage::New, FIRST), (Stage::Idle, IDLE)] {
-        let (client, mut other) = connection().await;
-        client.enter(stage);
-        client.sweep(Instant::now() + longest);
-        assert_eq!(client.stage(), Stage::Leaving);
-        unread_byte(&client, &mut other).await;
-        assert!(!client.closes(), "{stage:?}: the byte would be dropped");
-        assert_eq!(client.stage(), stage);
-        client.begun().expect("it may begin");
-        assert_eq!(client.stage(), Stage::Head);
+async fn input_after_the_decision_to_close_keeps_the_connection_open() {
+    for (state, limit) in [(State::New, HEAD_TIMEOUT), (State::Idle, IDLE_TIMEOUT)] {
+        let (client, mut peer) = connection().await;
+        client.enter(state);
+        client.check_timeouts(Instant::now() + limit);
+        assert_eq!(client.state(), State::Closing);
+        send_unread_byte(&client, &mut peer).await;
+        assert!(!client.should_close(), "{state:?}: the byte would be lost");
+        assert_eq!(client.state(), state);
+        client.head_started().expect("the head is accepted");
+        assert_eq!(client.state(), State::ReadingHead);
     }
 }
 
-/// A head that began in time and then stopped has its own limit, which silence before it does not lengthen.
+/// A head that started in time and then stalled has its own time limit, which earlier silence does not extend.
 #[tokio::test]
-async fn a_connection_taken_back_keeps_the_time_that_it_had() {
-    let (client, mut other) = connection().await;
-    client.sweep(Instant::now() + FIRST);
-    unread_byte(&client, &mut other).await;
-    assert!(!client.closes());
-    client.begun().expect("it may begin");
-    client.sweep(Instant::now() + FIRST);
-    assert_eq!(client.stage(), Stage::Late);
+async fn a_connection_kept_open_keeps_its_time_limit() {
+    let (client, mut peer) = connection().await;
+    client.check_timeouts(Instant::now() + HEAD_TIMEOUT);
+    send_unread_byte(&client, &mut peer).await;
+    assert!(!client.should_close());
+    client.head_started().expect("the head is accepted");
+    client.check_timeouts(Instant::now() + HEAD_TIMEOUT);
+    assert_eq!(client.state(), State::HeadTimedOut);
 }
 
 #[tokio::test]
-async fn silence_closes_a_connection() {
-    let (client, _other) = connection().await;
-    assert!(!client.closes(), "nobody decided so");
-    client.sweep(Instant::now() + FIRST);
-    assert!(client.closes());
+async fn a_silent_connection_is_closed() {
+    let (client, _peer) = connection().await;
+    assert!(!client.should_close(), "no close was requested");
+    client.check_timeouts(Instant::now() + HEAD_TIMEOUT);
+    assert!(client.should_close());
 }
--- a/crates/http/src/front/connection.rs
+++ b/crates/http/src/front/connection.rs
@@ -1,11 +1,11 @@
-//! One connection from its accepting to its end.
+//! Serves one client connection from its acceptance to its end.
 
-use super::answer::turned_down;
-use super::client::{Client, Stage, TURNED_DOWN};
-use super::sent::Sent;
+use super::client::{Client, State, REJECTED_METHOD};
+use super::response::rejection_response;
+use super::tracked_body::TrackedBody;
 use super::{HttpFrontend, ShutdownPhase};
 use crate::gate::Gate;
-use crate::upstream::MOST_BUFFERED;
+use crate::upstream::MAX_HYPER_BUFFER;
 use birchswitch_host::socket;
 use hyper::body::Incoming as Body;
 use hyper::header::{self, HeaderValue};
@@ -23,16 +23,17 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// For what is still to be written on a connection that ends.
-const LAST_WRITES: Duration = Duration::from_secs(1);
+/// Time limit for writing pending responses on a connection that closes.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl HttpFrontend {
-    pub(super) fn connected(self: Rc<Self>, stream: TcpStream, permit: OwnedSemaphorePermit) {
+    /// Starts serving an accepted connection.
+    pub(super) fn start_connection(self: Rc<Self>, stream: TcpStream, permit: OwnedSemaphorePermit) {
         let _ = stream.set_nodelay(true);
         let client = Client::new(stream);
         let id = self.next_client.replace(self.next_client.get() + 1);
-        // Before its task runs: a burst may fill all places within one turn, and where nobody is known to be silent
-        // nobody makes room.
+        // Registered before its task runs: a burst may take all slots within one turn of the event loop, and only registered
+        // connections can be evicted.
         self.clients.borrow_mut().insert(id, client.clone());
         spawn_local(async move {
             self.serve_connection(&client).await;
@@ -43,38 +44,38 @@
 
     async fn serve_connection(self: &Rc<Self>, client: &Rc<Client>) {
         let service = service_fn(|request| self.respond(client, request));
-        // Times are kept by one look at all connections now and then, not by a timer on each.
+        // A periodic check of all connections enforces time limits, instead of a timer for each connection.
         let connection = http1::Builder::new()
             .header_read_timeout(None)
-            .max_buf_size(MOST_BUFFERED)
+            .max_buf_size(MAX_HYPER_BUFFER)
             .serve_connection(TokioIo::new(Gate::new(client.socket.clone(), client.clone())), service);
         let mut connection = std::pin::pin!(connection);
         let mut phase = self.phase.clone();
-        let mut known = ShutdownPhase::Serving;
+        let mut current = ShutdownPhase::Serving;
         loop {
             tokio::select! {
                 biased;
-                _ = connection.as_mut() => break, // Its errors are the client's: it left or spoke no HTTP.
+                _ = connection.as_mut() => break, // Errors are the client's: it disconnected or violated HTTP.
                 () = client.wake.notified() => {}
-                later = phase.wait_for(|p| *p > known.max(ShutdownPhase::Leaving)), if known < ShutdownPhase::Finishing => {
-                    known = later.map_or(ShutdownPhase::Finishing, |phase| *phase);
-                    if known == ShutdownPhase::Finishing {
+                next = phase.wait_for(|p| *p > current.max(ShutdownPhase::Leaving)), if current < ShutdownPhase::Finishing => {
+                    current = next.map_or(ShutdownPhase::Finishing, |phase| *phase);
+                    if current == ShutdownPhase::Finishing {
                         client.finish();
                     }
                 }
             }
-            if known == ShutdownPhase::Finishing && client.stage() == Stage::New {
+            if current == ShutdownPhase::Finishing && client.state() == State::New {
                 break;
             }
-            // What is owed or comes on any other is answered first; the last answer says that it is that.
-            if known >= ShutdownPhase::Closing && client.rests() {
+            // Other connections get the responses that they are owed first; the last response announces the close.
+            if current >= ShutdownPhase::Closing && client.is_idle() {
                 connection.as_mut().graceful_shutdown();
             }
-            if client.closes() {
+            if client.should_close() {
                 connection.as_mut().graceful_shutdown();
-                // Its last answer may still be on its way. A request that was read meanwhile is answered.
-                while timeout(LAST_WRITES, connection.as_mut()).await.is_err()
-                    && client.stage() == Stage::Busy
+                // Its last response may still be in transit. A request that was read meanwhile is answered.
+                while timeout(FLUSH_TIMEOUT, connection.as_mut()).await.is_err()
+                    && client.state() == State::Processing
                 {}
                 break;
             }
@@ -82,37 +83,38 @@
         self.linger(client).await;
     }
 
-    /// Answers one request of a connection.
+    /// Responds to one request of a connection.
     async fn respond(
         self: &Rc<Self>,
         client: &Rc<Client>,
         request: Request<Body>,
-    ) -> Result<Response<Sent>, Infallible> {
-        client.enter(Stage::Busy);
-        // Nobody but hyper knows where chunks end: what is behind them is not read.
+    ) -> Result<Response<TrackedBody>, Infallible> {
+        client.enter(State::Processing);
+        // Only hyper knows where a chunked body ends, so input behind it is not read.
         let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
         if chunked {
-            client.set_unread();
+            client.set_eof_undetectable();
         }
-        let mut response = match client.problem.get() {
-            Some((status, why)) if request.method() == TURNED_DOWN => turned_down(status, why),
-            _ => self.answer(client, request).await,
+        let mut response = match client.rejection.get() {
+            Some((status, why)) if request.method() == REJECTED_METHOD => rejection_response(status, why),
+            _ => self.handle(client, request).await,
         };
-        // A client that is told to close goes elsewhere next. Where places run short each is: many ask once and keep their
-        // connection, and until those may be closed nobody else would get in. But what was read is answered.
-        let unwanted = *self.phase.borrow() > ShutdownPhase::Serving || self.scarce();
-        if chunked || unwanted && !client.more_is_owed() {
+        // A client that is told to close connects elsewhere next. Every client is told so when slots are scarce: many send one
+        // request and keep their connection, and until those may be evicted no other client could connect. Requests that were
+        // read ahead are still answered.
+        let shed = *self.phase.borrow() > ShutdownPhase::Serving || self.slots_are_scarce();
+        if chunked || shed && !client.has_read_ahead() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         if response.headers().get(header::CONNECTION).is_some_and(|v| v == "close") {
-            client.set_last();
+            client.set_last_response();
         }
-        Ok(response.map(|body| Sent::new(body, client.clone())))
+        Ok(response.map(|body| TrackedBody::new(body, client.clone())))
     }
 
-    /// Closes the sending side and reads what still comes. Nothing of it is sent on.
+    /// Closes the sending side, then reads and discards remaining input, so that the client gets its last response.
     async fn linger(&self, client: &Client) {
-        if client.is_last() || !self.scarce() {
+        if client.is_last_response() || !self.slots_are_scarce() {
             let _ = SockRef::from(&*client.socket).shutdown(Shutdown::Write);
             socket::linger(&client.socket).await;
         }
--- a/crates/http/src/front/mod.rs
+++ b/crates/http/src/front/mod.rs
@@ -1,13 +1,13 @@
-//! The clients' side: takes connections and requests, checks them, and writes the final answers.
+//! The client side: accepts connections, validates requests, and writes the final responses.
 //!
-//! [`HttpFrontend`] accepts connections and makes room for them; `connection` serves one of them; `client` knows where it stands;
-//! `answer` answers one request, whose head `order` reads.
+//! [`HttpFrontend`] accepts connections and evicts idle ones; `connection` serves one connection, whose state `client` tracks;
+//! `response` handles one request, whose head `request_head` parses; `tracked_body` sends the response body.
 
-mod answer;
 mod client;
 mod connection;
-mod order;
-mod sent;
+mod request_head;
+mod response;
+mod tracked_body;
 
 use crate::body::BufferBudget;
 use crate::upstream::HttpUpstream;
@@ -26,52 +26,53 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, Instant};
 
-/// How often connections are looked at for what has taken too long.
-const SWEEP: Duration = Duration::from_millis(100);
-/// Where places are needed, and nobody can go yet, this is tried again.
-const ROOM: Duration = Duration::from_millis(5);
-/// Where places are needed, this part of them is made free at a time.
-const EVICTED_PART: u32 = 8;
-/// Where fewer places than this part are free, answers tell clients to close.
-const SPARE_PART: u32 = 4;
-/// A failed `accept` is not tried again at once.
+/// How often the time limits of connections are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long to wait for a free slot before trying to evict connections again.
+const SLOT_RETRY: Duration = Duration::from_millis(5);
+/// The fraction (1/n) of all slots that is freed at a time when slots are needed.
+const EVICTION_DIVISOR: u32 = 8;
+/// When less than this fraction (1/n) of the slots is free, responses tell clients to close.
+const SCARCE_DIVISOR: u32 = 4;
+/// Pause after a failed `accept`, so that a persistent error does not cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How far the node's end has come.
+/// Progress of the node's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// It serves.
+    /// Serves normally.
     Serving,
-    /// It serves, and asks clients to go elsewhere next.
+    /// Still serves, and tells clients to connect elsewhere next.
     Leaving,
-    /// It takes no connections, closes those that rest, and reads what has come on others.
+    /// Accepts no connections, closes idle ones, and reads pending requests on others.
     Closing,
-    /// It reads nothing more and finishes what it has.
+    /// Reads nothing more, and finishes the requests that it has.
     Finishing,
 }
 
-/// The clients' side of a node.
+/// Accepts client connections and answers their HTTP requests.
 pub struct HttpFrontend {
     host: Rc<Host<HttpUpstream>>,
     names: Rc<Names>,
     effects: Vec<Effect>,
     phase: watch::Receiver<ShutdownPhase>,
-    most: u32,
-    /// For bodies that still come.
-    room: Rc<BufferBudget>,
+    max_connections: u32,
+    /// Budget for retained request bodies.
+    budget: Rc<BufferBudget>,
     slots: Arc<Semaphore>,
     clients: RefCell<FxHashMap<u64, Rc<Client>>>,
     next_client: Cell<u64>,
 }
 
 impl HttpFrontend {
-    /// Takes at most `connections` at a time. Bodies too large to be held whole are kept for further attempts in `room`.
+    /// Creates a frontend that accepts at most `max_connections` at a time. `budget` bounds the memory for large request bodies
+    /// that are retained for further attempts.
     pub fn new(
         host: Rc<Host<HttpUpstream>>,
         names: Rc<Names>,
         effects: Vec<Effect>,
-        connections: u32,
-        room: Rc<BufferBudget>,
+        max_connections: u32,
+        budget: Rc<BufferBudget>,
         phase: watch::Receiver<ShutdownPhase>,
     ) -> Rc<Self> {
         Rc::new(HttpFrontend {
@@ -79,23 +80,23 @@
             names,
             effects,
             phase,
-            most: connections,
-            room,
-            slots: Arc::new(Semaphore::new(connections as usize)),
+            max_connections,
+            budget,
+            slots: Arc::new(Semaphore::new(max_connections as usize)),
             clients: RefCell::default(),
             next_client: Cell::new(0),
         })
     }
 
-    /// Takes connections until the node's end has come as far as `until`, then waits for the last of them to end.
+    /// Accepts connections until the shutdown reaches `until`, then waits for the last of them to end.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, until: ShutdownPhase) {
-        let sweeping = self.clone();
-        let sweeper = spawn_local(async move {
-            let mut every = tokio::time::interval(SWEEP);
+        let checking = self.clone();
+        let checker = spawn_local(async move {
+            let mut interval = tokio::time::interval(CHECK_INTERVAL);
             loop {
-                every.tick().await;
+                interval.tick().await;
                 let now = Instant::now();
-                sweeping.clients.borrow().values().for_each(|c| c.sweep(now));
+                checking.clients.borrow().values().for_each(|c| c.check_timeouts(now));
             }
         });
         let mut phase = self.phase.clone();
@@ -103,13 +104,13 @@
             let _ = phase.wait_for(|p| *p >= until).await;
         });
         loop {
-            // Not given up when the node closes: what the system has taken for us may hold requests, and would be
-            // lost with the socket.
-            let permit = self.slot().await;
+            // Not cancelled when the node closes: connections in the kernel's queue may hold requests, which would be lost
+            // with the socket.
+            let permit = self.acquire_slot().await;
             tokio::select! {
-                biased; // The same holds here: the queue first, then the end.
+                biased; // For the same reason, the queue comes before the shutdown.
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, _)) => self.clone().connected(stream, permit),
+                    Ok((stream, _)) => self.clone().start_connection(stream, permit),
                     Err(error) => {
                         self.host.log(format_args!("accept: {error}"));
                         tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -119,23 +120,26 @@
             }
         }
         for stream in queued_connections(listener) {
-            let permit = self.slot().await;
-            self.clone().connected(stream, permit);
+            let permit = self.acquire_slot().await;
+            self.clone().start_connection(stream, permit);
         }
-        let _ = self.slots.acquire_many(self.most).await;
-        sweeper.abort();
+        let _ = self.slots.acquire_many(self.max_connections).await;
+        checker.abort();
     }
 
-    /// Room for one more connection. Where there is none, some that have nothing to say are closed, so that they don't
-    /// keep others out: the longest silent first, several at a time, since more are likely to wait.
-    async fn slot(&self) -> OwnedSemaphorePermit {
+    /// Acquires a slot for one more connection. If none is free, evicts silent connections, the longest silent first, and several
+    /// at a time since more connections are likely to be waiting.
+    async fn acquire_slot(&self) -> OwnedSemaphorePermit {
         loop {
-            let permit = timeout(ROOM, self.slots.clone().acquire_owned());
+            let permit = timeout(SLOT_RETRY, self.slots.clone().acquire_owned());
             if self.slots.available_permits() == 0 {
                 let clients = self.clients.borrow();
-                let mut going: Vec<_> = clients.values().filter(|c| c.in_the_way()).collect();
-                going.sort_unstable_by_key(|c| c.since());
-                going.iter().take(self.most.div_ceil(EVICTED_PART) as usize).for_each(|c| c.leave());
+                let mut evictable: Vec<_> = clients.values().filter(|c| c.is_evictable()).collect();
+                evictable.sort_unstable_by_key(|c| c.since());
+                evictable
+                    .iter()
+                    .take(self.max_connections.div_ceil(EVICTION_DIVISOR) as usize)
+                    .for_each(|c| c.request_close());
             }
             if let Ok(permit) = permit.await {
                 return permit.expect("the semaphore is never closed");
@@ -143,7 +147,7 @@
         }
     }
 
-    fn scarce(&self) -> bool {
-        self.slots.available_permits() < (self.most / SPARE_PART) as usize
+    fn slots_are_scarce(&self) -> bool {
+        self.slots.available_permits() < (self.max_connections / SCARCE_DIVISOR) as usize
     }
 }
--- /dev/null
+++ b/crates/http/src/front/response.rs
@@ -0,0 +1,218 @@
+//! Handles one request: reads its head and body, submits it to the host, and turns the result into an HTTP response.
+
+use super::client::Client;
+use super::request_head::{strip_hop_by_hop, RequestHead};
+use super::{HttpFrontend, ShutdownPhase};
+use crate::body::{self, BodyError, BodyPrefix, RequestBody, ResponseBody, Upload};
+use crate::gate::{Rejection, SHUTTING_DOWN};
+use crate::upstream::HttpUpstream;
+use birchswitch_engine::{Answer, Incoming};
+use birchswitch_host::{socket, PendingRequest, Request as Submission};
+use bytes::Bytes;
+use finchvale::Time;
+use hyper::body::Incoming as Body;
+use hyper::header::{self, HeaderValue};
+use hyper::{Method, Request, Response, StatusCode};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// Subtracted from the client's timeout for the transit of the request's head and of the response: at most this ...
+const MAX_MARGIN: Duration = Duration::from_millis(20);
+/// ... and at most this fraction (1/n) of the timeout.
+const MARGIN_DIVISOR: u32 = 8;
+/// The balancer's own answer is due this fraction (1/n) of the margin after the deadline.
+const OVERDUE_DIVISOR: u32 = 4;
+/// Provisional deadline of a request whose body is still being received. It is replaced when the last byte arrives, or when
+/// the upload stalls.
+const UPLOAD_DEADLINE: Duration = Duration::from_secs(24 * 3600);
+/// How often an upload is checked for progress.
+const UPLOAD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+
+impl HttpFrontend {
+    /// Handles a request and returns its response.
+    pub(super) async fn handle(&self, client: &Client, request: Request<Body>) -> Response<ResponseBody> {
+        let received = Instant::now();
+        match (request.method(), request.uri().path()) {
+            (&Method::GET, "/health/ready") => {
+                let ready = self.host.ready() && *self.phase.borrow() == ShutdownPhase::Serving;
+                return plain_text(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
+            }
+            (&Method::GET, "/health/live") => {
+                return plain_text(StatusCode::OK, format!("list {}\n", self.host.revision()));
+            }
+            _ => {}
+        }
+        let (parts, mut body) = request.into_parts();
+        let head = match self.parse_head(&parts.method, &parts.uri, &parts.headers) {
+            Ok(head) => head,
+            Err((status, why)) => return rejection_response(status, why),
+        };
+        let prefix = match self.read_body(&mut body, received).await {
+            Ok(prefix) => prefix,
+            Err((status, why)) => return rejection_response(status, why),
+        };
+        if client.is_disconnected().await {
+            return plain_text(StatusCode::SERVICE_UNAVAILABLE, "nobody waits for the answer");
+        }
+        // A request's timeout counts from the arrival of its last byte, which may have been queued behind another request.
+        let margin = MAX_MARGIN.min(head.timeout / MARGIN_DIVISOR);
+        let deadlines = |last_byte: Instant| {
+            let deadline = last_byte + head.timeout - margin;
+            (deadline, deadline + margin / OVERDUE_DIVISOR)
+        };
+        let (payload, upload) = match prefix.complete {
+            true => (RequestBody::Whole(prefix.into_bytes()), None),
+            false => {
+                let upload = Upload::new(prefix.chunks, body, received, self.budget.clone(), head.timeout);
+                (RequestBody::Streamed(upload.clone()), Some(upload))
+            }
+        };
+        let (deadline, answer_deadline) = match &upload {
+            None => deadlines(client.take_last_byte().unwrap_or_else(Instant::now)),
+            Some(_) => (received + UPLOAD_DEADLINE, received + UPLOAD_DEADLINE),
+        };
+        let mut outgoing = Request::new(payload);
+        *outgoing.method_mut() = parts.method;
+        *outgoing.uri_mut() = head.target;
+        *outgoing.headers_mut() = strip_hop_by_hop(parts.headers);
+        let RequestHead { class, tenant, work, key, id: external_id, .. } = head;
+        // The host sets the deadlines.
+        let (deadline_unset, answer_deadline_unset) = (Time(0), Time(0));
+        let body_complete = upload.is_none();
+        let incoming = Incoming {
+            class,
+            tenant,
+            work,
+            body_complete,
+            deadline: deadline_unset,
+            answer_deadline: answer_deadline_unset,
+            external_id,
+            request: outgoing,
+        };
+        let Ok(mut pending) = self.host.submit(Submission { incoming, deadline, answer_deadline, key })
+        else {
+            return rejection_response(StatusCode::CONFLICT, "a request of this X-Request-ID is open");
+        };
+        let answer = match upload {
+            None => wait_for_answer(&mut pending, client).await,
+            Some(upload) => {
+                let answer = wait_for_upload_answer(&mut pending, client, &upload, deadlines).await;
+                // A client may read the response only after it has written everything.
+                spawn_local(upload.drain());
+                answer
+            }
+        };
+        into_response(answer, pending.rejection_message())
+    }
+
+    /// Reads a body, or the first part of a large one. Gives up when the node shuts down.
+    async fn read_body(&self, body: &mut Body, received: Instant) -> Result<BodyPrefix, Rejection> {
+        let mut phase = self.phase.clone();
+        tokio::select! {
+            biased;
+            prefix = BodyPrefix::read(body, |bytes| body::progress_deadline(received, bytes), false) => prefix.map_err(|error| match error {
+                BodyError::TimedOut => (StatusCode::REQUEST_TIMEOUT, "the body took too long"),
+                _ => (StatusCode::BAD_REQUEST, "the body is not whole"),
+            }),
+            _ = phase.wait_for(|p| *p == ShutdownPhase::Finishing) => Err(SHUTTING_DOWN),
+        }
+    }
+}
+
+/// Waits for the answer. A client that closes its sending side meanwhile has gone: its request is abandoned and starts no
+/// further attempt.
+async fn wait_for_answer(
+    pending: &mut PendingRequest<HttpUpstream>,
+    client: &Client,
+) -> Answer<Response<ResponseBody>> {
+    tokio::select! {
+        biased;
+        answer = pending.answer() => return answer,
+        () = client.disconnected() => {}
+    }
+    pending.abandon();
+    pending.answer().await
+}
+
+/// Converts the final answer to an HTTP response. `why` is the text of a refusal, if there is a specific one.
+fn into_response(
+    answer: Answer<Response<ResponseBody>>,
+    why: Option<&'static str>,
+) -> Response<ResponseBody> {
+    match answer {
+        Answer::Served(response) => {
+            let (head, body) = response.into_parts();
+            let mut response = Response::new(body);
+            *response.headers_mut() = strip_hop_by_hop(head.headers);
+            response
+        }
+        Answer::Refused(wait) => {
+            let why = why.unwrap_or("refused: trying again is harmless");
+            let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, why);
+            if let Some(wait) = wait {
+                let wait = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64()));
+                let wait = wait.expect("a decimal number is a valid header value");
+                response.headers_mut().insert(header::RETRY_AFTER, wait);
+            }
+            response
+        }
+        Answer::Failed => {
+            plain_text(StatusCode::GATEWAY_TIMEOUT, "failed: the request may have been carried out")
+        }
+    }
+}
+
+/// Waits for the answer to a request whose body is still being received. Its timeout starts with the last byte, and ends at once
+/// when the upload stalls. A client that closes its sending side has gone, whether or not the body was read completely. While no
+/// attempt reads the body, some of it is read ahead, so that the end of the connection is noticed.
+async fn wait_for_upload_answer(
+    pending: &mut PendingRequest<HttpUpstream>,
+    client: &Client,
+    upload: &Rc<Upload>,
+    deadlines: impl Fn(Instant) -> (Instant, Instant),
+) -> Answer<Response<ResponseBody>> {
+    let (mut receiving, mut may_read_ahead) = (true, true);
+    loop {
+        tokio::select! {
+            biased;
+            answer = pending.answer() => return answer,
+            () = socket::wait_read_closed(&client.socket) => break,
+            () = upload.wait_complete(), if receiving => {
+                receiving = false;
+                let (deadline, answer_deadline) = deadlines(Instant::now());
+                pending.set_deadlines(deadline, answer_deadline);
+            }
+            result = upload.read_ahead(), if may_read_ahead => {
+                may_read_ahead = false;
+                if result.is_err() {
+                    break;
+                }
+            }
+            () = tokio::time::sleep(UPLOAD_CHECK_INTERVAL), if receiving => {
+                if upload.is_stalled() {
+                    receiving = false;
+                    pending.set_deadlines(Instant::now(), Instant::now());
+                }
+            }
+        }
+    }
+    pending.abandon();
+    pending.answer().await
+}
+
+/// The response to a rejected request. It closes the connection: after a malformed request, the start of the next one can't be
+/// trusted.
+pub(super) fn rejection_response(status: StatusCode, why: &'static str) -> Response<ResponseBody> {
+    let mut response = plain_text(status, why);
+    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    response
+}
+
+fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Whole(text.into()));
+    *response.status_mut() = status;
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response
+}
--- a/crates/http/src/gate/arrivals.rs
+++ b/crates/http/src/gate/arrivals.rs
@@ -1,43 +1,43 @@
-//! When the bytes of a connection came, for those that wait behind others.
+//! Arrival times of a connection's bytes, so that the time a request spent queued behind others is known.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Bytes that come within this time of each other count as come together, with the first of them.
-const TOGETHER: Duration = Duration::from_millis(5);
+/// Bytes received within this time of the first byte of a batch count as having arrived with it.
+const MERGE_WINDOW: Duration = Duration::from_millis(5);
 
-/// When the bytes of a connection came.
+/// Arrival times of the bytes that were received on a connection and not yet forwarded.
 #[derive(Debug, Default)]
-pub(super) struct Arrivals {
-    /// Bytes that have come so far, and how many of them have passed on.
-    come: u64,
-    passed: u64,
-    /// Up to which byte, and when the first of them since the mark before.
-    marks: VecDeque<(u64, Instant)>,
+pub(super) struct ArrivalTimes {
+    /// Total bytes received, and how many of them have been forwarded.
+    received: u64,
+    forwarded: u64,
+    /// For each batch: the stream offset of its end, and the arrival time of its first byte.
+    batches: VecDeque<(u64, Instant)>,
 }
 
-impl Arrivals {
-    /// So many bytes have come now.
-    pub(super) fn came(&mut self, bytes: usize, now: Instant) {
-        self.come += bytes as u64;
-        match self.marks.back_mut().filter(|mark| now - mark.1 < TOGETHER) {
-            Some(mark) => mark.0 = self.come,
-            None => self.marks.push_back((self.come, now)),
+impl ArrivalTimes {
+    /// Records that `bytes` more bytes were received at `now`.
+    pub(super) fn record(&mut self, bytes: usize, now: Instant) {
+        self.received += bytes as u64;
+        match self.batches.back_mut().filter(|batch| now - batch.1 < MERGE_WINDOW) {
+            Some(batch) => batch.0 = self.received,
+            None => self.batches.push_back((self.received, now)),
         }
     }
 
-    /// So many more have passed on. Says when the last of them came.
-    pub(super) fn pass(&mut self, bytes: usize) -> Option<Instant> {
-        self.passed += bytes as u64;
-        while self.marks.front().is_some_and(|mark| mark.0 < self.passed) {
-            self.marks.pop_front();
+    /// Records that `bytes` more bytes were forwarded. Returns the arrival time of the last of them.
+    pub(super) fn forward(&mut self, bytes: usize) -> Option<Instant> {
+        self.forwarded += bytes as u64;
+        while self.batches.front().is_some_and(|batch| batch.0 < self.forwarded) {
+            self.batches.pop_front();
         }
-        let came = self.marks.front().map(|mark| mark.1);
-        if self.passed == self.come {
-            self.marks.clear();
+        let arrived = self.batches.front().map(|batch| batch.1);
+        if self.forwarded == self.received {
+            self.batches.clear();
         }
-        came
+        arrived
     }
 }
 
@@ -46,18 +46,18 @@
     use super::*;
 
     #[test]
-    fn bytes_that_wait_keep_the_time_at_which_they_came() {
-        let began = Instant::now();
-        let after = |ms| began + Duration::from_millis(ms);
-        let mut arrivals = Arrivals::default();
-        arrivals.came(10, began);
-        arrivals.came(5, after(2));
-        arrivals.came(10, after(100));
-        assert_eq!(arrivals.pass(12), Some(began), "the first of those that came together counts");
-        assert_eq!(arrivals.pass(4), Some(after(100)));
-        assert_eq!(arrivals.pass(9), Some(after(100)));
-        assert!(arrivals.marks.is_empty(), "nothing is kept of what has passed");
-        arrivals.came(1, after(300));
-        assert_eq!(arrivals.pass(1), Some(after(300)));
+    fn queued_bytes_keep_their_arrival_time() {
+        let start = Instant::now();
+        let after = |ms| start + Duration::from_millis(ms);
+        let mut arrivals = ArrivalTimes::default();
+        arrivals.record(10, start);
+        arrivals.record(5, after(2));
+        arrivals.record(10, after(100));
+        assert_eq!(arrivals.forward(12), Some(start), "a batch has the arrival time of its first byte");
+        assert_eq!(arrivals.forward(4), Some(after(100)));
+        assert_eq!(arrivals.forward(9), Some(after(100)));
+        assert!(arrivals.batches.is_empty(), "no times are kept for forwarded bytes");
+        arrivals.record(1, after(300));
+        assert_eq!(arrivals.forward(1), Some(after(300)));
     }
 }
--- a/crates/http/src/gate/heads.rs
+++ b/crates/http/src/gate/heads.rs
@@ -1,16 +1,16 @@
-//! Heads of messages, read as far as a gate needs: how long the head is, and what follows it.
+//! Parses message heads as far as a gate needs: the length of the head and the framing of the body.
 
-use super::{Head, Next, Problem};
-use crate::body::MOST;
+use super::{Expected, Head, Rejection};
+use crate::body::MAX_BODY;
 use hyper::StatusCode;
 
-/// Most lines in a head.
-const MOST_HEADERS: usize = 100;
+/// Maximum number of header lines in a head.
+const MAX_HEADERS: usize = 100;
 
-/// Reads a request's head.
-pub fn request_head(bytes: &[u8]) -> Result<Option<Head>, Problem> {
+/// Parses a request head. `None` if it is incomplete.
+pub fn parse_request_head(bytes: &[u8]) -> Result<Option<Head>, Rejection> {
     let bad = |why| (StatusCode::BAD_REQUEST, why);
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let length = match request.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
@@ -23,67 +23,70 @@
     if !matches!(request.method, Some("GET" | "POST")) {
         return Err((StatusCode::METHOD_NOT_ALLOWED, "GET and POST are known here"));
     }
-    let next = match framing(request.headers).map_err(bad)? {
-        Framing::Length(body) if body > MOST => {
+    let next = match body_framing(request.headers).map_err(bad)? {
+        Framing::Length(body) if body > MAX_BODY => {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
         }
-        Framing::Length(body) => Next::Body(body),
-        Framing::None => Next::Body(0),
+        Framing::Length(body) => Expected::Body(body),
+        Framing::None => Expected::Body(0),
         Framing::Chunked if request.version != Some(1) => return Err(bad("HTTP/1.0 knows no chunks")),
-        Framing::Chunked => Next::Chunked,
+        Framing::Chunked => Expected::Chunked,
     };
-    // What is behind a request has to begin another. Else its length is wrong, and nothing about it can be trusted.
-    if let Next::Body(body) = next {
-        let behind = bytes.get(length + body as usize..).unwrap_or_default();
-        let behind = behind.strip_prefix(b"\r\n").unwrap_or(behind);
-        let begins = |method: &[u8]| behind.iter().zip(method).all(|(a, b)| a == b);
-        if !begins(b"GET ") && !begins(b"POST ") {
+    // Bytes after a request have to be the start of another one. Otherwise the declared length is wrong (request
+    // smuggling, for example), and nothing else about the request can be trusted either.
+    if let Expected::Body(body) = next {
+        let trailing = bytes.get(length + body as usize..).unwrap_or_default();
+        let trailing = trailing.strip_prefix(b"\r\n").unwrap_or(trailing);
+        let may_start = |method: &[u8]| trailing.iter().zip(method).all(|(a, b)| a == b);
+        if !may_start(b"GET ") && !may_start(b"POST ") {
             return Err(bad("more came than the head says"));
         }
     }
     Ok(Some(Head { length, next }))
 }
 
-/// Reads an answer's head.
-pub fn answer_head(bytes: &[u8]) -> Result<Option<Head>, Problem> {
+/// Parses a response head. `None` if it is incomplete.
+pub fn parse_response_head(bytes: &[u8]) -> Result<Option<Head>, Rejection> {
     let bad = |why| (StatusCode::BAD_GATEWAY, why);
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let mut answer = httparse::Response::new(&mut headers);
-    let length = match answer.parse(bytes) {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    let length = match response.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(bad("the head can't be read")),
     };
-    let next = match (answer.code, framing(answer.headers).map_err(bad)?) {
-        (Some(101), _) => return Err(bad("nobody asked for another protocol")),
-        (Some(100..200), _) => Next::Head,
-        (Some(204 | 304), _) => Next::Body(0),
-        (_, Framing::Length(body)) if body <= MOST => Next::Body(body),
+    let next = match (response.code, body_framing(response.headers).map_err(bad)?) {
+        (Some(101), _) => return Err(bad("unrequested protocol switch")),
+        (Some(100..200), _) => Expected::Head,
+        (Some(204 | 304), _) => Expected::Body(0),
+        (_, Framing::Length(body)) if body <= MAX_BODY => Expected::Body(body),
         (_, Framing::Length(_)) => return Err(bad("the body is too large")),
-        (_, Framing::Chunked) if answer.version == Some(1) => Next::Chunked,
-        // It ends with its connection, and says so: a break is a reset, and hyper tells the two apart.
-        (_, Framing::None) if closes(answer.headers) => Next::Chunked,
-        // Whether it is whole could not be told.
-        _ => return Err(bad("the body has no length")),
+        (_, Framing::Chunked) if response.version == Some(1) => Expected::Chunked,
+        // The end of the connection ends the body, as the head announces. An aborted connection is reset instead, which
+        // hyper reports as an error.
+        (_, Framing::None) if has_connection_close(response.headers) => Expected::Chunked,
+        // There would be no way to tell a complete body from a truncated one.
+        _ => return Err(bad("the body has no length and no Connection: close")),
     };
     Ok(Some(Head { length, next }))
 }
 
+/// How the end of a body is found, according to the headers.
 enum Framing {
     None,
     Length(u64),
     Chunked,
 }
 
-/// Whether a message says that it is the last one on its connection.
-fn closes(headers: &[httparse::Header]) -> bool {
+/// Whether the message announces that its connection closes after it.
+fn has_connection_close(headers: &[httparse::Header]) -> bool {
     headers
         .iter()
         .any(|h| h.name.eq_ignore_ascii_case("connection") && h.value.eq_ignore_ascii_case(b"close"))
 }
 
-/// How long a body is, by the one header that may say so.
-fn framing(headers: &[httparse::Header]) -> Result<Framing, &'static str> {
+/// Determines the body framing. Conflicting, repeated or unsupported headers are errors.
+fn body_framing(headers: &[httparse::Header]) -> Result<Framing, &'static str> {
     let values = |name: &'static str| {
         let named = move |h: &&httparse::Header| h.name.eq_ignore_ascii_case(name);
         headers.iter().filter(named).map(|h| h.value.trim_ascii())
@@ -111,13 +114,20 @@
     use super::*;
 
     #[test]
-    fn requests_are_framed() {
-        let next =
-            |head: &str| request_head(head.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|p| p.0.as_u16());
-        assert_eq!(next("GET / HTTP/1.1\r\n\r\n"), Ok(Some(Next::Body(0))));
-        assert_eq!(next("POST / HTTP/1.1\r\ncontent-LENGTH: 7\r\n\r\n"), Ok(Some(Next::Body(7))));
-        assert_eq!(next("POST / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"), Ok(Some(Next::Chunked)));
-        assert_eq!(next("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n.GET / HT"), Ok(Some(Next::Body(1))));
+    fn request_framing() {
+        let next = |head: &str| {
+            parse_request_head(head.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|p| p.0.as_u16())
+        };
+        assert_eq!(next("GET / HTTP/1.1\r\n\r\n"), Ok(Some(Expected::Body(0))));
+        assert_eq!(next("POST / HTTP/1.1\r\ncontent-LENGTH: 7\r\n\r\n"), Ok(Some(Expected::Body(7))));
+        assert_eq!(
+            next("POST / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"),
+            Ok(Some(Expected::Chunked))
+        );
+        assert_eq!(
+            next("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n.GET / HT"),
+            Ok(Some(Expected::Body(1)))
+        );
         assert_eq!(next("POST / HTTP/1.1\r\nContent-Le"), Ok(None));
         let both = [
             "Content-Length: 3\r\nTransfer-Encoding: chunked",
@@ -143,16 +153,17 @@
     }
 
     #[test]
-    fn answers_are_framed() {
-        let next =
-            |head: &str| answer_head(head.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|p| p.0.as_u16());
+    fn response_framing() {
+        let next = |head: &str| {
+            parse_response_head(head.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|p| p.0.as_u16())
+        };
         assert_eq!(
             next("HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Length: 7\r\n\r\n"),
-            Ok(Some(Next::Body(7)))
+            Ok(Some(Expected::Body(7)))
         );
-        assert_eq!(next("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"), Ok(Some(Next::Head)));
-        assert_eq!(next("HTTP/1.1 204 No Content\r\n\r\n"), Ok(Some(Next::Body(0))));
-        for spoilt in [
+        assert_eq!(next("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"), Ok(Some(Expected::Head)));
+        assert_eq!(next("HTTP/1.1 204 No Content\r\n\r\n"), Ok(Some(Expected::Body(0))));
+        for invalid in [
             "200 OK\r\n\r\n",
             "101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
             "200 OK\r\nContent-Length: 3000000000\r\n\r\n",
@@ -160,7 +171,7 @@
             "200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
             "what\r\n\r\n",
         ] {
-            assert_eq!(next(&format!("HTTP/1.1 {spoilt}")), Err(502), "{spoilt}");
+            assert_eq!(next(&format!("HTTP/1.1 {invalid}")), Err(502), "{invalid}");
         }
         assert_eq!(next("HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), Err(502));
     }
--- a/crates/http/src/gate/mod.rs
+++ b/crates/http/src/gate/mod.rs
@@ -1,15 +1,15 @@
-//! What stands between a socket and hyper: reads each message's head itself and lets through that one message.
+//! The gate between a socket and hyper: parses each message head itself and lets one message through at a time.
 //!
-//! Hyper drops a `Content-Length` beside a `Transfer-Encoding`, reads an answer without a length to the connection's
-//! end, and has bytes behind a message in its buffer before anyone can ask. All of that is decided here, on the raw
-//! bytes: what is behind a message reaches hyper only once it is expected, and a head that is no good never does.
+//! Hyper drops a `Content-Length` beside a `Transfer-Encoding`, reads a response without a length until the connection
+//! ends, and buffers bytes after a message before they can be checked. All of that is decided here, on the raw bytes:
+//! bytes after a message reach hyper only once another message is expected, and an invalid head never reaches it.
 
 mod arrivals;
 mod heads;
 
-use arrivals::Arrivals;
+use arrivals::ArrivalTimes;
 use bytes::{Buf, BytesMut};
-pub use heads::{answer_head, request_head};
+pub use heads::{parse_request_head, parse_response_head};
 use hyper::StatusCode;
 use socket2::SockRef;
 use std::io::{self, IoSlice};
@@ -21,133 +21,136 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most that a head may hold, interim ones before it included.
-const MOST_HEAD: usize = 16 << 10;
-/// Room made for one read, and for one where the last one filled its own.
-const READ: usize = 4 << 10;
-const READ_MORE: usize = 32 << 10;
-/// Most that is read behind a message in hand.
-const MOST_AHEAD: usize = 16 << 10;
-/// What the client of a request is told that was not whole when the node ended.
-pub const ENDING: Problem = (StatusCode::SERVICE_UNAVAILABLE, "this node ends: trying again is harmless");
+/// Maximum size of a head, including any interim (1xx) heads before it.
+const MAX_HEAD: usize = 16 << 10;
+/// Buffer space reserved for a read, and for one that follows a read of at least `READ_SIZE`.
+const READ_SIZE: usize = 4 << 10;
+const LARGE_READ_SIZE: usize = 32 << 10;
+/// Maximum number of bytes read ahead behind the message being processed.
+const MAX_READ_AHEAD: usize = 16 << 10;
+/// The rejection of a request that was incomplete when the node shut down.
+pub const SHUTTING_DOWN: Rejection =
+    (StatusCode::SERVICE_UNAVAILABLE, "this node ends: trying again is harmless");
 
-/// Why a message is turned down.
-pub type Problem = (StatusCode, &'static str);
+/// Status and text with which a message is rejected.
+pub type Rejection = (StatusCode, &'static str);
 
-/// What comes next on a connection.
+/// What a connection expects to read next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// A head.
+pub enum Expected {
+    /// A message head.
     Head,
-    /// So much more of a body.
+    /// This many more bytes of a body.
     Body(u64),
-    /// A body of which only hyper finds the end.
+    /// A body whose end only hyper can find.
     Chunked,
-    /// Nothing, unless something is written before.
+    /// Nothing until something has been written.
     Nothing,
-    /// Nothing more that anyone wants.
-    Over,
+    /// No further input: it is never read.
+    End,
 }
 
-/// The head of a message, read as far as a gate needs.
+/// A message head, parsed as far as a gate needs.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Head {
-    /// Bytes that it takes.
+    /// Length of the head in bytes.
     pub length: usize,
     /// What follows it.
-    pub next: Next,
+    pub next: Expected,
 }
 
-/// How a gate goes on between two messages.
+/// How a gate treats input between two messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
-    /// The next message is let through as it comes.
-    Through,
-    /// A message is in hand: what comes behind it is read and held, up to a bound, so that the connection's end shows.
-    Ahead,
-    /// What is held is let through, and nothing more is read.
-    Held,
-    /// Nothing more is read or let through.
+pub enum ReadMode {
+    /// The next message is forwarded as it arrives.
+    Forward,
+    /// A message is being processed: what follows is read into a bounded buffer, so that the end of the connection is
+    /// noticed.
+    Buffer,
+    /// Buffered messages are forwarded, and nothing more is read.
+    Drain,
+    /// Nothing more is read or forwarded.
     Stopped,
 }
 
-/// Decides about heads, for one side of the node.
-pub trait Guard {
-    /// What comes first, and after each message.
-    const BETWEEN: Next;
-    /// Reads a head. None: more of it is to come.
-    fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem>;
-    /// What hyper gets in place of a message that is turned down.
-    fn turn_down(&self, problem: Problem) -> io::Result<&'static [u8]>;
-    /// Bytes of a head are there. Says what is wrong with it even though it is not whole.
-    fn begun(&self) -> Result<(), Problem> {
+/// Checks message heads and receives events of a gate, for one side of the node.
+pub trait GateHandler {
+    /// What is expected at the start of a connection and after each message.
+    const BETWEEN_MESSAGES: Expected;
+    /// Parses a head. `None` if it is incomplete.
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, Rejection>;
+    /// Returns the bytes that hyper reads in place of a rejected message.
+    fn reject(&self, rejection: Rejection) -> io::Result<&'static [u8]>;
+    /// Called when bytes of a head are buffered. May reject the head before it is complete.
+    fn head_started(&self) -> Result<(), Rejection> {
         Ok(())
     }
-    /// More than the message came with it. Hyper is told only when it reads on, which may be too late.
-    fn more(&self) {}
-    /// How to go on between two messages.
-    fn reading(&self) -> Reading {
-        Reading::Through
+    /// More bytes than the message were received with it. Hyper learns of them only when it reads on, which may be too
+    /// late.
+    fn excess_received(&self) {}
+    /// How to treat input between two messages.
+    fn read_mode(&self) -> ReadMode {
+        ReadMode::Forward
     }
-    /// A message has passed whole; its last byte came at this time.
-    fn whole(&self, _came: Instant) {}
-    /// So many bytes are held behind the message in hand.
-    fn ahead(&self, _bytes: usize) {}
-    /// The bound for what is held is reached: the connection's end will not show by reading.
-    fn unread(&self) {}
-    /// The other side ended its sending while a message is in hand.
-    fn ended(&self) {}
-    /// Some bytes went out; if `all`, so did everything that hyper had to write.
-    fn wrote(&self, _all: bool) {}
+    /// A message was forwarded completely; its last byte was received at `_arrived`.
+    fn message_complete(&self, _arrived: Instant) {}
+    /// This many bytes are buffered behind the message being processed.
+    fn buffered_ahead(&self, _bytes: usize) {}
+    /// The read-ahead buffer is full: reading can't detect the end of the connection any more.
+    fn buffer_full(&self) {}
+    /// The peer closed its sending side while a message is being processed.
+    fn peer_closed(&self) {}
+    /// Bytes were written; if `_all`, hyper has nothing left to write.
+    fn written(&self, _all: bool) {}
 }
 
-/// See the module's own words.
-pub struct Gate<G> {
+/// A socket as hyper sees it: reads pass through the checks described in the module documentation.
+pub struct Gate<H> {
     socket: Rc<TcpStream>,
-    guard: G,
-    held: BytesMut,
-    /// So much of what is held may go to hyper.
-    pass: usize,
-    next: Next,
-    /// Room for the next read.
-    read: usize,
-    /// Bytes of interim heads since something was written.
-    interim: usize,
-    arrivals: Arrivals,
-    /// The other side has ended its sending.
-    ended: bool,
+    handler: H,
+    buffer: BytesMut,
+    /// How many of the buffered bytes may go to hyper.
+    forwardable: usize,
+    expected: Expected,
+    /// Buffer space to reserve for the next read.
+    read_size: usize,
+    /// Bytes of interim heads since the last write.
+    interim_bytes: usize,
+    arrivals: ArrivalTimes,
+    /// The peer has closed its sending side.
+    peer_closed: bool,
 }
 
-impl<G: Guard> Gate<G> {
-    /// Around a socket on which nothing was read yet.
-    pub fn new(socket: Rc<TcpStream>, guard: G) -> Self {
+impl<H: GateHandler> Gate<H> {
+    /// Wraps a socket from which nothing has been read yet.
+    pub fn new(socket: Rc<TcpStream>, handler: H) -> Self {
         Gate {
             socket,
-            guard,
-            held: BytesMut::new(),
-            pass: 0,
-            next: G::BETWEEN,
-            read: READ,
-            interim: 0,
-            arrivals: Arrivals::default(),
-            ended: false,
+            handler,
+            buffer: BytesMut::new(),
+            forwardable: 0,
+            expected: H::BETWEEN_MESSAGES,
+            read_size: READ_SIZE,
+            interim_bytes: 0,
+            arrivals: ArrivalTimes::default(),
+            peer_closed: false,
         }
     }
 
-    /// Reads more into what is held.
-    fn fill(&mut self, cx: &mut Context) -> Poll<io::Result<usize>> {
+    /// Reads more bytes into the buffer. 0: the peer closed its sending side.
+    fn fill_buffer(&mut self, cx: &mut Context) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.socket.poll_read_ready(cx))?;
-            self.held.reserve(self.read);
-            let room = self.held.capacity() - self.held.len();
-            let (socket, held) = (&self.socket, &mut self.held);
+            self.buffer.reserve(self.read_size);
+            let capacity = self.buffer.capacity() - self.buffer.len();
+            let (socket, buffer) = (&self.socket, &mut self.buffer);
             let mut read = None;
-            // A read that leaves room has emptied the socket. Said so, the runtime waits for the next event; else it would
-            // take another read to find out. An end that has come already is not forgotten by that.
-            let drained = socket.try_io(Interest::READABLE, || match socket.try_read_buf(held) {
+            // A read that does not fill the buffer has emptied the socket. Reporting WouldBlock clears the readiness, which
+            // saves another read to find that out. An end of the stream that was already signalled is not lost by this.
+            let drained = socket.try_io(Interest::READABLE, || match socket.try_read_buf(buffer) {
                 Ok(n) => {
                     read = Some(n);
-                    if n > 0 && n < room {
+                    if n > 0 && n < capacity {
                         return Err(io::ErrorKind::WouldBlock.into());
                     }
                     Ok(())
@@ -156,9 +159,9 @@
             });
             match (read, drained) {
                 (Some(n), _) => {
-                    self.read = if n >= READ { READ_MORE } else { READ };
-                    self.ended = n == 0;
-                    self.arrivals.came(n, Instant::now());
+                    self.read_size = if n >= READ_SIZE { LARGE_READ_SIZE } else { READ_SIZE };
+                    self.peer_closed = n == 0;
+                    self.arrivals.record(n, Instant::now());
                     return Poll::Ready(Ok(n));
                 }
                 (None, Err(error)) if error.kind() != io::ErrorKind::WouldBlock => {
@@ -169,118 +172,119 @@
         }
     }
 
-    /// A message has passed whole, the last byte of which came at this time.
-    fn passed_whole(&mut self, came: Instant) {
-        self.next = G::BETWEEN;
-        if !self.held.is_empty() {
-            self.guard.more();
-        } else if self.held.capacity() > READ_MORE / 2 {
-            // A connection that rests holds no more than one that is new.
-            self.held = BytesMut::new();
+    /// Completes a message whose last byte was received at `arrived`.
+    fn finish_message(&mut self, arrived: Instant) {
+        self.expected = H::BETWEEN_MESSAGES;
+        if !self.buffer.is_empty() {
+            self.handler.excess_received();
+        } else if self.buffer.capacity() > LARGE_READ_SIZE / 2 {
+            // An idle connection holds no more memory than a new one.
+            self.buffer = BytesMut::new();
         }
-        self.guard.ahead(self.held.len());
-        self.guard.whole(came);
+        self.handler.buffered_ahead(self.buffer.len());
+        self.handler.message_complete(arrived);
     }
 
-    /// Reads behind the message in hand. Hyper is given nothing of it yet.
+    /// Reads ahead behind the message being processed. Hyper gets none of it yet.
     fn read_ahead(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
-        while !self.ended && self.held.len() < MOST_AHEAD {
-            self.read = READ;
-            let read = self.fill(cx)?;
-            self.guard.ahead(self.held.len());
+        while !self.peer_closed && self.buffer.len() < MAX_READ_AHEAD {
+            self.read_size = READ_SIZE;
+            let read = self.fill_buffer(cx)?;
+            self.handler.buffered_ahead(self.buffer.len());
             if ready!(read) == 0 {
-                self.guard.ended();
+                self.handler.peer_closed();
             }
         }
-        if !self.ended {
-            self.guard.unread();
+        if !self.peer_closed {
+            self.handler.buffer_full();
         }
         Poll::Pending
     }
 
-    /// Puts what a guard says in the place of a message that is turned down.
-    fn turn_down(&mut self, problem: Problem) -> io::Result<()> {
-        let instead = self.guard.turn_down(problem)?;
-        self.held.clear();
-        self.held.extend_from_slice(instead);
-        (self.pass, self.next) = (self.held.len(), Next::Over);
+    /// Replaces a rejected message with the handler's bytes.
+    fn reject(&mut self, rejection: Rejection) -> io::Result<()> {
+        let replacement = self.handler.reject(rejection)?;
+        self.buffer.clear();
+        self.buffer.extend_from_slice(replacement);
+        (self.forwardable, self.expected) = (self.buffer.len(), Expected::End);
         Ok(())
     }
 
-    /// Looks for a whole head in what is held.
-    fn find_head(&mut self) -> Result<bool, Problem> {
-        if self.held.is_empty() {
+    /// Parses the head at the start of the buffer. `false` if it is incomplete.
+    fn try_parse_head(&mut self) -> Result<bool, Rejection> {
+        if self.buffer.is_empty() {
             return Ok(false);
         }
-        self.guard.begun()?;
+        self.handler.head_started()?;
         let too_long = Err((StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long"));
-        match self.guard.head(&self.held)? {
-            Some(head) if self.interim + head.length <= MOST_HEAD => {
-                (self.pass, self.next) = (head.length, head.next);
-                self.interim = if head.next == Next::Head { self.interim + head.length } else { 0 };
+        match self.handler.parse_head(&self.buffer)? {
+            Some(head) if self.interim_bytes + head.length <= MAX_HEAD => {
+                (self.forwardable, self.expected) = (head.length, head.next);
+                self.interim_bytes =
+                    if head.next == Expected::Head { self.interim_bytes + head.length } else { 0 };
                 Ok(true)
             }
-            None if self.held.len() < MOST_HEAD => Ok(false),
+            None if self.buffer.len() < MAX_HEAD => Ok(false),
             _ => too_long,
         }
     }
 }
 
-impl<G: Guard + Unpin> AsyncRead for Gate<G> {
+impl<H: GateHandler + Unpin> AsyncRead for Gate<H> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let me = self.get_mut();
         loop {
-            if me.pass > 0 {
-                let part = me.pass.min(buf.remaining());
-                buf.put_slice(&me.held[..part]);
-                me.held.advance(part);
-                me.pass -= part;
-                let came = me.arrivals.pass(part);
-                if me.pass == 0 && me.next == Next::Body(0) {
-                    me.passed_whole(came.unwrap_or_else(Instant::now));
+            if me.forwardable > 0 {
+                let part = me.forwardable.min(buf.remaining());
+                buf.put_slice(&me.buffer[..part]);
+                me.buffer.advance(part);
+                me.forwardable -= part;
+                let arrived = me.arrivals.forward(part);
+                if me.forwardable == 0 && me.expected == Expected::Body(0) {
+                    me.finish_message(arrived.unwrap_or_else(Instant::now));
                 }
                 return Poll::Ready(Ok(()));
             }
-            match me.next {
-                Next::Head => match me.guard.reading() {
-                    Reading::Stopped => return Poll::Pending,
-                    Reading::Ahead => return me.read_ahead(cx),
-                    // Whoever has gone is answered no more.
-                    _ if me.ended => return Poll::Ready(Ok(())),
-                    reading => match me.find_head() {
+            match me.expected {
+                Expected::Head => match me.handler.read_mode() {
+                    ReadMode::Stopped => return Poll::Pending,
+                    ReadMode::Buffer => return me.read_ahead(cx),
+                    // A peer that has closed gets no further responses.
+                    _ if me.peer_closed => return Poll::Ready(Ok(())),
+                    mode => match me.try_parse_head() {
                         Ok(true) => {}
-                        Ok(false) if reading == Reading::Held && me.held.is_empty() => return Poll::Pending,
-                        Ok(false) if reading == Reading::Held => me.turn_down(ENDING)?,
-                        Ok(false) if ready!(me.fill(cx))? == 0 => return Poll::Ready(Ok(())),
+                        Ok(false) if mode == ReadMode::Drain && me.buffer.is_empty() => return Poll::Pending,
+                        Ok(false) if mode == ReadMode::Drain => me.reject(SHUTTING_DOWN)?,
+                        Ok(false) if ready!(me.fill_buffer(cx))? == 0 => return Poll::Ready(Ok(())),
                         Ok(false) => {}
-                        Err(problem) => me.turn_down(problem)?,
+                        Err(rejection) => me.reject(rejection)?,
                     },
                 },
-                Next::Body(_) | Next::Chunked if me.held.is_empty() => {
-                    if ready!(me.fill(cx))? == 0 {
+                Expected::Body(_) | Expected::Chunked if me.buffer.is_empty() => {
+                    if ready!(me.fill_buffer(cx))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
                 }
-                Next::Body(left) => {
-                    me.pass = me.held.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-                    me.next = Next::Body(left - me.pass as u64);
+                Expected::Body(left) => {
+                    me.forwardable = me.buffer.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+                    me.expected = Expected::Body(left - me.forwardable as u64);
                 }
-                Next::Chunked => me.pass = me.held.len(),
-                Next::Nothing => {
-                    if me.held.is_empty() && ready!(me.fill(cx))? == 0 {
+                Expected::Chunked => me.forwardable = me.buffer.len(),
+                Expected::Nothing => {
+                    if me.buffer.is_empty() && ready!(me.fill_buffer(cx))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
-                    return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "bytes out of turn")));
+                    return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "unsolicited bytes")));
                 }
-                Next::Over => return Poll::Pending,
+                Expected::End => return Poll::Pending,
             }
         }
     }
 }
 
-impl<G: Guard + Unpin> Gate<G> {
-    /// A write of hyper's. What comes after it may be an answer to it.
-    fn poll_writing(
+impl<H: GateHandler + Unpin> Gate<H> {
+    /// Performs a write of hyper's. After it, input is expected: the response to what was written.
+    fn poll_write_with(
         self: Pin<&mut Self>,
         cx: &mut Context,
         mut write: impl FnMut(&TcpStream) -> io::Result<usize>,
@@ -292,10 +296,10 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 written => {
                     if written.as_ref().is_ok_and(|n| *n > 0) {
-                        me.guard.wrote(false);
+                        me.handler.written(false);
                     }
-                    if me.next == Next::Nothing && me.held.is_empty() {
-                        (me.next, me.interim) = (Next::Head, 0);
+                    if me.expected == Expected::Nothing && me.buffer.is_empty() {
+                        (me.expected, me.interim_bytes) = (Expected::Head, 0);
                     }
                     return Poll::Ready(written);
                 }
@@ -304,9 +308,9 @@
     }
 }
 
-impl<G: Guard + Unpin> AsyncWrite for Gate<G> {
+impl<H: GateHandler + Unpin> AsyncWrite for Gate<H> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_writing(cx, |socket| socket.try_write(buf))
+        self.poll_write_with(cx, |socket| socket.try_write(buf))
     }
 
     fn poll_write_vectored(
@@ -314,7 +318,7 @@
         cx: &mut Context,
         bufs: &[IoSlice],
     ) -> Poll<io::Result<usize>> {
-        self.poll_writing(cx, |socket| socket.try_write_vectored(bufs))
+        self.poll_write_with(cx, |socket| socket.try_write_vectored(bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -322,8 +326,8 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        self.guard.wrote(true);
-        Poll::Ready(Ok(())) // Nothing is held back.
+        self.handler.written(true);
+        Poll::Ready(Ok(())) // Writes go directly to the socket.
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 on the engine: [`HttpFrontend`] takes clients' requests, [`HttpUpstream`] sends them to servers, and between
-//! each socket and hyper stands a gate that lets through one message at a time.
+//! HTTP/1.1 for the engine: [`HttpFrontend`] receives requests from clients and [`HttpUpstream`] sends them to servers.
+//! Between each socket and hyper, a gate validates message heads and lets one message through at a time.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -1,7 +1,7 @@
-//! The servers' side: their addresses and states, connections to them, and what is sent over these.
+//! The server side: pooled connections to servers, and the requests and probes sent over them.
 
-use crate::body::{BodyPrefix, BufferBudget, Outgoing, Payload, Reply, StreamedBody};
-use crate::gate::{self, Gate, Guard, Head, Next, Problem};
+use crate::body::{BodyPrefix, BufferBudget, OutgoingBody, RequestBody, ResponseBody, StreamedBody};
+use crate::gate::{self, Expected, Gate, GateHandler, Head, Rejection};
 use birchswitch_engine::{AttemptResult, SendPermit};
 use birchswitch_host::pool::{self, NewConnection, Pool, PooledConnection, Server};
 use birchswitch_host::socket::is_open_and_idle;
@@ -26,43 +26,43 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Before it is used again a connection has to be quiet for so long: bytes behind an answer, on their way when it was
-/// given back, would pass for the answer to the next request.
-const QUARANTINE: Duration = Duration::from_millis(5);
+/// How long a connection has to be quiet before it is reused. Surplus bytes after a response that were still in transit when
+/// the connection was returned would otherwise be taken for the response to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(5);
 
-/// Beyond the client's time an answer that is passed on may take so long to come, since a little late is better than broken off.
-const OVERTIME: Duration = Duration::from_millis(300);
+/// How far past the client's deadline a streamed response may still arrive: slightly late is better than truncated.
+const STREAM_OVERTIME: Duration = Duration::from_millis(300);
 
-/// What hyper may hold of a message that passes through.
-pub(crate) const MOST_BUFFERED: usize = 64 << 10;
+/// Maximum size of hyper's buffers for a message that is forwarded.
+pub(crate) const MAX_HYPER_BUFFER: usize = 64 << 10;
 
-/// One connection to a server; dropping it closes it.
+/// A connection to a server. Dropping it closes it.
 struct Connection {
-    sender: http1::SendRequest<Outgoing>,
+    sender: http1::SendRequest<OutgoingBody>,
     driver: AbortHandle,
-    /// Not a hold on it: it is closed with its driver, also while the connection is idle.
+    /// Weak, so that the socket closes when its driver ends, even while the connection is idle.
     socket: Weak<TcpStream>,
-    /// More than the answer came with it.
-    more: Rc<Cell<bool>>,
-    sending: Rc<Cell<Sending>>,
+    /// More bytes than the response were received with it.
+    excess: Rc<Cell<bool>>,
+    progress: Rc<Cell<SendProgress>>,
     generation: u64,
 }
 
-/// How far the request under way has gone out.
+/// How much of the current request has been written to the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sending {
-    /// Nothing of it has.
-    Nothing,
-    /// Some of it has.
-    Some,
-    /// All that there was to write.
-    All,
+enum SendProgress {
+    /// Nothing yet.
+    NotStarted,
+    /// Some bytes.
+    Partial,
+    /// Everything that hyper had to write.
+    Complete,
 }
 
 impl PooledConnection for Connection {
-    /// Whether the server has neither closed it nor sent what nobody asked for.
+    /// Whether the server has neither closed the connection nor sent unsolicited bytes.
     fn is_usable(&self) -> bool {
-        !self.more.get()
+        !self.excess.get()
             && self.sender.is_ready()
             && self.socket.upgrade().is_some_and(|s| is_open_and_idle(&s))
     }
@@ -78,136 +78,139 @@
     }
 }
 
-/// Reads the heads of answers. What is no good ends the connection, and with it the attempt.
-struct Answers {
-    more: Rc<Cell<bool>>,
-    sending: Rc<Cell<Sending>>,
+/// Checks response heads. An invalid one ends the connection, and with it the attempt.
+struct ResponseHandler {
+    excess: Rc<Cell<bool>>,
+    progress: Rc<Cell<SendProgress>>,
 }
 
-impl Guard for Answers {
-    const BETWEEN: Next = Next::Nothing;
+impl GateHandler for ResponseHandler {
+    const BETWEEN_MESSAGES: Expected = Expected::Nothing;
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        gate::answer_head(bytes)
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, Rejection> {
+        gate::parse_response_head(bytes)
     }
 
-    fn turn_down(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
-        Err(std::io::Error::new(std::io::ErrorKind::InvalidData, problem.1))
+    fn reject(&self, rejection: Rejection) -> std::io::Result<&'static [u8]> {
+        Err(std::io::Error::new(std::io::ErrorKind::InvalidData, rejection.1))
     }
 
-    fn more(&self) {
-        self.more.set(true);
+    fn excess_received(&self) {
+        self.excess.set(true);
     }
 
-    fn wrote(&self, all: bool) {
-        match (all, self.sending.get()) {
-            (false, _) => self.sending.set(Sending::Some),
-            (true, Sending::Some) => self.sending.set(Sending::All),
-            (true, Sending::Nothing | Sending::All) => {}
+    fn written(&self, all: bool) {
+        match (all, self.progress.get()) {
+            (false, _) => self.progress.set(SendProgress::Partial),
+            (true, SendProgress::Partial) => self.progress.set(SendProgress::Complete),
+            (true, SendProgress::NotStarted | SendProgress::Complete) => {}
         }
     }
 }
 
-/// A server's answer as far as it is read at once, and its connection, if it is good for another request or there is more
-/// of the answer.
-struct Exchanged {
+/// The head of a server's response, the first part of its body, and the connection, from which the rest of the body is read or
+/// which can be reused.
+struct Exchange {
     head: response::Parts,
-    first: BodyPrefix,
+    prefix: BodyPrefix,
     rest: Incoming,
     connection: Connection,
 }
 
-/// All servers and the connections to them.
+/// All servers and their HTTP/1.1 connections.
 pub struct HttpUpstream {
     pool: Pool<Connection>,
     names: Rc<Names>,
     fields: Vec<ReportField>,
-    /// For what clients have not taken yet of large answers.
-    room: Rc<BufferBudget>,
+    /// Budget for streamed responses that clients have not taken yet.
+    budget: Rc<BufferBudget>,
 }
 
-/// What the node may hold of connections to servers.
+/// Limits on connections to servers.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamLimits {
-    /// Most connections to all servers together.
+    /// Maximum number of connections to all servers together.
     pub connections: usize,
-    /// For a connection to come up.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Duration,
-    /// After this a server closes an idle connection.
+    /// Time after which servers close an idle connection.
     pub conn_idle: Duration,
 }
 
-/// A probe's answer is small; the engine ends what takes longer.
-const PROBE: Duration = Duration::from_secs(1);
-/// Names the header of a load report.
-const LOAD: HeaderName = HeaderName::from_static("x-server-load");
-/// Marks an answer that proves that the request was not run.
+/// Time for the response to a probe, which is small. The engine ends probes that take longer.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The header that carries a load report.
+const LOAD_REPORT: HeaderName = HeaderName::from_static("x-server-load");
+/// The header by which a server states that it did not run the request.
 const NOT_PROCESSED: HeaderName = HeaderName::from_static("x-not-processed");
 
 impl HttpUpstream {
-    /// Starts with no servers. The names and fields tell how to read load reports; what clients have not taken yet of large
-    /// answers waits in `room`.
+    /// Creates an upstream without servers. `names` and `fields` describe the load reports; `budget` bounds the memory for
+    /// streamed responses that clients have not taken yet.
     pub fn new(
         limits: UpstreamLimits,
         names: Rc<Names>,
         fields: Vec<ReportField>,
-        room: Rc<BufferBudget>,
+        budget: Rc<BufferBudget>,
     ) -> Rc<Self> {
         let UpstreamLimits { connections, connect_timeout, conn_idle } = limits;
-        let limits = pool::Limits { connections, connect_timeout, conn_idle, reuse_delay: QUARANTINE };
-        Rc::new(HttpUpstream { pool: Pool::new(limits), names, fields, room })
+        let limits = pool::Limits { connections, connect_timeout, conn_idle, reuse_delay: REUSE_DELAY };
+        Rc::new(HttpUpstream { pool: Pool::new(limits), names, fields, budget })
     }
 
-    /// Closes connections that have been idle for long, for good.
+    /// Keeps closing connections that have been idle for too long. Never returns.
     pub async fn retire_idle(&self) {
         self.pool.retire_idle().await;
     }
 
-    /// The most recently used idle connection that has been quiet since, or a new one.
+    /// Returns the most recently used idle connection that has stayed quiet, or a new one.
     async fn checkout(&self, server: &Server<Connection>) -> Result<Connection, Outcome> {
         if let Some(connection) = self.pool.take_idle(server) {
             return Ok(connection);
         }
         let NewConnection { stream, slot, generation } = self.pool.connect(server).await?;
-        let (stream, more) = (Rc::new(stream), Rc::new(Cell::new(false)));
+        let (stream, excess) = (Rc::new(stream), Rc::new(Cell::new(false)));
         let socket = Rc::downgrade(&stream);
-        let sending = Rc::new(Cell::new(Sending::Nothing));
-        let gate = Gate::new(stream, Answers { more: more.clone(), sending: sending.clone() });
-        let made = http1::Builder::new().max_buf_size(MOST_BUFFERED).handshake(TokioIo::new(gate)).await;
-        let (sender, connection) = made.map_err(|_| Outcome::Unreachable)?;
-        let driver = tokio::task::spawn_local(drive(connection, slot)).abort_handle();
-        Ok(Connection { sender, driver, socket, more, sending, generation })
+        let progress = Rc::new(Cell::new(SendProgress::NotStarted));
+        let gate = Gate::new(stream, ResponseHandler { excess: excess.clone(), progress: progress.clone() });
+        let handshake =
+            http1::Builder::new().max_buf_size(MAX_HYPER_BUFFER).handshake(TokioIo::new(gate)).await;
+        let (sender, connection) = handshake.map_err(|_| Outcome::Unreachable)?;
+        let driver = tokio::task::spawn_local(drive_connection(connection, slot)).abort_handle();
+        Ok(Connection { sender, driver, socket, excess, progress, generation })
     }
 
     // ---- attempts and probes ----
-    /// Sends a request and reads its answer, or the first of one that is large.
+    /// Sends a request and reads its response, or the first part of a large one.
     async fn exchange(
         mut connection: Connection,
-        request: Request<Outgoing>,
+        request: Request<OutgoingBody>,
         left: Duration,
-    ) -> Result<Exchanged, Outcome> {
-        let whole = match request.body() {
-            Outgoing::Whole(_) => None,
-            Outgoing::Streamed(reader) => Some(reader.finished.clone()),
+    ) -> Result<Exchange, Outcome> {
+        let body_sent = match request.body() {
+            OutgoingBody::Whole(_) => None,
+            OutgoingBody::Streamed(reader) => Some(reader.finished.clone()),
         };
-        connection.sending.set(Sending::Nothing);
+        connection.progress.set(SendProgress::NotStarted);
         let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
-            // Handed back unsent. Anything else may have reached the server, and may have run there.
+            // Returned unsent. In any other case some of it may have reached the server and may have run there.
             Err(error) if error.message().is_some() => return Err(Outcome::Unreachable),
-            // But none runs before its last byte has come.
-            Err(_) if whole.is_some_and(|whole| !whole.get()) => return Err(Outcome::Unreachable),
-            Err(_) if connection.sending.get() != Sending::All => return Err(Outcome::Unreachable),
+            // No server runs a request before it has received the last byte.
+            Err(_) if body_sent.is_some_and(|sent| !sent.get()) => return Err(Outcome::Unreachable),
+            Err(_) if connection.progress.get() != SendProgress::Complete => {
+                return Err(Outcome::Unreachable)
+            }
             Err(_) => return Err(Outcome::Broken),
         };
         let (head, mut rest) = response.into_parts();
-        match BodyPrefix::of_answer(&mut rest, left).await {
-            Ok(first) => Ok(Exchanged { head, first, rest, connection }),
+        match BodyPrefix::of_response(&mut rest, left).await {
+            Ok(prefix) => Ok(Exchange { head, prefix, rest, connection }),
             Err(_) => Err(Outcome::Broken),
         }
     }
 
-    /// Reads a load report by the names of its fields; without any of them it is none.
+    /// Parses a load report. `None` if it is malformed or has none of the known fields.
     fn load_report(&self, text: &[u8]) -> Option<LoadReport> {
         let mut reader = serde_json::Deserializer::from_slice(text);
         let report = ReportReader(self).deserialize(&mut reader).ok()?;
@@ -217,8 +220,8 @@
 }
 
 impl Upstream for HttpUpstream {
-    type Request = Request<Payload>;
-    type Answer = Response<Reply>;
+    type Request = Request<RequestBody>;
+    type Answer = Response<ResponseBody>;
 
     fn update_servers(&self, targets: &[Target]) {
         self.pool.update_servers(targets);
@@ -231,93 +234,96 @@
     async fn attempt(
         self: Rc<Self>,
         server: ServerId,
-        request: Rc<Request<Payload>>,
-        ticket: AttemptHandle<Self>,
+        request: Rc<Request<RequestBody>>,
+        handle: AttemptHandle<Self>,
     ) {
         let Some(server) = self.pool.get(server) else {
-            return ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
+            return handle.finish(AttemptResult::from_outcome(Outcome::NotSent));
         };
         let connection = match self.checkout(&server).await {
             Ok(connection) => connection,
-            Err(outcome) => return ticket.finish(AttemptResult::from_outcome(outcome)),
+            Err(outcome) => return handle.finish(AttemptResult::from_outcome(outcome)),
         };
-        // Connecting took time, in which word may have come that the server drains, or the time may have passed for
-        // which duplicates are dropped.
-        let SendPermit::Granted(left) = ticket.permit_send() else {
-            ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
+        // While connecting, the server may have started to drain, or the window in which duplicates are recognized may have
+        // ended.
+        let SendPermit::Granted(left) = handle.permit_send() else {
+            handle.finish(AttemptResult::from_outcome(Outcome::NotSent));
             return self.pool.give_back(&server, connection);
         };
         let (body, left) = match request.body() {
-            Payload::Whole(bytes) => {
-                ticket.written();
-                (Outgoing::Whole(Some(bytes.clone())), left)
+            RequestBody::Whole(bytes) => {
+                handle.written();
+                (OutgoingBody::Whole(Some(bytes.clone())), left)
             }
-            Payload::Streamed(upload) => {
-                // Nothing of it is left to be sent from the start: this ends as if it had not been tried.
-                let Some(mut reader) = upload.reader() else {
-                    ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
+            RequestBody::Streamed(upload) => {
+                // The body can't be sent from the start any more: the attempt ends as not sent.
+                let Some(mut reader) = upload.new_reader() else {
+                    handle.finish(AttemptResult::from_outcome(Outcome::NotSent));
                     return self.pool.give_back(&server, connection);
                 };
-                reader.written = Some(Box::new(ticket.written_callback()));
-                (Outgoing::Streamed(reader), left.min(upload.wait))
+                reader.on_written = Some(Box::new(handle.written_callback()));
+                (OutgoingBody::Streamed(reader), left.min(upload.client_timeout))
             }
         };
         let mut outgoing = Request::new(body);
         *outgoing.method_mut() = request.method().clone();
         *outgoing.uri_mut() = request.uri().clone();
         *outgoing.headers_mut() = request.headers().clone();
-        let told = HeaderValue::from_str(&format!("{}u", left.as_micros()));
-        outgoing.headers_mut().insert("x-timeout", told.expect("digits are valid in a header"));
+        let timeout = HeaderValue::from_str(&format!("{}u", left.as_micros()));
+        outgoing.headers_mut().insert("x-timeout", timeout.expect("digits are a valid header value"));
         let sent = Instant::now();
-        let Exchanged { head, first, rest, connection } =
+        let Exchange { head, prefix, rest, connection } =
             match Self::exchange(connection, outgoing, left).await {
-                Ok(exchanged) => exchanged,
-                Err(outcome) => return ticket.finish(AttemptResult::from_outcome(outcome)),
+                Ok(exchange) => exchange,
+                Err(outcome) => return handle.finish(AttemptResult::from_outcome(outcome)),
             };
-        let outcome = outcome(head.status, &head.headers);
-        let report = head.headers.get(LOAD).and_then(|v| self.load_report(v.as_bytes()));
-        let whole = first.whole;
-        if outcome == Outcome::Served && !whole {
-            // The connection goes with what still comes.
-            let room = self.room.clone();
-            let end = move || self.pool.give_back(&server, connection);
-            // An upload's time counts from its last byte, which was out before the answer's first.
-            let since = if matches!(request.body(), Payload::Whole(_)) { sent } else { Instant::now() };
-            let coming = StreamedBody::new(first.parts, rest, room, since + left + OVERTIME, end);
-            let answer = Response::from_parts(head, Reply::Streamed(coming));
-            return ticket.finish(AttemptResult { outcome, report, answer: Some(answer) });
+        let outcome = response_outcome(head.status, &head.headers);
+        let report = head.headers.get(LOAD_REPORT).and_then(|v| self.load_report(v.as_bytes()));
+        let complete = prefix.complete;
+        if outcome == Outcome::Served && !complete {
+            // The rest of the body keeps the connection until it has been received.
+            let budget = self.budget.clone();
+            let on_complete = move || self.pool.give_back(&server, connection);
+            // An upload's time counts from its last byte, which was sent before the response's first byte.
+            let start = if matches!(request.body(), RequestBody::Whole(_)) { sent } else { Instant::now() };
+            let body =
+                StreamedBody::new(prefix.chunks, rest, budget, start + left + STREAM_OVERTIME, on_complete);
+            let answer = Response::from_parts(head, ResponseBody::Streamed(body));
+            return handle.finish(AttemptResult { outcome, report, answer: Some(answer) });
         }
         let served = outcome == Outcome::Served;
-        let answer = served.then(|| Response::from_parts(head, Reply::Whole(first.joined())));
-        ticket.finish(AttemptResult { outcome, report, answer });
-        // The rest of any other answer is nobody's.
-        if whole {
+        let answer = served.then(|| Response::from_parts(head, ResponseBody::Whole(prefix.into_bytes())));
+        handle.finish(AttemptResult { outcome, report, answer });
+        // The rest of a response that is not forwarded is not read; its connection is closed.
+        if complete {
             self.pool.give_back(&server, connection);
         }
     }
 
-    async fn probe(self: Rc<Self>, server: ServerId, ticket: ProbeHandle<Self>) {
-        let Some(server) = self.pool.get(server) else { return ticket.finish(Outcome::NotSent, None) };
+    async fn probe(self: Rc<Self>, server: ServerId, handle: ProbeHandle<Self>) {
+        let Some(server) = self.pool.get(server) else { return handle.finish(Outcome::NotSent, None) };
         let connection = match self.checkout(&server).await {
             Ok(connection) => connection,
-            Err(outcome) => return ticket.finish(outcome, None),
+            Err(outcome) => return handle.finish(outcome, None),
         };
         let request = Request::get("/stats").header("host", server.address().to_string());
-        let request = request.body(Outgoing::Whole(None)).expect("a fixed path and an address are valid");
-        let exchanged = match Self::exchange(connection, request, PROBE).await {
-            Ok(exchanged) if exchanged.first.whole => exchanged,
-            Ok(_) => return ticket.finish(Outcome::Broken, None),
-            Err(outcome) => return ticket.finish(outcome, None),
+        let request = request
+            .body(OutgoingBody::Whole(None))
+            .expect("a fixed path and an address form a valid request");
+        let exchange = match Self::exchange(connection, request, PROBE_TIMEOUT).await {
+            Ok(exchange) if exchange.prefix.complete => exchange,
+            Ok(_) => return handle.finish(Outcome::Broken, None),
+            Err(outcome) => return handle.finish(outcome, None),
         };
-        let outcome = outcome(exchanged.head.status, &exchanged.head.headers);
-        let body = exchanged.first.joined();
+        let outcome = response_outcome(exchange.head.status, &exchange.head.headers);
+        let body = exchange.prefix.into_bytes();
         let report = (outcome == Outcome::Served).then(|| self.load_report(&body)).flatten();
-        ticket.finish(outcome, report);
-        self.pool.give_back(&server, exchanged.connection);
+        handle.finish(outcome, report);
+        self.pool.give_back(&server, exchange.connection);
     }
 }
 
-/// Reads a load report field by field, with no map in between: one comes with every probe.
+/// Deserializes a load report field by field without an intermediate map, since every probe returns one.
 struct ReportReader<'a>(&'a HttpUpstream);
 
 impl<'de> DeserializeSeed<'de> for ReportReader<'_> {
@@ -347,20 +353,21 @@
     }
 }
 
-/// What an answer says of the request.
-fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
+/// The outcome of the request according to a response.
+fn response_outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let not_run = || headers.get(NOT_PROCESSED).is_some_and(|v| v.as_bytes() == b"1");
     match status {
         StatusCode::OK => Outcome::Served,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => Outcome::Rejected,
-        // A 503 without the mark proves nothing.
+        // A 503 without the header does not prove that the request was not run.
         _ => Outcome::Error,
     }
 }
 
-type Driver = http1::Connection<TokioIo<Gate<Answers>>, Outgoing>;
+type Driver = http1::Connection<TokioIo<Gate<ResponseHandler>>, OutgoingBody>;
 
-async fn drive(connection: Driver, permit: OwnedSemaphorePermit) {
+/// Runs a connection until it ends, then frees its slot.
+async fn drive_connection(connection: Driver, permit: OwnedSemaphorePermit) {
     let _ = connection.await;
     drop(permit);
 }
