--- a/crates/http/src/body/streamed.rs
+++ b/crates/http/src/body/streamed.rs
@@ -72,10 +72,8 @@
     async fn copy_from(&self, mut rest: Incoming, mut read: u64, deadline: Instant) -> Result<(), BodyError> {
         while !rest.is_end_stream() {
             let next = poll_fn(|cx| Pin::new(&mut rest).poll_frame(cx));
-            let wait_until = deadline.min(Instant::now() + READ_TIMEOUT);
-            let Some(frame) = timeout_at(wait_until, next).await.map_err(|_| BodyError::TimedOut)? else {
-                break;
-            };
+            let limit = deadline.min(Instant::now() + READ_TIMEOUT);
+            let Some(frame) = timeout_at(limit, next).await.map_err(|_| BodyError::TimedOut)? else { break };
             // Trailers are hop-by-hop and not forwarded.
             let Ok(data) = frame?.into_data() else { continue };
             read += data.len() as u64;
--- a/crates/http/src/front/mod.rs
+++ b/crates/http/src/front/mod.rs
@@ -65,13 +65,13 @@
 }
 
 impl HttpFrontend {
-    /// Creates a frontend that accepts at most `max_connections` at a time. `budget` bounds the memory for large request bodies
+    /// Creates a frontend that accepts at most `connections` at a time. `budget` bounds the memory for large request bodies
     /// that are retained for further attempts.
     pub fn new(
         host: Rc<Host<HttpUpstream>>,
         names: Rc<Names>,
         effects: Vec<Effect>,
-        max_connections: u32,
+        connections: u32,
         budget: Rc<BufferBudget>,
         phase: watch::Receiver<ShutdownPhase>,
     ) -> Rc<Self> {
@@ -80,9 +80,9 @@
             names,
             effects,
             phase,
-            max_connections,
+            max_connections: connections,
             budget,
-            slots: Arc::new(Semaphore::new(max_connections as usize)),
+            slots: Arc::new(Semaphore::new(connections as usize)),
             clients: RefCell::default(),
             next_client: Cell::new(0),
         })
--- a/crates/http/src/gate/heads.rs
+++ b/crates/http/src/gate/heads.rs
@@ -115,9 +115,8 @@
 
     #[test]
     fn request_framing() {
-        let next = |head: &str| {
-            parse_request_head(head.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|p| p.0.as_u16())
-        };
+        let next =
+            |h: &str| parse_request_head(h.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|r| r.0.as_u16());
         assert_eq!(next("GET / HTTP/1.1\r\n\r\n"), Ok(Some(Expected::Body(0))));
         assert_eq!(next("POST / HTTP/1.1\r\ncontent-LENGTH: 7\r\n\r\n"), Ok(Some(Expected::Body(7))));
         assert_eq!(
@@ -154,9 +153,8 @@
 
     #[test]
     fn response_framing() {
-        let next = |head: &str| {
-            parse_response_head(head.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|p| p.0.as_u16())
-        };
+        let next =
+            |h: &str| parse_response_head(h.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|r| r.0.as_u16());
         assert_eq!(
             next("HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Length: 7\r\n\r\n"),
             Ok(Some(Expected::Body(7)))
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -44,13 +44,13 @@
     socket: Weak<TcpStream>,
     /// More bytes than the response were received with it.
     excess: Rc<Cell<bool>>,
-    progress: Rc<Cell<SendProgress>>,
+    progress: Rc<Cell<Progress>>,
     generation: u64,
 }
 
 /// How much of the current request has been written to the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum SendProgress {
+enum Progress {
     /// Nothing yet.
     NotStarted,
     /// Some bytes.
@@ -81,7 +81,7 @@
 /// Checks response heads. An invalid one ends the connection, and with it the attempt.
 struct ResponseHandler {
     excess: Rc<Cell<bool>>,
-    progress: Rc<Cell<SendProgress>>,
+    progress: Rc<Cell<Progress>>,
 }
 
 impl GateHandler for ResponseHandler {
@@ -101,9 +101,9 @@
 
     fn written(&self, all: bool) {
         match (all, self.progress.get()) {
-            (false, _) => self.progress.set(SendProgress::Partial),
-            (true, SendProgress::Partial) => self.progress.set(SendProgress::Complete),
-            (true, SendProgress::NotStarted | SendProgress::Complete) => {}
+            (false, _) => self.progress.set(Progress::Partial),
+            (true, Progress::Partial) => self.progress.set(Progress::Complete),
+            (true, Progress::NotStarted | Progress::Complete) => {}
         }
     }
 }
@@ -171,7 +171,7 @@
         let NewConnection { stream, slot, generation } = self.pool.connect(server).await?;
         let (stream, excess) = (Rc::new(stream), Rc::new(Cell::new(false)));
         let socket = Rc::downgrade(&stream);
-        let progress = Rc::new(Cell::new(SendProgress::NotStarted));
+        let progress = Rc::new(Cell::new(Progress::NotStarted));
         let gate = Gate::new(stream, ResponseHandler { excess: excess.clone(), progress: progress.clone() });
         let handshake =
             http1::Builder::new().max_buf_size(MAX_HYPER_BUFFER).handshake(TokioIo::new(gate)).await;
@@ -191,16 +191,14 @@
             OutgoingBody::Whole(_) => None,
             OutgoingBody::Streamed(reader) => Some(reader.finished.clone()),
         };
-        connection.progress.set(SendProgress::NotStarted);
+        connection.progress.set(Progress::NotStarted);
         let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
             // Returned unsent. In any other case some of it may have reached the server and may have run there.
             Err(error) if error.message().is_some() => return Err(Outcome::Unreachable),
             // No server runs a request before it has received the last byte.
             Err(_) if body_sent.is_some_and(|sent| !sent.get()) => return Err(Outcome::Unreachable),
-            Err(_) if connection.progress.get() != SendProgress::Complete => {
-                return Err(Outcome::Unreachable)
-            }
+            Err(_) if connection.progress.get() != Progress::Complete => return Err(Outcome::Unreachable),
             Err(_) => return Err(Outcome::Broken),
         };
         let (head, mut rest) = response.into_parts();
