--- a/crates/figures/src/lib.rs
+++ b/crates/figures/src/lib.rs
@@ -1,31 +1,31 @@
-//! What a node counts about itself, in the text format that collectors read.
+//! Metrics of a node, in the Prometheus text format.
 //!
-//! One set is shared by all of a process's hosts, whatever their protocol. Names and labels are fixed, and the only label
-//! with values from outside is the class, of which the settings name at most 256: memory is bounded however long a
-//! node runs.
+//! One set of metrics is shared by all hosts of a process, whatever their protocol. Memory is bounded however long a node
+//! runs: names and labels are fixed, the settings name at most 256 classes for the label `service`, and the operator's file
+//! bounds the values of the labels `limit` and `account`.
 //!
-//! | name | kind | of what |
+//! | name | kind | meaning |
 //! | --- | --- | --- |
-//! | `app_results{service, disposition}` | counter | requests that ended: `succeeded` (served), `declined` (refused), `aborted` (failed) |
-//! | `app_refusals{reason}` | counter | requests refused by what the decisions had against them: `hopeless`, `toll`, `no_server`, `chance`, `spent` |
-//! | `app_forwards` | counter | attempts whose last byte was handed to a server's connection |
+//! | `app_results{service, disposition}` | counter | completed requests: `succeeded` (served), `declined` (refused), `aborted` (failed) |
+//! | `app_refusals{reason}` | counter | refused requests by reason: `hopeless`, `toll`, `no_server`, `chance`, `spent` |
+//! | `app_forwards` | counter | attempts whose last byte was handed to a connection to a server |
 //! | `app_probes` | counter | probes sent to servers |
-//! | `app_handshakes` | counter | connections to servers that came up |
-//! | `app_lists` | counter | lists of servers, and changes to them, that discovery sent |
-//! | `app_outstanding` | gauge | requests taken and not ended |
-//! | `app_discovered` | gauge | servers on the list |
-//! | `app_ejected` | gauge | listed servers that are kept out |
-//! | `app_members{state}` | gauge | with `[cluster]`: other nodes, by how this one holds them |
-//! | `app_cluster_datagrams{way}`, `app_cluster_bytes{way}` | counter | ... datagrams between nodes, `sent` and `received` |
-//! | `app_cluster_dropped` | counter | ... of these, dropped: broken, foreign, of another version |
-//! | `app_cluster_suspicions`, `app_cluster_refutations`, `app_cluster_verdicts` | counter | ... others suspected, own death refuted, others declared dead by this node |
+//! | `app_handshakes` | counter | connections established to servers |
+//! | `app_lists` | counter | server lists and changes to them received from discovery |
+//! | `app_outstanding` | gauge | requests in progress |
+//! | `app_discovered` | gauge | servers on the current list |
+//! | `app_ejected` | gauge | listed servers that are excluded from use |
+//! | `app_members{state}` | gauge | with `[cluster]`: other nodes, by their state as this node sees it |
+//! | `app_cluster_datagrams{way}`, `app_cluster_bytes{way}` | counter | ... datagrams and bytes between nodes, `sent` and `received` |
+//! | `app_cluster_dropped` | counter | ... received datagrams that were dropped: malformed, of another cluster, or of another version |
+//! | `app_cluster_suspicions`, `app_cluster_refutations`, `app_cluster_verdicts` | counter | ... suspicions of other nodes, refutations of this node's own suspected death, nodes that this one declared dead |
 //! | `app_leases{state}` | gauge | with `[lease]`: leases `held` and `waiting` at this node |
-//! | `app_lease_granted`, `app_lease_lost`, `app_lease_refused`, `app_lease_votes` | counter | ... granted to this node, lost without being given up, tries that came to nothing, grants voted for |
-//! | `app_probes_spared` | counter | with `[health]`: questions to silent servers that were left to another node |
-//! | `app_cluster_health` | gauge | ... how badly this node hears others: 0 (well) to 8 |
-//! | `app_mesh{of}` | gauge | with `[mesh]`: connections that are open and ever were, questions, words, tries in vain |
-//! | `app_limit_let_in{limit}`, `app_limit_turned_away{limit}`, `app_limit_per_s{limit}` | gauge | with `[[limits]]`: requests let in and turned away by each limit, and what this node holds of it |
-//! | `app_sighup_applied`, `app_sighup_rejected` | counter | configurations read again: taken up, turned down |
+//! | `app_lease_granted`, `app_lease_lost`, `app_lease_refused`, `app_lease_votes` | counter | ... leases granted to this node, leases lost without being released, failed attempts, votes for grants |
+//! | `app_probes_spared` | counter | with `[health]`: probes of silent servers that were left to another node |
+//! | `app_cluster_health` | gauge | with `[cluster]`: how badly this node receives from others: 0 (well) to 8 |
+//! | `app_mesh{of}` | gauge | with `[mesh]`: connections that are open and that were opened in total, requests, messages, failed attempts |
+//! | `app_limit_let_in{limit}`, `app_limit_turned_away{limit}`, `app_limit_per_s{limit}` | gauge | with `[[limits]]`: requests admitted and rejected by each limit, and this node's part of it |
+//! | `app_sighup_applied`, `app_sighup_rejected` | counter | configuration reloads that were applied and rejected |
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -37,58 +37,58 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Why the figures can't be set up: a name is registered twice, or is none.
+/// Why the metrics can't be registered: a name is used twice or is invalid.
 pub type MetricsError = prometheus::Error;
 
-/// How a request ended, in the terms of the figures.
+/// The result of a request, as a label value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// A server's answer went to the client.
+    /// A server's response went to the client.
     Succeeded,
-    /// Refused: trying again is harmless.
+    /// Refused: the request was not carried out and can safely be retried.
     Declined,
-    /// Failed: nothing is promised.
+    /// Failed: the request may or may not have been carried out.
     Aborted,
 }
 
-/// The figures' words, in the order of [`Disposition`].
+/// The label values, in the order of [`Disposition`].
 const DISPOSITIONS: [&str; 3] = ["succeeded", "declined", "aborted"];
 
-/// See the crate's own words. Counts from 0 with each process.
+/// The metrics of a process. Counters start at 0 with each process.
 pub struct Metrics {
     registry: Registry,
-    /// For each class, in the order of [`Disposition`].
+    /// Per class, in the order of [`Disposition`].
     results: Vec<[IntCounter; 3]>,
     refusals: [IntCounter; Refusal::ALL.len()],
-    /// Attempts written whole to servers.
+    /// Attempts that were written completely to servers.
     pub forwards: IntCounter,
     /// Probes sent to servers.
     pub probes: IntCounter,
-    /// Connections to servers that came up.
+    /// Connections established to servers.
     pub handshakes: IntCounter,
-    /// Lists of servers, and changes to them, that discovery sent.
+    /// Server lists, and changes to them, received from discovery.
     pub lists: IntCounter,
-    /// Requests taken and not ended.
+    /// Requests in progress.
     pub outstanding: IntGauge,
-    /// Servers on the list.
+    /// Servers on the current list.
     pub discovered: IntGauge,
-    /// Listed servers that are kept out.
+    /// Listed servers that are excluded from use.
     pub ejected: IntGauge,
-    /// Configurations read again and taken up.
+    /// Configuration reloads that were applied.
     pub reloaded: IntCounter,
-    /// Configurations read again and turned down.
+    /// Configuration reloads that were rejected.
     pub reload_failed: IntCounter,
-    cluster: OnceCell<Cluster>,
-    leases: OnceCell<LeaseGauges>,
-    spared: OnceCell<IntCounter>,
-    /// Of parts that are not always on, by their names.
-    parts: RefCell<BTreeMap<&'static str, GaugeVec>>,
+    cluster: OnceCell<ClusterCollectors>,
+    leases: OnceCell<LeaseCollectors>,
+    probes_spared: OnceCell<IntCounter>,
+    /// Gauges of optional subsystems, by name.
+    gauges: RefCell<BTreeMap<&'static str, GaugeVec>>,
 }
 
-/// What a node knows and counts of the others.
+/// Values for the metrics of cluster membership.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClusterMetrics {
-    /// Others by state: alive, suspect, dead, left.
+    /// Other nodes by state: alive, suspect, dead, left.
     pub members: [usize; 4],
     /// Datagrams and bytes sent.
     pub sent: [u64; 2],
@@ -96,25 +96,25 @@
     pub received: [u64; 2],
     /// Datagrams dropped.
     pub dropped: u64,
-    /// Suspicions, refutations, verdicts.
+    /// Suspicions, refutations, and nodes declared dead.
     pub detection_counts: [u64; 3],
-    /// 0 to 8.
+    /// How badly this node receives from others, 0 to 8.
     pub health: u32,
 }
 
-/// What a node knows and counts of leases.
+/// Values for the metrics of leases.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeaseMetrics {
-    /// Held at this node.
+    /// Leases held at this node.
     pub held: usize,
-    /// Waited for at this node.
+    /// Leases waited for at this node.
     pub waiting: usize,
-    /// Granted, lost, refused, voted for.
+    /// Leases granted and lost, failed attempts, and votes for grants.
     pub outcome_counts: [u64; 4],
 }
 
-/// A collector, told to the registry.
-fn kept<C: Collector + Clone + 'static>(
+/// Registers a collector.
+fn register<C: Collector + Clone + 'static>(
     registry: &Registry,
     collector: Result<C, MetricsError>,
 ) -> Result<C, MetricsError> {
@@ -122,31 +122,31 @@
     registry.register(Box::new(collector.clone())).map(|()| collector)
 }
 
-/// Brings a counter to what was counted elsewhere.
-fn raise(counter: &IntCounter, value: u64) {
+/// Raises a counter to a value that was counted elsewhere.
+fn raise_to(counter: &IntCounter, value: u64) {
     counter.inc_by(value.saturating_sub(counter.get()));
 }
 
-/// What is made and registered at its first use. Names are fixed, so that it can't fail.
-fn once<T>(cell: &OnceCell<T>, new: impl FnOnce() -> Result<T, MetricsError>) -> Option<&T> {
+/// Creates and registers collectors at their first use. This can't fail in practice, since the names are fixed.
+fn get_or_register<T>(cell: &OnceCell<T>, new: impl FnOnce() -> Result<T, MetricsError>) -> Option<&T> {
     if cell.get().is_none() {
         new().ok().map(|value| cell.set(value));
     }
     cell.get()
 }
 
-struct LeaseGauges {
+struct LeaseCollectors {
     leases: IntGaugeVec,
-    told: [IntCounter; 4],
+    outcome_counts: [IntCounter; 4],
 }
 
-impl LeaseGauges {
+impl LeaseCollectors {
     fn new(registry: &Registry) -> Result<Self, MetricsError> {
-        let counter = |name: &str, help: &str| kept(registry, IntCounter::new(name, help));
+        let counter = |name: &str, help: &str| register(registry, IntCounter::new(name, help));
         let leases = Opts::new("leases", "Leases at this node.");
-        Ok(LeaseGauges {
-            leases: kept(registry, IntGaugeVec::new(leases, &["state"]))?,
-            told: [
+        Ok(LeaseCollectors {
+            leases: register(registry, IntGaugeVec::new(leases, &["state"]))?,
+            outcome_counts: [
                 counter("lease_granted", "Leases granted to this node.")?,
                 counter("lease_lost", "Leases lost without being given up.")?,
                 counter("lease_refused", "Tries for leases that came to nothing.")?,
@@ -155,67 +155,73 @@
         })
     }
 
-    fn set(&self, now: &LeaseMetrics) {
-        self.leases.with_label_values(&["held"]).set(now.held as i64);
-        self.leases.with_label_values(&["waiting"]).set(now.waiting as i64);
-        self.told.iter().zip(now.outcome_counts).for_each(|(counter, value)| raise(counter, value));
+    fn set(&self, values: &LeaseMetrics) {
+        self.leases.with_label_values(&["held"]).set(values.held as i64);
+        self.leases.with_label_values(&["waiting"]).set(values.waiting as i64);
+        self.outcome_counts
+            .iter()
+            .zip(values.outcome_counts)
+            .for_each(|(counter, value)| raise_to(counter, value));
     }
 }
 
-struct Cluster {
+struct ClusterCollectors {
     members: IntGaugeVec,
     datagrams: IntCounterVec,
     bytes: IntCounterVec,
     dropped: IntCounter,
-    told: [IntCounter; 3],
+    detection_counts: [IntCounter; 3],
     health: IntGauge,
 }
 
 /// The labels of [`ClusterMetrics::members`], in their order.
 const STATES: [&str; 4] = ["alive", "suspect", "dead", "left"];
 
-impl Cluster {
+impl ClusterCollectors {
     fn new(registry: &Registry) -> Result<Self, MetricsError> {
-        let counter = |name: &str, help: &str| kept(registry, IntCounter::new(name, help));
-        let ways =
-            |name: &str, help: &str| kept(registry, IntCounterVec::new(Opts::new(name, help), &["way"]));
+        let counter = |name: &str, help: &str| register(registry, IntCounter::new(name, help));
+        let by_direction =
+            |name: &str, help: &str| register(registry, IntCounterVec::new(Opts::new(name, help), &["way"]));
         let members = Opts::new("members", "Other nodes, by how this one holds them.");
-        Ok(Cluster {
-            members: kept(registry, IntGaugeVec::new(members, &["state"]))?,
-            datagrams: ways("cluster_datagrams", "Datagrams between nodes.")?,
-            bytes: ways("cluster_bytes", "Bytes between nodes.")?,
+        Ok(ClusterCollectors {
+            members: register(registry, IntGaugeVec::new(members, &["state"]))?,
+            datagrams: by_direction("cluster_datagrams", "Datagrams between nodes.")?,
+            bytes: by_direction("cluster_bytes", "Bytes between nodes.")?,
             dropped: counter(
                 "cluster_dropped",
                 "Datagrams that were broken, foreign or of another version.",
             )?,
-            told: [
+            detection_counts: [
                 counter("cluster_suspicions", "Times that other nodes came under suspicion.")?,
                 counter("cluster_refutations", "Times that this node refuted what others held of it.")?,
                 counter("cluster_verdicts", "Nodes that this one declared dead.")?,
             ],
-            health: kept(
+            health: register(
                 registry,
                 IntGauge::new("cluster_health", "How badly this node hears others, 0 to 8."),
             )?,
         })
     }
 
-    fn set(&self, now: &ClusterMetrics) {
-        for (label, count) in STATES.iter().zip(now.members) {
+    fn set(&self, values: &ClusterMetrics) {
+        for (label, count) in STATES.iter().zip(values.members) {
             self.members.with_label_values(&[label]).set(count as i64);
         }
-        for (way, [datagrams, bytes]) in [("sent", now.sent), ("received", now.received)] {
-            raise(&self.datagrams.with_label_values(&[way]), datagrams);
-            raise(&self.bytes.with_label_values(&[way]), bytes);
+        for (direction, [datagrams, bytes]) in [("sent", values.sent), ("received", values.received)] {
+            raise_to(&self.datagrams.with_label_values(&[direction]), datagrams);
+            raise_to(&self.bytes.with_label_values(&[direction]), bytes);
         }
-        raise(&self.dropped, now.dropped);
-        self.told.iter().zip(now.detection_counts).for_each(|(counter, value)| raise(counter, value));
-        self.health.set(now.health.into());
+        raise_to(&self.dropped, values.dropped);
+        self.detection_counts
+            .iter()
+            .zip(values.detection_counts)
+            .for_each(|(counter, value)| raise_to(counter, value));
+        self.health.set(values.health.into());
     }
 }
 
 impl Metrics {
-    /// Starts at 0, for classes of these names.
+    /// Registers the metrics, with a set of result counters for each of these classes.
     pub fn new(classes: &[String]) -> Result<Rc<Self>, MetricsError> {
         let registry = Registry::new_custom(Some("app".to_owned()), None)?;
         let results = IntCounterVec::new(
@@ -223,11 +229,12 @@
             &["service", "disposition"],
         )?;
         registry.register(Box::new(results.clone()))?;
-        // All of them are there from the start: a collector that has seen no 0 can't tell a first one.
-        let of = |class: &String| DISPOSITIONS.map(|name| results.with_label_values(&[class.as_str(), name]));
-        let results = classes.iter().map(of).collect();
+        // All label values exist from the start: a collector that has not seen a 0 can't compute the first increase.
+        let counters =
+            |class: &String| DISPOSITIONS.map(|name| results.with_label_values(&[class.as_str(), name]));
+        let results = classes.iter().map(counters).collect();
         let refusals = Opts::new("refusals", "Requests refused, by what the decisions had against them.");
-        let refusals = kept(&registry, IntCounterVec::new(refusals, &["reason"]))?;
+        let refusals = register(&registry, IntCounterVec::new(refusals, &["reason"]))?;
         let counter = |name: &str, help: &str| {
             let counter = IntCounter::new(name, help)?;
             registry.register(Box::new(counter.clone())).map(|()| counter)
@@ -250,65 +257,71 @@
             reload_failed: counter("sighup_rejected", "Configurations read again and turned down.")?,
             cluster: OnceCell::new(),
             leases: OnceCell::new(),
-            spared: OnceCell::new(),
-            parts: RefCell::default(),
+            probes_spared: OnceCell::new(),
+            gauges: RefCell::default(),
             registry,
         }))
     }
 
-    /// Counts a request of a class, by its place in the settings. Classes that the settings don't name are not counted.
+    /// Counts a completed request of the class at this index of the settings. Other classes are not counted.
     pub fn record_result(&self, class: usize, disposition: Disposition) {
         if let Some(counters) = self.results.get(class) {
             counters[disposition as usize].inc();
         }
     }
 
-    /// Brings the refusals to what was counted of each reason, in the order of [`Refusal::ALL`].
+    /// Sets the number of refusals for each reason, in the order of [`Refusal::ALL`].
     pub fn set_refusals(&self, counts: [u64; Refusal::ALL.len()]) {
-        self.refusals.iter().zip(counts).for_each(|(counter, count)| raise(counter, count));
+        self.refusals.iter().zip(counts).for_each(|(counter, count)| raise_to(counter, count));
     }
 
-    /// What is known and counted of other nodes. These figures are there from the first call on.
-    pub fn set_cluster(&self, now: &ClusterMetrics) {
-        once(&self.cluster, || Cluster::new(&self.registry)).iter().for_each(|c| c.set(now));
+    /// Sets the metrics of cluster membership. They are registered by the first call.
+    pub fn set_cluster(&self, values: &ClusterMetrics) {
+        get_or_register(&self.cluster, || ClusterCollectors::new(&self.registry))
+            .iter()
+            .for_each(|c| c.set(values));
     }
 
-    /// What is known and counted of leases. These figures are there from the first call on.
-    pub fn set_leases(&self, now: &LeaseMetrics) {
-        once(&self.leases, || LeaseGauges::new(&self.registry)).iter().for_each(|l| l.set(now));
+    /// Sets the metrics of leases. They are registered by the first call.
+    pub fn set_leases(&self, values: &LeaseMetrics) {
+        get_or_register(&self.leases, || LeaseCollectors::new(&self.registry))
+            .iter()
+            .for_each(|l| l.set(values));
     }
 
-    /// Questions to servers that were left to another node. This figure is there from the first call on.
-    pub fn set_probes_spared(&self, now: u64) {
+    /// Sets the number of probes that were left to another node. The metric is registered by the first call.
+    pub fn set_probes_spared(&self, count: u64) {
         let new = || {
-            kept(
+            register(
                 &self.registry,
                 IntCounter::new("probes_spared", "Questions to servers left to another node."),
             )
         };
-        once(&self.spared, new).iter().for_each(|c| raise(c, now));
+        get_or_register(&self.probes_spared, new).iter().for_each(|c| raise_to(c, count));
     }
 
-    /// What a part that is not always on tells under a name of its own, with one label whose values the operator's file bounds. The figure
-    /// is there from the first call on.
+    /// Sets a gauge of an optional subsystem, given its name, help text and label, for each value of the label. The number of label values
+    /// has to be bounded, for example by the operator's file. The gauge is registered by the first call.
     pub fn set_gauges(
         &self,
         (name, help, label): (&'static str, &str, &str),
         values: impl IntoIterator<Item = (String, f64)>,
     ) {
-        let mut parts = self.parts.borrow_mut();
-        if !parts.contains_key(name) {
-            let new = kept(&self.registry, GaugeVec::new(Opts::new(name, help), &[label]));
-            new.into_iter().for_each(|new| drop(parts.insert(name, new)));
+        let mut gauges = self.gauges.borrow_mut();
+        if !gauges.contains_key(name) {
+            let new = register(&self.registry, GaugeVec::new(Opts::new(name, help), &[label]));
+            new.into_iter().for_each(|new| drop(gauges.insert(name, new)));
         }
-        if let Some(part) = parts.get(name) {
-            values.into_iter().for_each(|(of, value)| part.with_label_values(&[of.as_str()]).set(value));
+        if let Some(gauge) = gauges.get(name) {
+            values
+                .into_iter()
+                .for_each(|(label, value)| gauge.with_label_values(&[label.as_str()]).set(value));
         }
     }
 
-    /// All of them, a line each, with what they are about in comments between.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn encode(&self) -> String {
-        // The encoder fails on families without a name or a value; there are none.
+        // The encoder fails only for metric families without a name or value, of which there are none.
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
@@ -318,7 +331,7 @@
     use super::*;
 
     #[test]
-    fn figures_read_as_collectors_want_them() {
+    fn encodes_the_prometheus_text_format() {
         let metrics = Metrics::new(&["buy".to_owned(), "a\"b\\".to_owned()]).expect("fixed names");
         metrics.record_result(0, Disposition::Succeeded);
         metrics.record_result(0, Disposition::Succeeded);
@@ -337,8 +350,8 @@
             "app_forwards 0",
             "app_sighup_rejected 0",
         ] {
-            assert!(lines.contains(&line), "{line} is not among {lines:#?}");
+            assert!(lines.contains(&line), "{line} is not in {lines:#?}");
         }
-        assert_eq!(lines.len(), 6 + 5 + 9, "nothing else is told");
+        assert_eq!(lines.len(), 6 + 5 + 9, "there are no other lines");
     }
 }
--- a/crates/http/src/front/response.rs
+++ b/crates/http/src/front/response.rs
@@ -37,10 +37,10 @@
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/health/ready") => {
                 let ready = self.host.ready() && *self.phase.borrow() == ShutdownPhase::Serving;
-                return plain_text(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
+                return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
             }
             (&Method::GET, "/health/live") => {
-                return plain_text(StatusCode::OK, format!("list {}\n", self.host.revision()));
+                return plain(StatusCode::OK, format!("list {}\n", self.host.revision()));
             }
             _ => {}
         }
@@ -54,7 +54,7 @@
             Err((status, why)) => return rejection_response(status, why),
         };
         if client.is_disconnected().await {
-            return plain_text(StatusCode::SERVICE_UNAVAILABLE, "nobody waits for the answer");
+            return plain(StatusCode::SERVICE_UNAVAILABLE, "nobody waits for the answer");
         }
         // A request's timeout counts from the arrival of its last byte, which may have been queued behind another request.
         let margin = MAX_MARGIN.min(head.timeout / MARGIN_DIVISOR);
@@ -150,7 +150,7 @@
         }
         Answer::Refused(wait) => {
             let why = why.unwrap_or("refused: trying again is harmless");
-            let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, why);
+            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, why);
             if let Some(wait) = wait {
                 let wait = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64()));
                 let wait = wait.expect("a decimal number is a valid header value");
@@ -158,9 +158,7 @@
             }
             response
         }
-        Answer::Failed => {
-            plain_text(StatusCode::GATEWAY_TIMEOUT, "failed: the request may have been carried out")
-        }
+        Answer::Failed => plain(StatusCode::GATEWAY_TIMEOUT, "failed: the request may have been carried out"),
     }
 }
 
@@ -205,12 +203,13 @@
 /// The response to a rejected request. It closes the connection: after a malformed request, the start of the next one can't be
 /// trusted.
 pub(super) fn rejection_response(status: StatusCode, why: &'static str) -> Response<ResponseBody> {
-    let mut response = plain_text(status, why);
+    let mut response = plain(status, why);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
+/// A `text/plain` response.
+fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::Whole(text.into()));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/crates/operations/src/bans.rs
+++ b/crates/operations/src/bans.rs
@@ -1,8 +1,8 @@
-//! Servers taken out by hand, kept where the next process finds them.
+//! Servers suspended by hand, stored on disk for the next process.
 //!
-//! A ban is an empty file named after its server. Making and removing one are single steps for the file system, and saying
-//! the same thing twice changes nothing: two processes that overlap may both be called, in any order, and neither
-//! writes over what the other was told. Reading is listing the folder.
+//! A ban is an empty file named after its server. Creating and removing a file are atomic and idempotent: two processes that
+//! overlap may both be called, in any order, and neither overwrites what the other one stored. The bans are read by listing
+//! the folder.
 
 use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 use std::collections::BTreeSet;
@@ -10,84 +10,83 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What a name keeps as it is: nothing that a path could make something else of.
+/// Escapes everything that has a meaning in paths.
 const ESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_');
-/// Most that may be out at a time.
-const MOST: usize = 4096;
-/// Longest name of a file that file systems take.
-const LONGEST: usize = 255;
+/// Maximum number of suspended servers.
+const MAX_BANS: usize = 4096;
+/// Maximum length of a file name on common file systems.
+const MAX_FILE_NAME: usize = 255;
 
-/// Why a ban was not kept, or not ended.
+/// Why a ban could not be stored or removed.
 #[derive(Debug, thiserror::Error)]
 pub enum BanError {
-    /// The folder or a file in it.
+    /// An error from the file system.
     #[error("{path}: {source}")]
     Io {
-        /// Which.
+        /// The folder or the file in it.
         path: PathBuf,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The name does not fit into a file's.
+    /// The server's id is empty, or too long for a file name.
     #[error("the id is too long to be kept")]
     TooLong,
-    /// The bound on their number.
-    #[error("{MOST} servers are out already")]
+    /// The maximum number of bans is reached.
+    #[error("{MAX_BANS} servers are out already")]
     TooMany,
 }
 
-/// What another process did.
+/// A change made by another process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BanChange {
-    /// The server.
+    /// The server's id.
     pub server: String,
-    /// Whether it is out now.
+    /// Whether the server is suspended now.
     pub suspended: bool,
 }
 
-/// See the module's own words.
+/// The set of suspended servers, and the folder that stores it.
 #[derive(Debug, Default)]
 pub struct Bans {
     folder: Option<PathBuf>,
-    names: BTreeSet<String>,
+    servers: BTreeSet<String>,
 }
 
 impl Bans {
-    /// Keeps them in this folder, which is made where it is missing, and takes up those in it. Without a folder they
-    /// end with the process.
+    /// Loads the bans in this folder, which is created if it does not exist. Without a folder, bans end with the process.
     pub fn open(folder: Option<PathBuf>) -> Result<Self, BanError> {
         if let Some(path) = &folder {
             fs::create_dir_all(path).map_err(|source| BanError::Io { path: path.clone(), source })?;
         }
-        let mut bans = Bans { folder, names: BTreeSet::new() };
+        let mut bans = Bans { folder, servers: BTreeSet::new() };
         bans.refresh()?;
         Ok(bans)
     }
 
-    /// Those out, in the order of their names.
+    /// The ids of the suspended servers, in order.
     pub fn names(&self) -> impl Iterator<Item = &str> {
-        self.names.iter().map(String::as_str)
+        self.servers.iter().map(String::as_str)
     }
 
-    /// Whether this one is out.
+    /// Whether this server is suspended.
     pub fn contains(&self, name: &str) -> bool {
-        self.names.contains(name)
+        self.servers.contains(name)
     }
 
-    /// Takes one out. It is kept when this returns; on an error nothing has changed.
+    /// Suspends a server. The ban is stored when this returns; on an error nothing has changed.
     pub fn add(&mut self, name: &str) -> Result<(), BanError> {
-        if self.names.len() >= MOST && !self.contains(name) {
+        if self.servers.len() >= MAX_BANS && !self.contains(name) {
             return Err(BanError::TooMany);
         }
         if let Some(path) = self.file(name)? {
-            let made = fs::OpenOptions::new().create(true).append(true).open(&path);
-            made.map_err(|source| BanError::Io { path, source })?;
+            let created = fs::OpenOptions::new().create(true).append(true).open(&path);
+            created.map_err(|source| BanError::Io { path, source })?;
         }
-        self.names.insert(name.to_owned());
+        self.servers.insert(name.to_owned());
         Ok(())
     }
 
-    /// Lets one in again. On an error nothing has changed.
+    /// Ends a server's suspension. On an error nothing has changed.
     pub fn remove(&mut self, name: &str) -> Result<(), BanError> {
         if let Some(path) = self.file(name)? {
             match fs::remove_file(&path) {
@@ -97,36 +96,38 @@
                 _ => {}
             }
         }
-        self.names.remove(name);
+        self.servers.remove(name);
         Ok(())
     }
 
-    /// Takes up what another process did since. Files that no process made are passed over.
+    /// Loads the changes that other processes have made. Files whose names are not valid ids are ignored.
     pub fn refresh(&mut self) -> Result<Vec<BanChange>, BanError> {
         let Some(path) = &self.folder else { return Ok(Vec::new()) };
-        let names = list(path).map_err(|source| BanError::Io { path: path.clone(), source })?;
-        let came =
-            names.difference(&self.names).map(|name| BanChange { server: name.clone(), suspended: true });
-        let went =
-            self.names.difference(&names).map(|name| BanChange { server: name.clone(), suspended: false });
-        let changes = came.chain(went).collect();
-        self.names = names;
+        let servers = list(path).map_err(|source| BanError::Io { path: path.clone(), source })?;
+        let added =
+            servers.difference(&self.servers).map(|id| BanChange { server: id.clone(), suspended: true });
+        let removed =
+            self.servers.difference(&servers).map(|id| BanChange { server: id.clone(), suspended: false });
+        let changes = added.chain(removed).collect();
+        self.servers = servers;
         Ok(changes)
     }
 
+    /// The file that stores a ban. `None` without a folder.
     fn file(&self, name: &str) -> Result<Option<PathBuf>, BanError> {
         let Some(folder) = &self.folder else { return Ok(None) };
         let file = utf8_percent_encode(name, ESCAPED).to_string();
         match file.len() {
-            1..=LONGEST => Ok(Some(folder.join(file))),
+            1..=MAX_FILE_NAME => Ok(Some(folder.join(file))),
             _ => Err(BanError::TooLong),
         }
     }
 }
 
+/// Reads the ids of the banned servers from the folder's file names.
 fn list(folder: &Path) -> io::Result<BTreeSet<String>> {
     let mut names = BTreeSet::new();
-    for entry in fs::read_dir(folder)?.take(MOST) {
+    for entry in fs::read_dir(folder)?.take(MAX_BANS) {
         let file = entry?.file_name();
         let name = file.to_str().and_then(|f| percent_decode_str(f).decode_utf8().ok());
         names.extend(name.map(|n| n.into_owned()));
@@ -139,41 +140,42 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn both() -> (tempfile::TempDir, Bans, Bans) {
-        let folder = tempfile::tempdir().expect("a folder");
-        let open = || Bans::open(Some(folder.path().join("bans"))).expect("bans");
+    /// A folder, and two processes that use it.
+    fn two_processes() -> (tempfile::TempDir, Bans, Bans) {
+        let folder = tempfile::tempdir().expect("create a temporary folder");
+        let open = || Bans::open(Some(folder.path().join("bans"))).expect("open the bans");
         let (old, new) = (open(), open());
         (folder, old, new)
     }
 
     #[test]
-    fn a_ban_outlives_its_process_and_is_said_twice_but_ended_once() {
-        let (folder, mut old, _) = both();
-        old.add("s-1").expect("kept");
-        old.add("s-1").expect("kept");
+    fn bans_outlive_the_process_and_are_idempotent() {
+        let (folder, mut old, _) = two_processes();
+        old.add("s-1").expect("store the ban");
+        old.add("s-1").expect("store the ban");
         drop(old);
-        let mut new = Bans::open(Some(folder.path().join("bans"))).expect("bans");
+        let mut new = Bans::open(Some(folder.path().join("bans"))).expect("open the bans");
         assert!(new.contains("s-1"));
-        new.remove("s-1").expect("ended");
-        assert_eq!(Bans::open(Some(folder.path().join("bans"))).expect("bans").names().count(), 0);
+        new.remove("s-1").expect("remove the ban");
+        assert_eq!(Bans::open(Some(folder.path().join("bans"))).expect("open the bans").names().count(), 0);
     }
 
     #[test]
-    fn what_one_process_was_told_the_other_takes_up() {
-        let (_folder, mut old, mut new) = both();
-        new.add("s-1").expect("kept");
-        old.add("s-2").expect("kept");
-        let out = |name: &str, out| BanChange { server: name.to_owned(), suspended: out };
-        assert_eq!(old.refresh().expect("read"), [out("s-1", true)]);
-        assert_eq!(old.refresh().expect("read"), []);
-        old.remove("s-1").expect("ended");
-        assert_eq!(new.refresh().expect("read"), [out("s-2", true), out("s-1", false)]);
+    fn changes_by_one_process_reach_the_other() {
+        let (_folder, mut old, mut new) = two_processes();
+        new.add("s-1").expect("store the ban");
+        old.add("s-2").expect("store the ban");
+        let change = |server: &str, suspended| BanChange { server: server.to_owned(), suspended };
+        assert_eq!(old.refresh().expect("read the folder"), [change("s-1", true)]);
+        assert_eq!(old.refresh().expect("read the folder"), []);
+        old.remove("s-1").expect("remove the ban");
+        assert_eq!(new.refresh().expect("read the folder"), [change("s-2", true), change("s-1", false)]);
     }
 
     #[test]
-    fn what_cannot_be_kept_changes_nothing() {
-        let (folder, mut old, _) = both();
-        fs::remove_dir_all(folder.path().join("bans")).expect("removed");
+    fn a_ban_that_cannot_be_stored_changes_nothing() {
+        let (folder, mut old, _) = two_processes();
+        fs::remove_dir_all(folder.path().join("bans")).expect("remove the folder");
         assert!(matches!(old.add("s-1"), Err(BanError::Io { .. })));
         assert!(!old.contains("s-1"));
         assert!(matches!(old.add(&"é".repeat(200)), Err(BanError::TooLong)));
@@ -182,11 +184,11 @@
 
     proptest! {
         #[test]
-        fn any_name_comes_back_as_it_was(name in "\\PC{1,20}|\\.\\.?|/etc|a/\\.\\./b") {
-            let (folder, mut old, mut new) = both();
-            old.add(&name).expect("kept");
-            prop_assert_eq!(new.refresh().expect("read"), [BanChange { server: name, suspended: true }]);
-            prop_assert_eq!(fs::read_dir(folder.path()).expect("read").count(), 1, "nothing beside the folder");
+        fn any_id_is_read_back_unchanged(server in "\\PC{1,20}|\\.\\.?|/etc|a/\\.\\./b") {
+            let (folder, mut old, mut new) = two_processes();
+            old.add(&server).expect("store the ban");
+            prop_assert_eq!(new.refresh().expect("read the folder"), [BanChange { server, suspended: true }]);
+            prop_assert_eq!(fs::read_dir(folder.path()).expect("read the folder").count(), 1, "no files outside the folder");
         }
     }
 }
--- a/crates/operations/src/call.rs
+++ b/crates/operations/src/call.rs
@@ -1,94 +1,99 @@
-//! What a line asks for.
+//! Parses the calls of operators.
 
-/// Longest line that is read, its end included.
-pub const LONGEST: usize = 1024;
+/// Maximum length of a line, including its end.
+pub const MAX_LINE: usize = 1024;
 
-/// A call.
+/// A call from an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// Whether this process accepts clients.
     Status,
-    /// The figures.
+    /// The metrics in text format.
     Metrics,
-    /// The fleet's nodes, as this one holds them.
+    /// The fleet's nodes and their states, as this node sees them.
     Members,
-    /// Say farewell to the fleet's nodes.
+    /// Leave the fleet.
     Leave,
     /// The leases that this node knows of.
     Leases,
-    /// Wait for a lease and hold it for as long as the caller stays.
+    /// Wait for a lease and hold it while the caller stays connected.
     Lease {
-        /// Its name.
+        /// The lease's name.
         name: String,
-        /// How many may hold it at once.
+        /// How many callers may hold it at the same time.
         slots: u16,
     },
-    /// End what is done under leases of that name.
+    /// Ask the holders of leases with this name to stop.
     EndLease(String),
-    /// The mesh, as this node sees it.
+    /// The connections of the mesh, as this node sees them.
     Mesh,
-    /// Limits of the whole fleet, as this node holds them.
+    /// The fleet-wide limits, and this node's part of them.
     Limits,
-    /// Prepaid accounts: the words after it.
+    /// Prepaid accounts, with the call's arguments.
     Wallet(Vec<String>),
-    /// Take this server out.
+    /// Stop sending requests to this server.
     Suspend(String),
     /// Use this server again.
     Restore(String),
 }
 
-/// Why a line is no call. One line each.
+/// Why a line is not a valid call. Each message is one line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// It is not text.
+    /// The line is not UTF-8.
     #[error("the call is not UTF-8")]
-    NotText,
-    /// It is longer than any call.
-    #[error("the call is longer than {LONGEST} bytes")]
+    NotUtf8,
+    /// The line exceeds [`MAX_LINE`] bytes.
+    #[error("the call is longer than {MAX_LINE} bytes")]
     TooLong,
-    /// Its first word is none of those known.
+    /// The first word is not a known call.
     #[error("unknown call; wanted: STATUS, METRICS, MEMBERS, LEAVE, LEASES, LEASE NAME SLOTS, ENDLEASE NAME, MESH, LIMITS, WALLET, SUSPEND ID or RESTORE ID")]
     Unknown,
-    /// It is about a server and names none, or has a word too many.
+    /// Missing, surplus or invalid arguments: the call, and what it expects.
     #[error("{0} wants {1}")]
-    Words(&'static str, &'static str),
+    Arguments(&'static str, &'static str),
 }
 
 impl Call {
-    /// Reads a line, with or without its end.
+    /// Parses a line, with or without its end.
     pub fn parse(line: &[u8]) -> Result<Call, CallError> {
-        if line.len() > LONGEST {
+        if line.len() > MAX_LINE {
             return Err(CallError::TooLong);
         }
-        let mut words = std::str::from_utf8(line).map_err(|_| CallError::NotText)?.split_ascii_whitespace();
+        let mut words = std::str::from_utf8(line).map_err(|_| CallError::NotUtf8)?.split_ascii_whitespace();
         let call = words.next().unwrap_or_default();
-        let rest: Vec<_> = words.collect();
-        let alone =
-            |name, call| if rest.is_empty() { Ok(call) } else { Err(CallError::Words(name, "nothing more")) };
-        let about = |name, what, call: fn(String) -> Call| match rest[..] {
+        let arguments: Vec<_> = words.collect();
+        let no_arguments = |name, call| {
+            if arguments.is_empty() {
+                Ok(call)
+            } else {
+                Err(CallError::Arguments(name, "nothing more"))
+            }
+        };
+        let one_argument = |name, expected, call: fn(String) -> Call| match arguments[..] {
             [id] => Ok(call(id.to_owned())),
-            _ => Err(CallError::Words(name, what)),
+            _ => Err(CallError::Arguments(name, expected)),
         };
         match call {
-            "STATUS" => alone("STATUS", Call::Status),
-            "METRICS" => alone("METRICS", Call::Metrics),
-            "MEMBERS" => alone("MEMBERS", Call::Members),
-            "LEAVE" => alone("LEAVE", Call::Leave),
-            "LEASES" => alone("LEASES", Call::Leases),
-            "MESH" => alone("MESH", Call::Mesh),
-            "LIMITS" => alone("LIMITS", Call::Limits),
-            "WALLET" => Ok(Call::Wallet(rest.iter().map(|w| (*w).to_owned()).collect())),
+            "STATUS" => no_arguments("STATUS", Call::Status),
+            "METRICS" => no_arguments("METRICS", Call::Metrics),
+            "MEMBERS" => no_arguments("MEMBERS", Call::Members),
+            "LEAVE" => no_arguments("LEAVE", Call::Leave),
+            "LEASES" => no_arguments("LEASES", Call::Leases),
+            "MESH" => no_arguments("MESH", Call::Mesh),
+            "LIMITS" => no_arguments("LIMITS", Call::Limits),
+            "WALLET" => Ok(Call::Wallet(arguments.iter().map(|a| (*a).to_owned()).collect())),
             "LEASE" => {
                 let slots = |text: &str| text.parse().ok().filter(|slots| *slots > 0);
-                let lease = match rest[..] {
-                    [name, of] => slots(of).map(|slots| Call::Lease { name: name.to_owned(), slots }),
+                let lease = match arguments[..] {
+                    [name, count] => slots(count).map(|slots| Call::Lease { name: name.to_owned(), slots }),
                     _ => None,
                 };
-                lease.ok_or(CallError::Words("LEASE", "a name and a number of slots from 1 to 65535"))
+                lease.ok_or(CallError::Arguments("LEASE", "a name and a number of slots from 1 to 65535"))
             }
-            "ENDLEASE" => about("ENDLEASE", "the name of one lease", Call::EndLease),
-            "SUSPEND" => about("SUSPEND", "the id of one server", Call::Suspend),
-            "RESTORE" => about("RESTORE", "the id of one server", Call::Restore),
+            "ENDLEASE" => one_argument("ENDLEASE", "the name of one lease", Call::EndLease),
+            "SUSPEND" => one_argument("SUSPEND", "the id of one server", Call::Suspend),
+            "RESTORE" => one_argument("RESTORE", "the id of one server", Call::Restore),
             _ => Err(CallError::Unknown),
         }
     }
@@ -100,7 +105,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn calls_are_words() {
+    fn parses_calls() {
         let parse = |line: &str| Call::parse(line.as_bytes());
         assert_eq!(parse("STATUS"), Ok(Call::Status));
         assert_eq!(parse("METRICS\r\n"), Ok(Call::Metrics));
@@ -109,23 +114,23 @@
         assert_eq!(parse("MEMBERS"), Ok(Call::Members));
         assert_eq!(parse("LEAVE"), Ok(Call::Leave));
         assert_eq!(parse("LEASE a 2"), Ok(Call::Lease { name: "a".to_owned(), slots: 2 }));
-        for wrong in ["LEASE", "LEASE a", "LEASE a 0", "LEASE a 65536", "LEASE a 1 b"] {
-            assert!(matches!(parse(wrong), Err(CallError::Words("LEASE", _))), "{wrong}");
+        for invalid in ["LEASE", "LEASE a", "LEASE a 0", "LEASE a 65536", "LEASE a 1 b"] {
+            assert!(matches!(parse(invalid), Err(CallError::Arguments("LEASE", _))), "{invalid}");
         }
-        assert_eq!(parse("LEAVE now"), Err(CallError::Words("LEAVE", "nothing more")));
-        assert_eq!(parse("STATUS now"), Err(CallError::Words("STATUS", "nothing more")));
-        assert_eq!(parse("SUSPEND"), Err(CallError::Words("SUSPEND", "the id of one server")));
-        assert_eq!(parse("SUSPEND a b"), Err(CallError::Words("SUSPEND", "the id of one server")));
+        assert_eq!(parse("LEAVE now"), Err(CallError::Arguments("LEAVE", "nothing more")));
+        assert_eq!(parse("STATUS now"), Err(CallError::Arguments("STATUS", "nothing more")));
+        assert_eq!(parse("SUSPEND"), Err(CallError::Arguments("SUSPEND", "the id of one server")));
+        assert_eq!(parse("SUSPEND a b"), Err(CallError::Arguments("SUSPEND", "the id of one server")));
         for line in ["", "\n", "status", "GET / HTTP/1.1"] {
             assert_eq!(parse(line), Err(CallError::Unknown), "{line:?}");
         }
-        assert_eq!(Call::parse(b"SUSPEND \xff"), Err(CallError::NotText));
-        assert_eq!(Call::parse(&[b'A'; LONGEST + 1]), Err(CallError::TooLong));
+        assert_eq!(Call::parse(b"SUSPEND \xff"), Err(CallError::NotUtf8));
+        assert_eq!(Call::parse(&[b'A'; MAX_LINE + 1]), Err(CallError::TooLong));
     }
 
     proptest! {
         #[test]
-        fn any_bytes_are_a_call_or_told_in_one_line(line: Vec<u8>) {
+        fn any_bytes_are_a_call_or_a_one_line_error(line: Vec<u8>) {
             if let Err(error) = Call::parse(&line) {
                 prop_assert!(!error.to_string().contains('\n'));
             }
--- a/crates/operations/src/lib.rs
+++ b/crates/operations/src/lib.rs
@@ -1,19 +1,20 @@
-//! Where operators call a running node: one line a connection, answered with one line, or with the figures.
+//! The operators' interface of a running node: a line protocol with one call per connection, answered with one line or with
+//! a table.
 //!
-//! - [`Call`]: what a line asks for. No I/O.
-//! - [`serve`]: the listener. Whoever is silent or slow is in nobody's way.
-//! - [`Bans`]: servers taken out by hand, kept where the next process finds them.
+//! - [`Call`]: parses a line. No I/O.
+//! - [`serve`]: the listener. A silent or slow caller does not block others.
+//! - [`Bans`]: servers suspended by hand, stored on disk for the next process.
 //!
-//! What the calls come to is a [`CallHandler`]'s to say. `docs/design/operations.md` has the reasons,
-//! `docs/operate/operations.md` how to use it.
+//! A [`CallHandler`] carries out the calls. See `docs/design/operations.md` for the reasons behind the design and
+//! `docs/operate/operations.md` for its use.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 mod bans;
 mod call;
-mod desk;
+mod server;
 
 pub use bans::{BanChange, BanError, Bans};
 pub use call::{Call, CallError};
-pub use desk::{serve, CallHandler, DeferredReply, LeaseSession};
+pub use server::{serve, CallHandler, DeferredReply, LeaseSession};
