--- a/crates/figures/src/lib.rs
+++ b/crates/figures/src/lib.rs
@@ -1,8 +1,8 @@
 //! Metrics of a node, in the Prometheus text format.
 //!
-//! One set of metrics is shared by all hosts of a process, whatever their protocol. Memory is bounded however long a node
-//! runs: names and labels are fixed, the settings name at most 256 classes for the label `service`, and the operator's file
-//! bounds the values of the labels `limit` and `account`.
+//! One set of metrics is shared by all hosts of a process, whatever their protocol. Memory is bounded however long a
+//! node runs: names and labels are fixed, the settings name at most 256 classes for the label `service`, and the
+//! operator's file bounds the values of the labels `limit` and `account`.
 //!
 //! | name | kind | meaning |
 //! | --- | --- | --- |
@@ -221,7 +221,7 @@
 }
 
 impl Metrics {
-    /// Registers the metrics, with a set of result counters for each of these classes.
+    /// Registers the metrics, all at 0, with result counters for each of these classes.
     pub fn new(classes: &[String]) -> Result<Rc<Self>, MetricsError> {
         let registry = Registry::new_custom(Some("app".to_owned()), None)?;
         let results = IntCounterVec::new(
@@ -300,8 +300,9 @@
         get_or_register(&self.probes_spared, new).iter().for_each(|c| raise_to(c, count));
     }
 
-    /// Sets a gauge of an optional subsystem, given its name, help text and label, for each value of the label. The number of label values
-    /// has to be bounded, for example by the operator's file. The gauge is registered by the first call.
+    /// Sets a gauge of an optional subsystem, given its name, help text and label, for each value of the label. The
+    /// number of label values has to be bounded, for example by the operator's file. The gauge is registered by the
+    /// first call.
     pub fn set_gauges(
         &self,
         (name, help, label): (&'static str, &str, &str),
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,7 +1,7 @@
 //! Takes over a listening socket inherited from the parent process.
 //!
-//! The supervisor keeps the socket open and passes it to each process in turn. Connections wait in the same kernel queue no
-//! matter which process accepts them, so none is refused while one process takes over from another.
+//! The supervisor keeps the socket open and passes it to each process in turn. Connections wait in the same kernel
+//! queue no matter which process accepts them, so none is refused while one process takes over from another.
 //!
 //! This is the only package of the workspace that contains `unsafe` code: a single call.
 
@@ -30,8 +30,8 @@
     NotListening(RawFd),
 }
 
-/// Returns a listener for the socket that this process has inherited under this descriptor number. The descriptor is duplicated and
-/// stays open, so this can be called again, and closing one listener does not affect another.
+/// Returns a listener for the socket that this process has inherited under this descriptor number. The descriptor is
+/// duplicated and stays open, so this can be called again, and closing one listener does not affect another.
 ///
 /// # Errors
 ///
@@ -40,8 +40,8 @@
     if number <= 2 {
         return Err(HandoverError::StandardStream(number));
     }
-    // SAFETY: the descriptor is only borrowed, and only for the system calls in this function. If it is not open, they fail
-    // with EBADF and have no effect.
+    // SAFETY: the descriptor is only borrowed, and only for the system calls in this function. If it is not open, they
+    // fail with EBADF and have no effect.
     let inherited = unsafe { BorrowedFd::borrow_raw(number) };
     let not_a_socket = |e: rustix::io::Errno| HandoverError::NotASocket { number, source: e.into() };
     let kind = sockopt::socket_type(inherited).map_err(not_a_socket)?;
--- a/crates/http/src/body/mod.rs
+++ b/crates/http/src/body/mod.rs
@@ -1,8 +1,8 @@
 //! Message bodies: small ones are read completely before they are forwarded, larger ones are streamed.
 //!
-//! A large request body ([`Upload`]) is received once. The received part is retained for further attempts as long as the
-//! [`BufferBudget`] shared by all retained bodies allows. Once some of it is discarded there are no further attempts,
-//! since the body can't be sent from the start any more.
+//! A large request body ([`Upload`]) is received once. The received part is retained for further attempts as long as
+//! the [`BufferBudget`] shared by all retained bodies allows. Once some of it is discarded there are no further
+//! attempts, since the body can't be sent from the start any more.
 //!
 //! | body | attempts | result of a broken attempt |
 //! | --- | --- | --- |
@@ -10,8 +10,8 @@
 //! | larger, all of it retained so far | the same | never ran if its last byte was not sent |
 //! | larger, some of it discarded | no further one | the same: refused if it certainly never ran, else failed |
 //!
-//! A large response body ([`StreamedBody`]) is forwarded to the client as it arrives, and is read from the server as fast as
-//! the budget allows. Its first bytes make the request served.
+//! A large response body ([`StreamedBody`]) is forwarded to the client as it arrives, and is read from the server as
+//! fast as the budget allows. Its first bytes make the request served.
 
 mod prefix;
 mod streamed;
--- a/crates/http/src/body/prefix.rs
+++ b/crates/http/src/body/prefix.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// How long to wait for a complete response body of unknown length before it is streamed. A streamed body that breaks can't be
-/// retried; a body that is held back for longer may reach the client too late.
+/// How long to wait for a complete response body of unknown length before it is streamed. A streamed body that breaks
+/// can't be retried; a body that is held back for longer may reach the client too late.
 const UNKNOWN_LENGTH_WAIT: Duration = Duration::from_millis(10);
 
 /// What was received of a body before it is known whether it is small: all of it, or its first chunks.
@@ -21,9 +21,9 @@
 }
 
 impl BodyPrefix {
-    /// Reads until the body has ended or more than [`WHOLE_BODY_LIMIT`] bytes have been received. `deadline` gives the time to
-    /// wait until after that many bytes. When it passes, the result is what was received if `partial_on_timeout`, else an
-    /// error.
+    /// Reads until the body has ended or more than [`WHOLE_BODY_LIMIT`] bytes have been received. `deadline` gives the
+    /// time to wait until after that many bytes. When it passes, the result is what was received if
+    /// `partial_on_timeout`, else an error.
     pub async fn read(
         body: &mut Incoming,
         deadline: impl Fn(u64) -> Instant,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Reads the first part of a response body that has `left` time to arrive. Nothing is held back of a body that is known to
-    /// be large, nor of one of unknown length after [`UNKNOWN_LENGTH_WAIT`].
+    /// Reads the first part of a response body that has `left` time to arrive. Nothing is held back of a body that is
+    /// known to be large, nor of one of unknown length after [`UNKNOWN_LENGTH_WAIT`].
     pub async fn of_response(body: &mut Incoming, left: Duration) -> Result<Self, BodyError> {
         let length = body.size_hint().exact();
         if length.is_some_and(|length| length > WHOLE_BODY_LIMIT as u64) {
--- a/crates/http/src/body/streamed.rs
+++ b/crates/http/src/body/streamed.rs
@@ -17,8 +17,9 @@
 /// A response is given up when its server sends nothing for this long in the middle of the body.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A response body that is still being received. A task reads it from the server as fast as the server sends, as long as the
-/// [`BufferBudget`] has space for what the client has not taken yet, so that a slow client does not hold up the server.
+/// A response body that is still being received. A task reads it from the server as fast as the server sends, as long
+/// as the [`BufferBudget`] has space for what the client has not taken yet, so that a slow client does not hold up the
+/// server.
 pub struct StreamedBody {
     pipe: Rc<Pipe>,
     reader_task: AbortHandle,
@@ -53,8 +54,8 @@
         state.consumer.take().into_iter().for_each(Waker::wake);
     }
 
-    /// Waits until a chunk of this size may be pushed, and returns the number of bytes reserved for it. A chunk is always
-    /// accepted into an empty queue, so that a response progresses even if the budget is used up.
+    /// Waits until a chunk of this size may be pushed, and returns the number of bytes reserved for it. A chunk is
+    /// always accepted into an empty queue, so that a response progresses even if the budget is used up.
     async fn reserve(&self, bytes: usize) -> usize {
         loop {
             let freed = self.space_freed.notified();
@@ -94,9 +95,9 @@
 }
 
 impl StreamedBody {
-    /// Starts streaming a body of which `prefix` has been received. `on_complete` is called once all of it has been received.
-    /// If the body breaks off, or the client does not want it any more, `on_complete` is dropped, and with it the connection
-    /// that it owns. Reading stops at `deadline`.
+    /// Starts streaming a body of which `prefix` has been received. `on_complete` is called once all of it has been
+    /// received. If the body breaks off, or the client does not want it any more, `on_complete` is dropped, and with it
+    /// the connection that it owns. Reading stops at `deadline`.
     pub fn new(
         prefix: Vec<Bytes>,
         rest: Incoming,
--- a/crates/http/src/body/upload.rs
+++ b/crates/http/src/body/upload.rs
@@ -1,5 +1,5 @@
-//! A request body that is too large to be read completely first: it is received once, and retained for further attempts while
-//! the budget allows.
+//! A request body that is too large to be read completely first: it is received once, and retained for further attempts
+//! while the budget allows.
 
 use super::{progress_deadline, BodyError, BufferBudget, MAX_BODY, MIN_RATE_GRACE, WHOLE_BODY_LIMIT};
 use bytes::Bytes;
@@ -60,8 +60,8 @@
     ) -> Rc<Self> {
         let bytes: usize = prefix.iter().map(Bytes::len).sum();
         let length = source.size_hint().exact().map(|rest| rest + bytes as u64);
-        // The prefix is in memory already. If the budget has no space for it, it is retained unreserved, and is discarded when
-        // a later chunk finds no space either.
+        // The prefix is in memory already. If the budget has no space for it, it is retained unreserved, and is
+        // discarded when a later chunk finds no space either.
         let reserved_bytes = if budget.try_reserve(bytes) { bytes } else { 0 };
         let state = State {
             ended: (length == Some(bytes as u64)).then_some(true),
@@ -102,8 +102,9 @@
         }
     }
 
-    /// Reads ahead while no attempt reads, because unread bytes hide the end of the client's connection. Returns once an
-    /// attempt reads, the last byte has been received, or no more can be retained. An error means that the client broke off.
+    /// Reads ahead while no attempt reads, because unread bytes hide the end of the client's connection. Returns once
+    /// an attempt reads, the last byte has been received, or no more can be retained. An error means that the client
+    /// broke off.
     pub async fn read_ahead(&self) -> Result<(), BodyError> {
         const NO_ATTEMPT: u32 = 0;
         while self.can_read_ahead() {
@@ -131,7 +132,8 @@
         state.ended != Some(true) && Instant::now() >= progress_deadline(state.started, state.received)
     }
 
-    /// Reads and discards the rest of the body, because a client may read the response only after it has written everything.
+    /// Reads and discards the rest of the body, because a client may read the response only after it has written
+    /// everything.
     pub async fn drain(self: Rc<Self>) {
         let id = {
             let mut state = self.state.borrow_mut();
--- a/crates/http/src/front/client.rs
+++ b/crates/http/src/front/client.rs
@@ -24,8 +24,8 @@
 /// A connection with an incomplete head is evicted after this time.
 const EVICT_HEAD_AFTER: Duration = Duration::from_millis(200);
 
-/// The method of the request that hyper reads in place of a rejected one, so that the rejection is sent in the order of the
-/// connection's responses. Requests of clients with this method are rejected.
+/// The method of the request that hyper reads in place of a rejected one, so that the rejection is sent in the order of
+/// the connection's responses. Requests of clients with this method are rejected.
 pub(super) const REJECTED_METHOD: &str = "TURNED-DOWN";
 
 /// A client connection.
@@ -46,8 +46,8 @@
     read_ahead: Cell<usize>,
     /// The gate does not read on, so it can't detect the end of the connection.
     eof_undetectable: Cell<bool>,
-    /// Set when the connection is to close and had received nothing of a further request when that was decided: its state
-    /// before, and since when.
+    /// Set when the connection is to close and had received nothing of a further request when that was decided: its
+    /// state before, and since when.
     silent_before_close: Cell<Option<(State, Instant)>>,
     /// The client has closed its sending side.
     peer_closed: Cell<bool>,
@@ -172,8 +172,8 @@
         self.wake.notify_one();
     }
 
-    /// Whether the connection is to close now. If input arrived after that was decided, the connection returns to its former
-    /// state and is served.
+    /// Whether the connection is to close now. If input arrived after that was decided, the connection returns to its
+    /// former state and is served.
     pub(super) fn should_close(&self) -> bool {
         if self.state.get() != State::Closing {
             return false;
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Stops reading because the node shuts down: an incomplete head is rejected, and requests that were received completely are
-    /// still answered.
+    /// Stops reading because the node shuts down: an incomplete head is rejected, and requests that were received
+    /// completely are still answered.
     pub(super) fn finish(&self) {
         self.finishing.set(true);
         self.wake.notify_one();
--- a/crates/http/src/front/connection.rs
+++ b/crates/http/src/front/connection.rs
@@ -32,8 +32,8 @@
         let _ = stream.set_nodelay(true);
         let client = Client::new(stream);
         let id = self.next_client.replace(self.next_client.get() + 1);
-        // Registered before its task runs: a burst may take all slots within one turn of the event loop, and only registered
-        // connections can be evicted.
+        // Registered before its task runs: a burst may take all slots within one turn of the event loop, and only
+        // registered connections can be evicted.
         self.clients.borrow_mut().insert(id, client.clone());
         spawn_local(async move {
             self.serve_connection(&client).await;
@@ -99,9 +99,9 @@
             Some((status, why)) if request.method() == REJECTED_METHOD => rejection_response(status, why),
             _ => self.handle(client, request).await,
         };
-        // A client that is told to close connects elsewhere next. Every client is told so when slots are scarce: many send one
-        // request and keep their connection, and until those may be evicted no other client could connect. Requests that were
-        // read ahead are still answered.
+        // A client that is told to close connects elsewhere next. Every client is told so when slots are scarce: many
+        // send one request and keep their connection, and until those may be evicted no other client could connect.
+        // Requests that were read ahead are still answered.
         let shed = *self.phase.borrow() > ShutdownPhase::Serving || self.slots_are_scarce();
         if chunked || shed && !client.has_read_ahead() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/http/src/front/mod.rs
+++ b/crates/http/src/front/mod.rs
@@ -1,7 +1,7 @@
 //! The client side: accepts connections, validates requests, and writes the final responses.
 //!
-//! [`HttpFrontend`] accepts connections and evicts idle ones; `connection` serves one connection, whose state `client` tracks;
-//! `response` handles one request, whose head `request_head` parses; `tracked_body` sends the response body.
+//! [`HttpFrontend`] accepts connections and evicts idle ones; `connection` serves one connection, whose state `client`
+//! tracks; `response` handles one request, whose head `request_head` parses; `tracked_body` sends the response body.
 
 mod client;
 mod connection;
@@ -65,8 +65,8 @@
 }
 
 impl HttpFrontend {
-    /// Creates a frontend that accepts at most `connections` at a time. `budget` bounds the memory for large request bodies
-    /// that are retained for further attempts.
+    /// Creates a frontend that accepts at most `connections` at a time. `budget` bounds the memory for large request
+    /// bodies that are retained for further attempts.
     pub fn new(
         host: Rc<Host<HttpUpstream>>,
         names: Rc<Names>,
@@ -104,8 +104,8 @@
             let _ = phase.wait_for(|p| *p >= until).await;
         });
         loop {
-            // Not cancelled when the node closes: connections in the kernel's queue may hold requests, which would be lost
-            // with the socket.
+            // Not cancelled when the node closes: connections in the kernel's queue may hold requests, which would be
+            // lost with the socket.
             let permit = self.acquire_slot().await;
             tokio::select! {
                 biased; // For the same reason, the queue comes before the shutdown.
@@ -127,8 +127,8 @@
         checker.abort();
     }
 
-    /// Acquires a slot for one more connection. If none is free, evicts silent connections, the longest silent first, and several
-    /// at a time since more connections are likely to be waiting.
+    /// Acquires a slot for one more connection. If none is free, evicts silent connections, the longest silent first,
+    /// and several at a time since more connections are likely to be waiting.
     async fn acquire_slot(&self) -> OwnedSemaphorePermit {
         loop {
             let permit = timeout(SLOT_RETRY, self.slots.clone().acquire_owned());
--- a/crates/http/src/front/request_head.rs
+++ b/crates/http/src/front/request_head.rs
@@ -113,7 +113,8 @@
     (timeout > Duration::ZERO && timeout <= MAX_TIMEOUT).then_some(timeout)
 }
 
-/// Removes hop-by-hop headers, including those that `Connection` names, and `Content-Length`, which hyper derives from the body.
+/// Removes hop-by-hop headers, including those that `Connection` names, and `Content-Length`, which hyper derives from
+/// the body.
 pub(super) fn strip_hop_by_hop(mut headers: HeaderMap) -> HeaderMap {
     let connection_options: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/http/src/front/response.rs
+++ b/crates/http/src/front/response.rs
@@ -24,8 +24,8 @@
 const MARGIN_DIVISOR: u32 = 8;
 /// The balancer's own answer is due this fraction (1/n) of the margin after the deadline.
 const OVERDUE_DIVISOR: u32 = 4;
-/// Provisional deadline of a request whose body is still being received. It is replaced when the last byte arrives, or when
-/// the upload stalls.
+/// Provisional deadline of a request whose body is still being received. It is replaced when the last byte arrives, or
+/// when the upload stalls.
 const UPLOAD_DEADLINE: Duration = Duration::from_secs(24 * 3600);
 /// How often an upload is checked for progress.
 const UPLOAD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -56,7 +56,8 @@
         if client.is_disconnected().await {
             return plain(StatusCode::SERVICE_UNAVAILABLE, "nobody waits for the answer");
         }
-        // A request's timeout counts from the arrival of its last byte, which may have been queued behind another request.
+        // A request's timeout counts from the arrival of its last byte, which may have been queued behind another
+        // request.
         let margin = MAX_MARGIN.min(head.timeout / MARGIN_DIVISOR);
         let deadlines = |last_byte: Instant| {
             let deadline = last_byte + head.timeout - margin;
@@ -121,8 +122,8 @@
     }
 }
 
-/// Waits for the answer. A client that closes its sending side meanwhile has gone: its request is abandoned and starts no
-/// further attempt.
+/// Waits for the answer. A client that closes its sending side meanwhile has gone: its request is abandoned and starts
+/// no further attempt.
 async fn wait_for_answer(
     pending: &mut PendingRequest<HttpUpstream>,
     client: &Client,
@@ -162,9 +163,10 @@
     }
 }
 
-/// Waits for the answer to a request whose body is still being received. Its timeout starts with the last byte, and ends at once
-/// when the upload stalls. A client that closes its sending side has gone, whether or not the body was read completely. While no
-/// attempt reads the body, some of it is read ahead, so that the end of the connection is noticed.
+/// Waits for the answer to a request whose body is still being received. Its timeout starts with the last byte, and
+/// ends at once when the upload stalls. A client that closes its sending side has gone, whether or not the body was
+/// read completely. While no attempt reads the body, some of it is read ahead, so that the end of the connection is
+/// noticed.
 async fn wait_for_upload_answer(
     pending: &mut PendingRequest<HttpUpstream>,
     client: &Client,
@@ -200,8 +202,8 @@
     pending.answer().await
 }
 
-/// The response to a rejected request. It closes the connection: after a malformed request, the start of the next one can't be
-/// trusted.
+/// The response to a rejected request. It closes the connection: after a malformed request, the start of the next one
+/// can't be trusted.
 pub(super) fn rejection_response(status: StatusCode, why: &'static str) -> Response<ResponseBody> {
     let mut response = plain(status, why);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/http/src/gate/mod.rs
+++ b/crates/http/src/gate/mod.rs
@@ -145,8 +145,9 @@
             let capacity = self.buffer.capacity() - self.buffer.len();
             let (socket, buffer) = (&self.socket, &mut self.buffer);
             let mut read = None;
-            // A read that does not fill the buffer has emptied the socket. Reporting WouldBlock clears the readiness, which
-            // saves another read to find that out. An end of the stream that was already signalled is not lost by this.
+            // A read that does not fill the buffer has emptied the socket. Reporting WouldBlock clears the readiness,
+            // which saves another read to find that out. An end of the stream that was already signalled is not lost by
+            // this.
             let drained = socket.try_io(Interest::READABLE, || match socket.try_read_buf(buffer) {
                 Ok(n) => {
                     read = Some(n);
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -26,8 +26,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// How long a connection has to be quiet before it is reused. Surplus bytes after a response that were still in transit when
-/// the connection was returned would otherwise be taken for the response to the next request.
+/// How long a connection has to be quiet before it is reused. Surplus bytes after a response that were still in transit
+/// when the connection was returned would otherwise be taken for the response to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(5);
 
 /// How far past the client's deadline a streamed response may still arrive: slightly late is better than truncated.
@@ -108,8 +108,8 @@
     }
 }
 
-/// The head of a server's response, the first part of its body, and the connection, from which the rest of the body is read or
-/// which can be reused.
+/// The head of a server's response, the first part of its body, and the connection, from which the rest of the body is
+/// read or which can be reused.
 struct Exchange {
     head: response::Parts,
     prefix: BodyPrefix,
@@ -145,8 +145,8 @@
 const NOT_PROCESSED: HeaderName = HeaderName::from_static("x-not-processed");
 
 impl HttpUpstream {
-    /// Creates an upstream without servers. `names` and `fields` describe the load reports; `budget` bounds the memory for
-    /// streamed responses that clients have not taken yet.
+    /// Creates an upstream without servers. `names` and `fields` describe the load reports; `budget` bounds the memory
+    /// for streamed responses that clients have not taken yet.
     pub fn new(
         limits: UpstreamLimits,
         names: Rc<Names>,
@@ -242,8 +242,8 @@
             Ok(connection) => connection,
             Err(outcome) => return handle.finish(AttemptResult::from_outcome(outcome)),
         };
-        // While connecting, the server may have started to drain, or the window in which duplicates are recognized may have
-        // ended.
+        // While connecting, the server may have started to drain, or the window in which duplicates are recognized may
+        // have ended.
         let SendPermit::Granted(left) = handle.permit_send() else {
             handle.finish(AttemptResult::from_outcome(Outcome::NotSent));
             return self.pool.give_back(&server, connection);
--- a/crates/operations/src/bans.rs
+++ b/crates/operations/src/bans.rs
@@ -1,8 +1,8 @@
 //! Servers suspended by hand, stored on disk for the next process.
 //!
-//! A ban is an empty file named after its server. Creating and removing a file are atomic and idempotent: two processes that
-//! overlap may both be called, in any order, and neither overwrites what the other one stored. The bans are read by listing
-//! the folder.
+//! A ban is an empty file named after its server. Creating and removing a file are atomic and idempotent: two processes
+//! that overlap may both be called, in any order, and neither overwrites what the other one stored. The bans are read
+//! by listing the folder.
 
 use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 use std::collections::BTreeSet;
@@ -53,7 +53,8 @@
 }
 
 impl Bans {
-    /// Loads the bans in this folder, which is created if it does not exist. Without a folder, bans end with the process.
+    /// Loads the bans in this folder, which is created if it does not exist. Without a folder, bans end with the
+    /// process.
     pub fn open(folder: Option<PathBuf>) -> Result<Self, BanError> {
         if let Some(path) = &folder {
             fs::create_dir_all(path).map_err(|source| BanError::Io { path: path.clone(), source })?;
--- a/crates/operations/src/call.rs
+++ b/crates/operations/src/call.rs
@@ -62,38 +62,38 @@
         }
         let mut words = std::str::from_utf8(line).map_err(|_| CallError::NotUtf8)?.split_ascii_whitespace();
         let call = words.next().unwrap_or_default();
-        let arguments: Vec<_> = words.collect();
-        let no_arguments = |name, call| {
-            if arguments.is_empty() {
+        let args: Vec<_> = words.collect();
+        let no_args = |name, call| {
+            if args.is_empty() {
                 Ok(call)
             } else {
                 Err(CallError::Arguments(name, "nothing more"))
             }
         };
-        let one_argument = |name, expected, call: fn(String) -> Call| match arguments[..] {
+        let one_arg = |name, expected, call: fn(String) -> Call| match args[..] {
             [id] => Ok(call(id.to_owned())),
             _ => Err(CallError::Arguments(name, expected)),
         };
         match call {
-            "STATUS" => no_arguments("STATUS", Call::Status),
-            "METRICS" => no_arguments("METRICS", Call::Metrics),
-            "MEMBERS" => no_arguments("MEMBERS", Call::Members),
-            "LEAVE" => no_arguments("LEAVE", Call::Leave),
-            "LEASES" => no_arguments("LEASES", Call::Leases),
-            "MESH" => no_arguments("MESH", Call::Mesh),
-            "LIMITS" => no_arguments("LIMITS", Call::Limits),
-            "WALLET" => Ok(Call::Wallet(arguments.iter().map(|a| (*a).to_owned()).collect())),
+            "STATUS" => no_args("STATUS", Call::Status),
+            "METRICS" => no_args("METRICS", Call::Metrics),
+            "MEMBERS" => no_args("MEMBERS", Call::Members),
+            "LEAVE" => no_args("LEAVE", Call::Leave),
+            "LEASES" => no_args("LEASES", Call::Leases),
+            "MESH" => no_args("MESH", Call::Mesh),
+            "LIMITS" => no_args("LIMITS", Call::Limits),
+            "WALLET" => Ok(Call::Wallet(args.iter().map(|a| (*a).to_owned()).collect())),
             "LEASE" => {
                 let slots = |text: &str| text.parse().ok().filter(|slots| *slots > 0);
-                let lease = match arguments[..] {
+                let lease = match args[..] {
                     [name, count] => slots(count).map(|slots| Call::Lease { name: name.to_owned(), slots }),
                     _ => None,
                 };
                 lease.ok_or(CallError::Arguments("LEASE", "a name and a number of slots from 1 to 65535"))
             }
-            "ENDLEASE" => one_argument("ENDLEASE", "the name of one lease", Call::EndLease),
-            "SUSPEND" => one_argument("SUSPEND", "the id of one server", Call::Suspend),
-            "RESTORE" => one_argument("RESTORE", "the id of one server", Call::Restore),
+            "ENDLEASE" => one_arg("ENDLEASE", "the name of one lease", Call::EndLease),
+            "SUSPEND" => one_arg("SUSPEND", "the id of one server", Call::Suspend),
+            "RESTORE" => one_arg("RESTORE", "the id of one server", Call::Restore),
             _ => Err(CallError::Unknown),
         }
     }
--- a/crates/operations/src/lib.rs
+++ b/crates/operations/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' interface of a running node: a line protocol with one call per connection, answered with one line or with
-//! a table.
+//! The operators' interface of a running node: a line protocol with one call per connection, answered with one line or
+//! with a table.
 //!
 //! - [`Call`]: parses a line. No I/O.
 //! - [`serve`]: the listener. A silent or slow caller does not block others.
--- a/crates/operations/src/server.rs
+++ b/crates/operations/src/server.rs
@@ -12,8 +12,8 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// Maximum number of connections. When more arrive, the oldest one is closed: calls take no time, so the oldest connection is
-/// the least likely to make one.
+/// Maximum number of connections. When more arrive, the oldest one is closed: calls take no time, so the oldest
+/// connection is the least likely to make one.
 const MAX_CONNECTIONS: usize = 12;
 /// Time limit for receiving a line.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
@@ -49,7 +49,8 @@
     fn set_suspended(&self, server: &str, suspended: bool) -> Result<String, String>;
 }
 
-/// A lease that a caller waits for or holds while connected. The caller polls with a line; one that is silent for 10 s is gone.
+/// A lease that a caller waits for or holds while connected. The caller polls with a line; one that is silent for 10 s
+/// is gone.
 pub trait LeaseSession {
     /// The current state, as one line.
     fn state(&self) -> String;
