--- a/crates/http/src/front/response.rs
+++ b/crates/http/src/front/response.rs
@@ -113,7 +113,8 @@
         let mut phase = self.phase.clone();
         tokio::select! {
             biased;
-            prefix = BodyPrefix::read(body, |bytes| body::progress_deadline(received, bytes), false) => prefix.map_err(|error| match error {
+            prefix = BodyPrefix::read(body, |bytes| body::progress_deadline(received, bytes), false) =>
+                prefix.map_err(|error| match error {
                 BodyError::TimedOut => (StatusCode::REQUEST_TIMEOUT, "the body took too long"),
                 _ => (StatusCode::BAD_REQUEST, "the body is not whole"),
             }),
--- a/crates/operations/src/bans.rs
+++ b/crates/operations/src/bans.rs
@@ -189,7 +189,7 @@
             let (folder, mut old, mut new) = two_processes();
             old.add(&server).expect("store the ban");
             prop_assert_eq!(new.refresh().expect("read the folder"), [BanChange { server, suspended: true }]);
-            prop_assert_eq!(fs::read_dir(folder.path()).expect("read the folder").count(), 1, "no files outside the folder");
+            prop_assert_eq!(fs::read_dir(folder.path()).expect("read the folder").count(), 1, "no files outside");
         }
     }
 }
--- a/crates/operations/src/call.rs
+++ b/crates/operations/src/call.rs
@@ -51,7 +51,7 @@
     Unknown,
     /// Missing, surplus or invalid arguments: the call, and what it expects.
     #[error("{0} wants {1}")]
-    Arguments(&'static str, &'static str),
+    Usage(&'static str, &'static str),
 }
 
 impl Call {
@@ -63,16 +63,11 @@
         let mut words = std::str::from_utf8(line).map_err(|_| CallError::NotUtf8)?.split_ascii_whitespace();
         let call = words.next().unwrap_or_default();
         let args: Vec<_> = words.collect();
-        let no_args = |name, call| {
-            if args.is_empty() {
-                Ok(call)
-            } else {
-                Err(CallError::Arguments(name, "nothing more"))
-            }
-        };
+        let no_args =
+            |name, call| if args.is_empty() { Ok(call) } else { Err(CallError::Usage(name, "nothing more")) };
         let one_arg = |name, expected, call: fn(String) -> Call| match args[..] {
             [id] => Ok(call(id.to_owned())),
-            _ => Err(CallError::Arguments(name, expected)),
+            _ => Err(CallError::Usage(name, expected)),
         };
         match call {
             "STATUS" => no_args("STATUS", Call::Status),
@@ -89,7 +84,7 @@
                     [name, count] => slots(count).map(|slots| Call::Lease { name: name.to_owned(), slots }),
                     _ => None,
                 };
-                lease.ok_or(CallError::Arguments("LEASE", "a name and a number of slots from 1 to 65535"))
+                lease.ok_or(CallError::Usage("LEASE", "a name and a number of slots from 1 to 65535"))
             }
             "ENDLEASE" => one_arg("ENDLEASE", "the name of one lease", Call::EndLease),
             "SUSPEND" => one_arg("SUSPEND", "the id of one server", Call::Suspend),
@@ -115,12 +110,12 @@
         assert_eq!(parse("LEAVE"), Ok(Call::Leave));
         assert_eq!(parse("LEASE a 2"), Ok(Call::Lease { name: "a".to_owned(), slots: 2 }));
         for invalid in ["LEASE", "LEASE a", "LEASE a 0", "LEASE a 65536", "LEASE a 1 b"] {
-            assert!(matches!(parse(invalid), Err(CallError::Arguments("LEASE", _))), "{invalid}");
+            assert!(matches!(parse(invalid), Err(CallError::Usage("LEASE", _))), "{invalid}");
         }
-        assert_eq!(parse("LEAVE now"), Err(CallError::Arguments("LEAVE", "nothing more")));
-        assert_eq!(parse("STATUS now"), Err(CallError::Arguments("STATUS", "nothing more")));
-        assert_eq!(parse("SUSPEND"), Err(CallError::Arguments("SUSPEND", "the id of one server")));
-        assert_eq!(parse("SUSPEND a b"), Err(CallError::Arguments("SUSPEND", "the id of one server")));
+        assert_eq!(parse("LEAVE now"), Err(CallError::Usage("LEAVE", "nothing more")));
+        assert_eq!(parse("STATUS now"), Err(CallError::Usage("STATUS", "nothing more")));
+        assert_eq!(parse("SUSPEND"), Err(CallError::Usage("SUSPEND", "the id of one server")));
+        assert_eq!(parse("SUSPEND a b"), Err(CallError::Usage("SUSPEND", "the id of one server")));
         for line in ["", "\n", "status", "GET / HTTP/1.1"] {
             assert_eq!(parse(line), Err(CallError::Unknown), "{line:?}");
         }
