--- a/crates/http/src/front/client.rs
+++ b/crates/http/src/front/client.rs
@@ -25,7 +25,7 @@
 const EVICT_HEAD_AFTER: Duration = Duration::from_millis(200);
 
 /// The method of the request that hyper reads in place of a rejected one, so that the rejection is sent in the order of
-/// the connection's responses. Requests of clients with this method are rejected.
+/// the connection's responses. No client can send this method: the gate accepts only GET and POST.
 pub(super) const REJECTED_METHOD: &str = "TURNED-DOWN";
 
 /// A client connection.
