--- a/crates/operations/src/call.rs
+++ b/crates/operations/src/call.rs
@@ -43,7 +43,7 @@
     /// The line is not UTF-8.
     #[error("the call is not UTF-8")]
     NotUtf8,
-    /// The line exceeds [`MAX_LINE`] bytes.
+    /// The line exceeds the maximum length.
     #[error("the call is longer than {MAX_LINE} bytes")]
     TooLong,
     /// The first word is not a known call.
