--- a/crates/thrift-proxy/benches/allocations.rs
+++ b/crates/thrift-proxy/benches/allocations.rs
@@ -1,5 +1,5 @@
-//! Allocations of a call on its way through: front, engine, servers' side and back, on one thread. The client and the server
-//! run on threads of their own and don't count.
+//! Measures the allocations per call of the whole proxy path (frontend, engine, upstream and back), which runs on one thread.
+//! The client and the server run on their own threads and are not counted.
 
 use birchswitch_figures::Metrics;
 use birchswitch_host::Host;
@@ -16,16 +16,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Counts each thread's allocations.
-struct Counted;
+/// Counts the allocations and allocated bytes of each thread.
+struct CountingAllocator;
 
 thread_local! {
-    static COUNT: Cell<(u64, u64)> = const { Cell::new((0, 0)) };
+    static ALLOCATIONS: Cell<(u64, u64)> = const { Cell::new((0, 0)) };
 }
 
-unsafe impl GlobalAlloc for Counted {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        let _ = COUNT.try_with(|c| c.set((c.get().0 + 1, c.get().1 + layout.size() as u64)));
+        let _ = ALLOCATIONS.try_with(|c| c.set((c.get().0 + 1, c.get().1 + layout.size() as u64)));
         unsafe { System.alloc(layout) }
     }
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
@@ -34,7 +34,7 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: Counted = Counted;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn message(kind: MessageType, seqid: i32) -> Vec<u8> {
     let mut bytes = vec![0; frame::HEADER_LEN];
@@ -47,7 +47,7 @@
     bytes
 }
 
-/// Answers every call under its sequence id, which is in the last four bytes of the header.
+/// Answers every call with its own sequence id, which is the last four bytes of the message header.
 fn serve(listener: TcpListener) {
     for mut stream in listener.incoming().map_while(Result::ok) {
         std::thread::spawn(move || {
@@ -64,8 +64,8 @@
     }
 }
 
-fn ask(address: SocketAddr, calls: i32) {
-    let mut stream = TcpStream::connect(address).expect("the front");
+fn send_calls(address: SocketAddr, calls: i32) {
+    let mut stream = TcpStream::connect(address).expect("a connection to the proxy");
     stream.set_nodelay(true).expect("a socket");
     let mut reply = message(MessageType::Reply, 0);
     for seqid in 0..calls {
@@ -103,17 +103,21 @@
     let run = async |calls| {
         let (done, wait) = tokio::sync::oneshot::channel();
         std::thread::spawn(move || {
-            ask(address, calls);
+            send_calls(address, calls);
             let _ = done.send(());
         });
         wait.await.expect("the client");
     };
     run(1000).await;
-    let before = COUNT.get();
+    let before = ALLOCATIONS.get();
     run(CALLS).await;
-    let after = COUNT.get();
-    let each = |n: u64| n as f64 / f64::from(CALLS);
-    println!("{:.1} allocations and {:.0} bytes a call", each(after.0 - before.0), each(after.1 - before.1));
+    let after = ALLOCATIONS.get();
+    let per_call = |n: u64| n as f64 / f64::from(CALLS);
+    println!(
+        "{:.1} allocations and {:.0} bytes a call",
+        per_call(after.0 - before.0),
+        per_call(after.1 - before.1)
+    );
 }
 
 fn main() {
--- a/crates/thrift-proxy/src/front/call.rs
+++ b/crates/thrift-proxy/src/front/call.rs
@@ -1,4 +1,4 @@
-//! One call: what its header and arguments say, and its answer from the engine.
+//! One call: parses its header and arguments, submits it to the engine and encodes the reply.
 
 use super::ThriftFrontend;
 use crate::decoder::MessageDecoder;
@@ -15,33 +15,34 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Kept back from the client's time for the ways here and back: at most this ...
-const MARGIN: Duration = Duration::from_millis(20);
-/// ... and at most this part of the time.
-const MARGIN_PART: u32 = 8;
-/// The part of the margin that an answer which the decisions owe may take.
-const ANSWER_MARGIN_PART: u32 = 4;
-/// No client waits for longer.
-const LONGEST_WAIT: Duration = Duration::from_secs(3600);
+/// Subtracted from the client's deadline for the network in both directions: at most this long ...
+const MAX_DEADLINE_MARGIN: Duration = Duration::from_millis(20);
+/// ... and at most the deadline divided by this.
+const DEADLINE_MARGIN_DIVISOR: u32 = 8;
+/// An answer that the policy owes may be later than the deadline by the margin divided by this.
+const ANSWER_MARGIN_DIVISOR: u32 = 4;
+/// Upper bound on a client's deadline.
+const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 
-/// A message that is not a call to be served.
+/// A message that is not forwarded.
 pub(super) struct Rejection {
+    /// The exception to send, unless the message can have no reply.
     pub(super) reply: Option<Vec<u8>>,
-    /// What is behind it can be trusted.
-    pub(super) goes_on: bool,
+    /// Whether the connection stays open: the message's end is known, so the next message can be read.
+    pub(super) keep_open: bool,
 }
 
-/// What a call's arguments say.
+/// The parameters that a call's arguments and the settings of its method give.
 pub(super) struct CallOptions {
     class: finchvale::ClassId,
     tenant: TenantId,
-    wait: Duration,
+    timeout: Duration,
     work: Option<Duration>,
     key: Option<u64>,
     pub(super) oneway: bool,
 }
 
-/// A call that is to be answered.
+/// A valid call, ready to be submitted.
 pub(super) struct AcceptedCall {
     pub(super) dialect: Dialect,
     pub(super) bytes: Bytes,
@@ -51,7 +52,7 @@
 }
 
 impl ThriftFrontend {
-    /// Reads what a message says of its call, or what to answer instead, and whether the connection goes on.
+    /// Parses a message as a call. Otherwise returns the reply to send and whether the connection stays open.
     pub(super) fn read_call<'a>(
         &'a self,
         dialect: Dialect,
@@ -59,24 +60,24 @@
     ) -> Result<(Header<'a>, CallOptions), Rejection> {
         let limits = &self.settings.limits;
         let Ok(header) = walk::header(dialect.protocol, bytes, limits) else {
-            return Err(Rejection { reply: None, goes_on: false });
+            return Err(Rejection { reply: None, keep_open: false });
         };
-        let rejection = |(kind, text): (ExceptionType, String), goes_on| {
+        let rejection = |(kind, text): (ExceptionType, String), keep_open| {
             let wants_reply = header.kind != MessageType::Oneway;
-            Rejection { reply: wants_reply.then(|| exception(dialect, &header, kind, &text)), goes_on }
+            Rejection { reply: wants_reply.then(|| exception(dialect, &header, kind, &text)), keep_open }
         };
         if !matches!(header.kind, MessageType::Call | MessageType::Oneway) {
             let text = "a call or a oneway was wanted".to_owned();
             return Err(rejection((ExceptionType::InvalidMessageType, text), false));
         }
         let (service, name) = header.service_and_method();
-        let wanted = self.settings.settings.service.as_deref();
-        let method = match wanted.is_some() && service.is_some() && service != wanted {
+        let expected_service = self.settings.settings.service.as_deref();
+        let method = match expected_service.is_some() && service.is_some() && service != expected_service {
             true => None,
             false => self.settings.methods.get(name),
         };
-        let nothing = Paths::default();
-        let paths = method.map_or(&nothing, |m| &m.paths);
+        let no_paths = Paths::default();
+        let paths = method.map_or(&no_paths, |m| &m.paths);
         let message = match walk::framed_message(dialect.protocol, bytes, paths, limits) {
             Ok(message) => message,
             Err(error) => {
@@ -94,7 +95,7 @@
     }
 
     fn options(&self, method: &CompiledMethod, message: &Message) -> Result<CallOptions, &'static str> {
-        let [tenant, key, deadline, cost] = method.at.map(|at| message.values[at?]);
+        let [tenant, key, deadline, cost] = method.value_indexes.map(|index| message.values[index?]);
         let tenant = match tenant {
             Some(Value::Binary(name)) => {
                 let at = self.names.tenants.iter().position(|t| t.as_bytes() == name);
@@ -118,10 +119,10 @@
             }
             (true, None) => return Err("the order key is missing"),
         };
-        let wait = match deadline.map(|d| d.number().filter(|ms| *ms > 0.0 && ms.is_finite())) {
+        let timeout = match deadline.map(|d| d.number().filter(|ms| *ms > 0.0 && ms.is_finite())) {
             None => method.deadline,
             Some(None) => return Err("the deadline makes no sense"),
-            Some(Some(ms)) => Duration::from_secs_f64((ms / 1e3).min(LONGEST_WAIT.as_secs_f64())),
+            Some(Some(ms)) => Duration::from_secs_f64((ms / 1e3).min(MAX_DEADLINE.as_secs_f64())),
         };
         let work = match cost.map(|c| c.number().filter(|us| (0.0..1e12).contains(us))) {
             None => None,
@@ -131,29 +132,29 @@
         Ok(CallOptions {
             class: method.class,
             tenant,
-            wait,
+            timeout,
             work,
             key,
             oneway: message.header.kind == MessageType::Oneway,
         })
     }
 
-    /// An exception in answer to what can't be read, where its name and sequence id can.
-    pub(super) fn spoilt(&self, messages: &MessageDecoder) -> Option<Vec<u8>> {
-        let dialect = messages.dialect()?;
-        let header = walk::header(dialect.protocol, messages.undecodable(), &self.settings.limits).ok()?;
+    /// The exception in reply to an invalid message, if its name and sequence id can be read.
+    pub(super) fn undecodable_reply(&self, decoder: &MessageDecoder) -> Option<Vec<u8>> {
+        let dialect = decoder.dialect()?;
+        let header = walk::header(dialect.protocol, decoder.undecodable(), &self.settings.limits).ok()?;
         let text = "the message can't be read, or is too large";
         (header.kind == MessageType::Call)
             .then(|| exception(dialect, &header, ExceptionType::ProtocolError, text))
     }
 
-    /// Has a call decided on and answered. None: nobody waits for a reply.
+    /// Submits a call to the engine and waits for its reply; `None` if it is a oneway.
     pub(super) async fn call(&self, call: AcceptedCall) -> Option<Vec<u8>> {
         let AcceptedCall { dialect, bytes, options, external_id, arrived } = call;
-        let margin = MARGIN.min(options.wait / MARGIN_PART);
-        let deadline = arrived + options.wait - margin;
+        let margin = MAX_DEADLINE_MARGIN.min(options.timeout / DEADLINE_MARGIN_DIVISOR);
+        let deadline = arrived + options.timeout - margin;
         let call = Call { protocol: dialect.protocol, message: bytes.clone(), oneway: options.oneway };
-        // The host fills in the times.
+        // The host sets the deadlines.
         let incoming = Incoming {
             class: options.class,
             tenant: options.tenant,
@@ -164,14 +165,14 @@
             external_id,
             request: call,
         };
-        let taken = self.host.submit(Request {
+        let submitted = self.host.submit(Request {
             incoming,
             deadline,
-            answer_deadline: deadline + margin / ANSWER_MARGIN_PART,
+            answer_deadline: deadline + margin / ANSWER_MARGIN_DIVISOR,
             key: options.key,
         });
-        let answer = match taken {
-            Ok(mut taken) => taken.answer().await,
+        let answer = match submitted {
+            Ok(mut pending) => pending.answer().await,
             Err(birchswitch_engine::DuplicateRequest) => Answer::Failed,
         };
         if options.oneway {
@@ -201,9 +202,9 @@
         Some(exception(dialect, &header, kind, &text))
     }
 
-    /// A server's reply in the client's dialect and under its sequence id.
+    /// Encodes a server's reply in the client's dialect with the client's sequence id.
     fn reply(&self, dialect: Dialect, call: &Header, reply: &[u8]) -> Option<Vec<u8>> {
-        let (limits, from) = (&self.settings.limits, self.settings.servers.protocol);
+        let (limits, from) = (&self.settings.limits, self.settings.server_dialect.protocol);
         let mut out = Vec::with_capacity(reply.len() + 16);
         if dialect.framed {
             out.extend_from_slice(&[0; frame::HEADER_LEN]);
--- a/crates/thrift-proxy/src/front/connection.rs
+++ b/crates/thrift-proxy/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: reads its calls in turn, and writes their replies as they come.
+//! One client connection: reads its calls in order and writes their replies as they arrive.
 
 use super::call::{AcceptedCall, Rejection};
 use super::{ThriftFrontend, EVICT_IDLE_AFTER, EVICT_NEW_AFTER};
@@ -16,59 +16,59 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// From the connecting to the first message.
+/// Time from accepting a connection to its first message.
 const FIRST_CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// From a message's first byte to its last.
+/// Time from the first byte of a message to its last.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// For a client to take a reply.
+/// Time for a client to accept one reply.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// At the node's end connections are read for so long after it closes: a call may have come with the connection.
+/// How long connections are still read after the node closes: a call may have been sent along with the connection.
 const CLOSE_DELAY: Duration = Duration::from_millis(100);
-/// How often it is looked whether a client's last call is answered.
+/// Interval for polling whether a client's last call has been answered.
 const IDLE_POLL: Duration = Duration::from_millis(100);
 
-/// A connection, as the listener sees it.
+/// The state of a connection that the listener uses to choose which one to evict.
 pub(super) struct Client {
-    number: u64,
+    id: u64,
     /// None while calls are in flight.
     idle_since: Cell<Option<Instant>>,
-    /// At least one message came.
+    /// Whether at least one message was received.
     has_sent: Cell<bool>,
     evicted: Notify,
 }
 
 impl Client {
-    pub(super) fn new(number: u64) -> Rc<Self> {
+    pub(super) fn new(id: u64) -> Rc<Self> {
         Rc::new(Client {
-            number,
+            id,
             idle_since: Cell::new(Some(Instant::now())),
             has_sent: Cell::new(false),
             evicted: Notify::new(),
         })
     }
 
-    /// Since when no call of it is in flight; none: some are.
+    /// When the client's last call in flight ended; `None` while calls are in flight.
     pub(super) fn idle_since(&self) -> Option<Instant> {
         self.idle_since.get()
     }
 
-    /// Whether it has been idle for long enough to make room for another.
+    /// Whether the connection has been idle for long enough to be evicted in favour of a new one.
     pub(super) fn is_evictable(&self) -> bool {
-        let least = if self.has_sent.get() { EVICT_IDLE_AFTER } else { EVICT_NEW_AFTER };
-        self.idle_since.get().is_some_and(|since| since.elapsed() >= least)
+        let min_idle = if self.has_sent.get() { EVICT_IDLE_AFTER } else { EVICT_NEW_AFTER };
+        self.idle_since.get().is_some_and(|since| since.elapsed() >= min_idle)
     }
 
-    /// Has the connection closed, unless something has come on it.
+    /// Requests that the connection be closed, unless bytes have arrived on it.
     pub(super) fn evict(&self) {
         self.evicted.notify_one();
     }
 }
 
-/// The calls of one connection that are not answered yet.
+/// The calls of one connection that have not been answered yet.
 #[derive(Default)]
 struct InFlight {
     seqids: RefCell<FxHashSet<i32>>,
-    /// A oneway among them has not gone out yet.
+    /// Whether one of them is a oneway that has not been sent yet.
     oneway: Cell<bool>,
     changed: Notify,
 }
@@ -98,24 +98,24 @@
     }
 }
 
-/// How a connection ends.
+/// How a connection is closed.
 enum ConnectionEnd {
-    /// After its calls in flight are answered.
+    /// After its calls in flight have been answered.
     Drain,
-    /// At once: the client has gone.
+    /// Immediately, since the client has disconnected or accepts no replies.
     Abandoned,
 }
 
 impl ThriftFrontend {
     pub(super) async fn serve_connection(self: Rc<Self>, stream: TcpStream, client: &Rc<Client>) {
-        let (mut reading, writing) = stream.into_split();
+        let (mut read_half, write_half) = stream.into_split();
         let (replies, queue) = mpsc::channel(self.settings.settings.pipeline as usize + 1);
-        let mut writer = spawn_local(write_replies(writing, queue));
+        let mut writer = spawn_local(write_replies(write_half, queue));
         let mut calls = JoinSet::new();
-        let taken = self.clone().take_calls(&mut reading, client, &replies, &mut calls);
+        let reading_calls = self.clone().read_calls(&mut read_half, client, &replies, &mut calls);
         let end = tokio::select! {
-            end = taken => end,
-            // It takes no replies, or is gone: nothing is owed to it any more.
+            end = reading_calls => end,
+            // The client accepts no replies or has disconnected, so pending replies are dropped.
             _ = &mut writer => ConnectionEnd::Abandoned,
         };
         match end {
@@ -123,9 +123,9 @@
                 while calls.join_next().await.is_some() {}
                 drop(replies);
                 let _ = writer.await;
-                linger(reading.as_ref()).await;
+                linger(read_half.as_ref()).await;
             }
-            // The end of a call's task is its client's leaving.
+            // Aborting a call's task tells the engine that the client has disconnected.
             ConnectionEnd::Abandoned => {
                 calls.abort_all();
                 writer.abort();
@@ -133,94 +133,98 @@
         }
     }
 
-    /// Reads calls until the client leaves, errs or is to go.
-    async fn take_calls(
+    /// Reads calls until the client disconnects, sends an invalid message or has to be closed.
+    async fn read_calls(
         self: Rc<Self>,
-        reading: &mut OwnedReadHalf,
+        read_half: &mut OwnedReadHalf,
         client: &Rc<Client>,
         replies: &mpsc::Sender<Vec<u8>>,
         calls: &mut JoinSet<()>,
     ) -> ConnectionEnd {
-        let mut messages = MessageDecoder::new(self.settings.clients, self.settings.limits);
+        let mut decoder = MessageDecoder::new(self.settings.client_dialect, self.settings.limits);
         let in_flight = Rc::new(InFlight::default());
-        let (mut number, mut under_way) = (0u64, None);
-        // What is whole came with the latest bytes at the latest.
-        let mut came = Instant::now();
+        let (mut call_number, mut message_started) = (0u64, None);
+        // Complete messages in the buffer arrived with the latest read or earlier.
+        let mut received_at = Instant::now();
         loop {
-            let bytes = match messages.next_message() {
+            let bytes = match decoder.next_message() {
                 Ok(Some(bytes)) => bytes,
                 Ok(None) => {
-                    under_way = (!messages.is_empty()).then(|| under_way.unwrap_or_else(Instant::now));
-                    if let Some(end) = self.more(reading, &mut messages, client, under_way).await {
+                    message_started =
+                        (!decoder.is_empty()).then(|| message_started.unwrap_or_else(Instant::now));
+                    if let Some(end) = self.read_more(read_half, &mut decoder, client, message_started).await
+                    {
                         return end;
                     }
-                    came = Instant::now();
+                    received_at = Instant::now();
                     continue;
                 }
                 Err(_) => {
-                    if let Some(reply) = self.spoilt(&messages) {
+                    if let Some(reply) = self.undecodable_reply(&decoder) {
                         let _ = replies.send(reply).await;
                     }
                     return ConnectionEnd::Drain;
                 }
             };
-            under_way = None;
+            message_started = None;
             client.has_sent.set(true);
-            let Some(dialect) = messages.dialect() else { return ConnectionEnd::Drain };
+            let Some(dialect) = decoder.dialect() else { return ConnectionEnd::Drain };
             let (header, options) = match self.read_call(dialect, &bytes) {
                 Ok(call) => call,
-                Err(Rejection { reply, goes_on }) => {
+                Err(Rejection { reply, keep_open }) => {
                     if let Some(reply) = reply {
                         let _ = replies.send(reply).await;
                     }
-                    match goes_on {
+                    match keep_open {
                         true => continue,
                         false => return ConnectionEnd::Drain,
                     }
                 }
             };
             let (oneway, seqid) = (options.oneway, header.seqid);
-            // Nothing is read meanwhile.
-            let room = tokio::select! {
-                room = self.turn(&in_flight, calls, (oneway, seqid), bytes.len()) => room,
-                () = wait_read_closed(reading.as_ref()) => None,
+            // The connection is not read while the call waits, so a disconnect has to be detected separately.
+            let memory_permit = tokio::select! {
+                permit = self.wait_for_turn(&in_flight, calls, (oneway, seqid), bytes.len()) => permit,
+                () = wait_read_closed(read_half.as_ref()) => None,
             };
-            let Some(room) = room else { return ConnectionEnd::Abandoned };
+            let Some(memory_permit) = memory_permit else { return ConnectionEnd::Abandoned };
             in_flight.begin(oneway, seqid);
             client.idle_since.set(None);
-            number += 1;
-            let external_id = [client.number.to_be_bytes(), number.to_be_bytes()].concat();
+            call_number += 1;
+            let external_id = [client.id.to_be_bytes(), call_number.to_be_bytes()].concat();
             let call = AcceptedCall {
                 dialect,
                 bytes: bytes.clone(),
                 options,
                 external_id: external_id.into(),
-                arrived: came,
+                arrived: received_at,
             };
-            let (me, client) = (self.clone(), client.clone());
+            let (frontend, client) = (self.clone(), client.clone());
             let (in_flight, replies) = (in_flight.clone(), replies.clone());
             calls.spawn_local(async move {
-                if let Some(reply) = me.call(call).await {
+                if let Some(reply) = frontend.call(call).await {
                     let _ = replies.send(reply).await;
                 }
                 in_flight.end(oneway, seqid);
                 if in_flight.is_empty() {
                     client.idle_since.set(Some(Instant::now()));
                 }
-                drop(room);
+                drop(memory_permit);
             });
         }
     }
 
-    /// Waits until a call may be taken up: none is in hand that it could be mistaken for, and there is room.
-    async fn turn(
+    /// Waits until a call may start: no call in flight has the same sequence id, no unsent oneway precedes it, and the
+    /// pipeline and the memory budget have room.
+    async fn wait_for_turn(
         &self,
         in_flight: &InFlight,
         calls: &mut JoinSet<()>,
         (oneway, seqid): (bool, i32),
         length: usize,
     ) -> Option<OwnedSemaphorePermit> {
-        // Under a sequence id that is open nobody could tell whose a reply is; and what is behind a oneway may rest on it.
+        // Replies to two calls in flight with one sequence id could not be told apart, and calls after a oneway may depend
+        // on its effects.
         while in_flight.oneway.get() || (!oneway && in_flight.seqids.borrow().contains(&seqid)) {
             in_flight.changed.notified().await;
         }
@@ -228,33 +232,36 @@
             calls.join_next().await;
         }
         while calls.try_join_next().is_some() {}
-        // As much again for the answer.
+        // The reply gets as much memory as the call.
         let size = (length as u32).div_ceil(1024) * 2;
         self.memory.clone().acquire_many_owned(size).await.ok()
     }
 
-    /// Reads more. A message that is under way since some time has to be whole soon.
-    async fn more(
+    /// Reads more bytes, or returns how to close the connection. A message that has been started has to be complete within
+    /// [`MESSAGE_TIMEOUT`].
+    async fn read_more(
         &self,
-        reading: &mut OwnedReadHalf,
-        messages: &mut MessageDecoder,
+        read_half: &mut OwnedReadHalf,
+        decoder: &mut MessageDecoder,
         client: &Client,
-        under_way: Option<Instant>,
+        message_started: Option<Instant>,
     ) -> Option<ConnectionEnd> {
         let mut closing = self.closing.clone();
         let mut closed = std::pin::pin!(async {
             let _ = closing.wait_for(|c| *c).await;
-            // A call may have come with the connection, or cross the closing.
+            // A call may have been sent with the connection, or may be in flight while the node closes.
             sleep(CLOSE_DELAY).await;
         });
-        let (mut overdue, mut ending) = (false, false);
+        let (mut overdue, mut closed_by_node) = (false, false);
         loop {
-            // Never one on which a call has come that was not read yet.
-            if (overdue || ending) && (under_way.is_some() || is_open_and_idle(reading.as_ref())) {
+            // A connection with an unread call is never closed.
+            if (overdue || closed_by_node)
+                && (message_started.is_some() || is_open_and_idle(read_half.as_ref()))
+            {
                 return Some(ConnectionEnd::Drain);
             }
-            // While calls are in flight the client need not send anything.
-            let limit = match (under_way, client.idle_since.get()) {
+            // The client may stay silent while its calls are in flight.
+            let read_deadline = match (message_started, client.idle_since.get()) {
                 (Some(since), _) => Some(since + MESSAGE_TIMEOUT),
                 (None, Some(since)) if client.has_sent.get() => {
                     Some(since + Duration::from_millis(self.settings.settings.idle_ms))
@@ -263,42 +270,42 @@
                 (None, None) => None,
             };
             tokio::select! {
-                biased; // What has come is read before anything ends.
-                ready = reading.readable() => {
-                    match ready.and_then(|()| reading.try_read_buf(messages.read_buffer())) {
+                biased; // Bytes that have arrived are read before the connection may end.
+                ready = read_half.readable() => {
+                    match ready.and_then(|()| read_half.try_read_buf(decoder.read_buffer())) {
                         Ok(0) => return Some(ConnectionEnd::Abandoned),
                         Ok(_) => return None,
                         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                         Err(_) => return Some(ConnectionEnd::Abandoned),
                     }
                 }
-                () = client.evicted.notified() => if under_way.is_none() && is_open_and_idle(reading.as_ref()) {
+                () = client.evicted.notified() => if message_started.is_none() && is_open_and_idle(read_half.as_ref()) {
                     return Some(ConnectionEnd::Drain);
                 },
-                () = sleep_until(limit.unwrap_or_else(Instant::now)), if limit.is_some() && !overdue => {
+                () = sleep_until(read_deadline.unwrap_or_else(Instant::now)), if read_deadline.is_some() && !overdue => {
                     overdue = true;
                 }
-                () = &mut closed, if under_way.is_none() && !ending => ending = true,
-                // The idle time-out runs from the last answer.
-                () = self.idle(client), if limit.is_none() => {}
+                () = &mut closed, if message_started.is_none() && !closed_by_node => closed_by_node = true,
+                // The idle timeout starts when the last call is answered.
+                () = self.wait_until_idle(client), if read_deadline.is_none() => {}
             }
         }
     }
 
-    /// Waits until no call of a client is in flight.
-    async fn idle(&self, client: &Client) {
+    /// Waits until the client has no call in flight.
+    async fn wait_until_idle(&self, client: &Client) {
         while client.idle_since.get().is_none() {
             sleep(IDLE_POLL).await;
         }
     }
 }
 
-/// Writes replies as they come, until there can be no more or the client takes none.
-async fn write_replies(mut writing: OwnedWriteHalf, mut queue: mpsc::Receiver<Vec<u8>>) {
+/// Writes replies as they arrive, until the queue is closed or a write fails or times out.
+async fn write_replies(mut write_half: OwnedWriteHalf, mut queue: mpsc::Receiver<Vec<u8>>) {
     while let Some(reply) = queue.recv().await {
-        if !matches!(timeout(WRITE_TIMEOUT, writing.write_all(&reply)).await, Ok(Ok(()))) {
+        if !matches!(timeout(WRITE_TIMEOUT, write_half.write_all(&reply)).await, Ok(Ok(()))) {
             return;
         }
     }
-    let _ = writing.shutdown().await;
+    let _ = write_half.shutdown().await;
 }
--- a/crates/thrift-proxy/src/front/mod.rs
+++ b/crates/thrift-proxy/src/front/mod.rs
@@ -1,7 +1,7 @@
-//! The clients' side: accepts connections, reads calls and writes replies by sequence id as they come.
+//! The client-facing side: accepts connections, reads calls and writes replies, out of order, by sequence id.
 //!
-//! [`ThriftFrontend`] accepts connections and evicts idle ones; `connection` reads the calls of one connection; `call` reads what a call
-//! says of itself and has it answered.
+//! [`ThriftFrontend`] accepts connections and evicts idle ones, `connection` serves one connection, and `call` parses one
+//! call and submits it to the engine.
 
 mod call;
 mod connection;
@@ -22,31 +22,31 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Where no place is free, connections idle for at least this long may be evicted.
+/// If no connection slot is free, connections idle for at least this long may be evicted.
 const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
-/// The same for connections on which nothing was ever sent.
+/// As [`EVICT_IDLE_AFTER`], for connections on which nothing was ever received.
 const EVICT_NEW_AFTER: Duration = Duration::from_millis(10);
-/// Between attempts to evict one.
+/// Interval between attempts to evict a connection while waiting for a slot.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(5);
-/// After a failed `accept`, before the next.
+/// Delay before the next `accept` after a failed one.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Serves one listener.
+/// Accepts and serves the client connections of one listener.
 pub struct ThriftFrontend {
     host: Rc<Host<ThriftUpstream>>,
     settings: Rc<ThriftSettings>,
     names: Rc<Names>,
-    /// Up once the node closes.
+    /// True once the node stops accepting connections.
     closing: watch::Receiver<bool>,
     slots: Arc<Semaphore>,
-    /// In KiB.
+    /// Budget for messages in flight, in KiB.
     memory: Arc<Semaphore>,
     clients: RefCell<FxHashMap<u64, Rc<Client>>>,
-    next_client: Cell<u64>,
+    next_client_id: Cell<u64>,
 }
 
 impl ThriftFrontend {
-    /// For one listener.
+    /// Creates the frontend of one listener.
     pub fn new(
         host: Rc<Host<ThriftUpstream>>,
         settings: Rc<ThriftSettings>,
@@ -62,19 +62,19 @@
             memory: Arc::new(Semaphore::new(memory as usize * 1024)),
             settings,
             clients: RefCell::default(),
-            next_client: Cell::new(0),
+            next_client_id: Cell::new(0),
         })
     }
 
-    /// Takes connections until the node closes, then waits for the last of them to end.
+    /// Accepts connections until the node closes, then waits for all of them to end.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut closing = self.closing.clone();
         loop {
-            let permit = self.slot().await;
+            let permit = self.acquire_slot().await;
             tokio::select! {
-                biased; // What the system has taken for us may hold calls.
+                biased; // Connections already in the accept queue may carry calls.
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, _)) => self.clone().connected(stream, permit),
+                    Ok((stream, _)) => self.clone().spawn_connection(stream, permit),
                     Err(error) => {
                         self.host.log(format_args!("accept: {error}"));
                         sleep(ACCEPT_PAUSE).await;
@@ -84,14 +84,14 @@
             }
         }
         for stream in queued_connections(listener) {
-            let permit = self.slot().await;
-            self.clone().connected(stream, permit);
+            let permit = self.acquire_slot().await;
+            self.clone().spawn_connection(stream, permit);
         }
         let _ = self.slots.acquire_many(self.settings.settings.connections).await;
     }
 
-    /// A place for one more connection. Where there is none, the one that has been idle the longest is evicted.
-    async fn slot(&self) -> OwnedSemaphorePermit {
+    /// Acquires a connection slot. While none is free, evicts the connection that has been idle the longest.
+    async fn acquire_slot(&self) -> OwnedSemaphorePermit {
         loop {
             if let Ok(Ok(permit)) = timeout(EVICTION_INTERVAL, self.slots.clone().acquire_owned()).await {
                 return permit;
@@ -108,14 +108,14 @@
         }
     }
 
-    fn connected(self: Rc<Self>, stream: TcpStream, permit: OwnedSemaphorePermit) {
+    fn spawn_connection(self: Rc<Self>, stream: TcpStream, permit: OwnedSemaphorePermit) {
         let _ = stream.set_nodelay(true);
-        let number = self.next_client.replace(self.next_client.get() + 1);
-        let client = Client::new(number);
-        self.clients.borrow_mut().insert(number, client.clone());
+        let id = self.next_client_id.replace(self.next_client_id.get() + 1);
+        let client = Client::new(id);
+        self.clients.borrow_mut().insert(id, client.clone());
         spawn_local(async move {
             self.clone().serve_connection(stream, &client).await;
-            self.clients.borrow_mut().remove(&number);
+            self.clients.borrow_mut().remove(&id);
             drop(permit);
         });
     }
--- a/crates/thrift-proxy/src/lib.rs
+++ b/crates/thrift-proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Thrift on the engine: [`ThriftFrontend`] takes clients' calls, [`ThriftUpstream`] makes them on servers, [`Settings`] says
-//! what a method is.
+//! A Thrift proxy on the engine: [`ThriftFrontend`] reads clients' calls, [`ThriftUpstream`] sends them to servers, and
+//! [`Settings`] assigns each method its request class and parameters.
 //!
-//! A call passes as the bytes that the client wrote, under another sequence id and, where clients and servers speak
-//! different protocols, transcoded; nothing is decoded but the fields that the settings name.
+//! A call is forwarded as the client's bytes with a new sequence id. It is transcoded if clients and servers use different
+//! protocols. Only the fields that the settings name are decoded.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/thrift-proxy/src/settings.rs
+++ b/crates/thrift-proxy/src/settings.rs
@@ -1,4 +1,4 @@
-//! The operator's settings of one Thrift listener and its servers.
+//! The operator's settings for one Thrift listener and its servers.
 
 use birchswitch_site::Names;
 use birchswitch_thrift::detect::Dialect;
@@ -11,59 +11,60 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A listener, its methods and its servers, as the operator's file has them.
+/// A `[[thrift]]` table of the operator's file: a listener, its methods and its servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Its name, for the log.
+    /// The listener's name in the log.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// What clients speak.
+    /// The dialect of clients.
     #[serde(default)]
     pub dialect: DialectName,
-    /// The only service taken, where clients name one (`service:method`); without it any, and none.
+    /// The only service accepted in multiplexed names (`service:method`); by default any. Names without a service
+    /// are always accepted.
     pub service: Option<String>,
-    /// The tenant of calls that name none.
+    /// The tenant of calls whose arguments name none.
     pub tenant: Option<String>,
-    /// Most clients at a time.
-    #[serde(default = "connections")]
+    /// Maximum number of client connections.
+    #[serde(default = "default_connections")]
     pub connections: u32,
-    /// Most calls in hand of one client; more are not read until some are answered.
-    #[serde(default = "pipeline")]
+    /// Maximum number of calls in flight per client; further calls are not read until one is answered.
+    #[serde(default = "default_pipeline")]
     pub pipeline: u32,
-    /// Largest message, in KiB.
-    #[serde(default = "message_kb")]
+    /// Maximum size of a message, in KiB.
+    #[serde(default = "default_message_kb")]
     pub message_kb: u32,
-    /// Memory for the calls in hand and their answers, in MiB; more are not read until some are answered.
-    #[serde(default = "memory_mb")]
+    /// Memory budget for calls in flight and their replies, in MiB; further calls are not read until memory is free.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: u32,
-    /// A client that is silent for so long is closed, in milliseconds; sooner where places run short.
-    #[serde(default = "idle_ms")]
+    /// A client that sends nothing for this long is closed, in milliseconds; sooner if connection slots run short.
+    #[serde(default = "default_idle_ms")]
     pub idle_ms: u64,
-    /// By name.
+    /// The methods served, by name.
     pub methods: BTreeMap<String, Method>,
-    /// The servers' side.
+    /// The servers that calls are forwarded to.
     pub servers: Servers,
 }
 
-fn connections() -> u32 {
+fn default_connections() -> u32 {
     64
 }
 
-fn pipeline() -> u32 {
+fn default_pipeline() -> u32 {
     32
 }
 
-fn message_kb() -> u32 {
+fn default_message_kb() -> u32 {
     64
 }
 
-fn memory_mb() -> u32 {
+fn default_memory_mb() -> u32 {
     16
 }
 
-fn idle_ms() -> u64 {
+fn default_idle_ms() -> u64 {
     60_000
 }
 
@@ -71,16 +72,16 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum DialectName {
-    /// Told by each connection's first bytes.
+    /// Detected from the first bytes of each connection.
     #[default]
     Auto,
-    /// Binary in frames.
+    /// The binary protocol, framed.
     FramedBinary,
-    /// Compact in frames.
+    /// The compact protocol, framed.
     FramedCompact,
-    /// Binary without.
+    /// The binary protocol, unframed.
     Binary,
-    /// Compact without.
+    /// The compact protocol, unframed.
     Compact,
 }
 
@@ -97,43 +98,43 @@
     }
 }
 
-/// What a method's calls are. Paths are field ids from the arguments on, such as `1.3`.
+/// How the calls of a method are classified. Paths are field ids starting at the arguments, such as `1.3`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Method {
     /// The class of requests.
     pub class: String,
-    /// Where the tenant's name is: a string.
+    /// Path of the tenant's name, a string.
     pub tenant: Option<String>,
-    /// Where the order key is: a string or number. Wanted of keyed classes.
+    /// Path of the order key, a string or an integer. Required for keyed classes.
     pub key: Option<String>,
-    /// Where the client's time is: a number of milliseconds. Without it, the class's deadline.
+    /// Path of the client's timeout, a number of milliseconds. Defaults to the deadline of the class.
     pub deadline_ms: Option<String>,
-    /// Where the expected work is: a number of microseconds.
+    /// Path of the expected work, a number of microseconds.
     pub cost_us: Option<String>,
 }
 
-/// The servers' side.
+/// The servers of a listener.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Servers {
-    /// What servers speak; not `auto`.
+    /// The dialect of the servers; `auto` is not allowed.
     pub dialect: DialectName,
-    /// Where their list is, in the platform's form.
+    /// The address of the discovery that lists the servers, in the platform's format.
     pub discovery: SocketAddr,
-    /// Most connections to all of them.
-    #[serde(default = "connections")]
+    /// Maximum number of connections to all servers together.
+    #[serde(default = "default_connections")]
     pub connections: u32,
-    /// Types of `TApplicationException` that prove that a call never ran.
+    /// Types of `TApplicationException` that prove that a call was not executed.
     #[serde(default)]
     pub never_ran: Vec<ExceptionName>,
-    /// A method that tells the load, for probes.
+    /// A method that reports the server's load, used for probes.
     pub load: Option<LoadMethod>,
-    /// Where answers tell it; paths from the result on.
+    /// Paths of the load fields in every reply, starting at the result.
     pub report: Option<LoadFields>,
 }
 
-/// Thrift's own types of exceptions that may prove something.
+/// Types of `TApplicationException` that can be listed in [`Servers::never_ran`].
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 #[allow(missing_docs)]
@@ -146,44 +147,45 @@
     UnsupportedClientType = 10,
 }
 
-/// A method without arguments that tells the load.
+/// A method without arguments that reports the server's load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadMethod {
-    /// Its name.
+    /// The method's name.
     pub method: String,
-    /// Paths from the result on; its own value is field 0.
+    /// Paths starting at the result struct, whose field 0 is the return value.
     pub fields: LoadFields,
 }
 
-/// Where a load report's figures are.
+/// Paths of the fields of a load report.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadFields {
-    /// Requests in hand.
+    /// Requests that the server holds.
     pub held: Option<String>,
     /// Requests waiting.
     pub waiting: Option<String>,
-    /// Busy part of the cores, from 0 to 1.
+    /// Fraction of the cores in use, from 0 to 1.
     pub busy: Option<String>,
 }
 
-/// Why settings make no sense. Each names the listener and what is wanted.
+/// Invalid settings of a listener.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("thrift listener {listener:?}: {problem}")]
 pub struct SettingsError {
-    /// Its name.
+    /// The listener's name.
     pub listener: String,
-    /// What is wrong.
+    /// The setting at fault and what is expected.
     pub problem: String,
 }
 
-/// Settings ready for use.
+/// Validated settings, with names and paths resolved.
 pub struct ThriftSettings {
-    /// As they were given.
+    /// The settings as configured.
     pub settings: Settings,
-    pub(crate) clients: Option<Dialect>,
-    pub(crate) servers: Dialect,
+    /// `None`: detected on each connection.
+    pub(crate) client_dialect: Option<Dialect>,
+    pub(crate) server_dialect: Dialect,
     pub(crate) limits: Limits,
     pub(crate) methods: FxHashMap<String, CompiledMethod>,
     pub(crate) default_tenant: Option<TenantId>,
@@ -191,18 +193,18 @@
     pub(crate) report: Option<Paths>,
 }
 
-/// A method, with its paths in the order of [`FIELDS`].
+/// A method with its class resolved and its paths parsed.
 pub(crate) struct CompiledMethod {
     pub(crate) class: ClassId,
     pub(crate) keyed: bool,
     pub(crate) deadline: Duration,
     pub(crate) paths: Paths,
-    /// Position among the paths of tenant, key, deadline and cost.
-    pub(crate) at: [Option<usize>; 4],
+    /// Indexes of the tenant, key, deadline and cost among the values that `paths` finds.
+    pub(crate) value_indexes: [Option<usize>; 4],
 }
 
 impl Settings {
-    /// Checks everything against the site's settings.
+    /// Validates the settings against the site's settings and resolves names and paths.
     pub fn compile(self, site: &finchvale::Settings, names: &Names) -> Result<ThriftSettings, SettingsError> {
         let error = |problem: String| SettingsError { listener: self.name.clone(), problem };
         let path = |text: &str| Paths::parse(text).map_err(|e| error(e.to_string()));
@@ -214,15 +216,18 @@
             ("servers.connections", self.servers.connections),
         ] {
             if !(1..=1 << 16).contains(&value) {
-                return Err(error(format!("{what} is {value}: wanted 1 to 65536")));
+                return Err(error(format!("{what} is {value}: must be between 1 and 65536")));
             }
         }
         if u64::from(self.message_kb) > 1024 * u64::from(self.memory_mb) / 2 {
-            return Err(error("memory_mb holds no call of message_kb with its answer".into()));
+            return Err(error(
+                "memory_mb is too small: it must hold a call of message_kb and its reply".into(),
+            ));
         }
-        let servers = self.servers.dialect.dialect();
-        let servers =
-            servers.ok_or_else(|| error("servers.dialect is auto: servers don't speak first".into()))?;
+        let server_dialect = self.servers.dialect.dialect();
+        let server_dialect = server_dialect.ok_or_else(|| {
+            error("servers.dialect is auto: it must be set, since servers never send first".into())
+        })?;
         if self.methods.is_empty() {
             return Err(error("methods names no method".into()));
         }
@@ -242,42 +247,56 @@
                 return Err(error(problem));
             }
             if method.tenant.is_none() && default_tenant.is_none() && !names.tenants.is_empty() {
-                return Err(error(format!("methods.{name}: neither it nor the listener names a tenant")));
+                return Err(error(format!(
+                    "methods.{name}: neither the method nor the listener names a tenant"
+                )));
             }
             let texts = [&method.tenant, &method.key, &method.deadline_ms, &method.cost_us];
             let mut paths = Vec::new();
-            let mut at = [None; 4];
-            for (text, at) in texts.into_iter().zip(&mut at) {
+            let mut value_indexes = [None; 4];
+            for (text, index) in texts.into_iter().zip(&mut value_indexes) {
                 if let Some(text) = text {
-                    *at = Some(paths.len());
+                    *index = Some(paths.len());
                     paths.push(path(text)?);
                 }
             }
             let class_id = ClassId(u8::try_from(class).map_err(|_| error("too many classes".into()))?);
             let deadline = site.classes[class].deadline;
             let paths = Paths::new(paths);
-            methods.insert(name.clone(), CompiledMethod { class: class_id, keyed, deadline, paths, at });
+            methods.insert(
+                name.clone(),
+                CompiledMethod { class: class_id, keyed, deadline, paths, value_indexes },
+            );
         }
-        let fields = |f: &LoadFields| {
-            // A path that leads nowhere stands for a figure that is not told.
-            let one = |p: &Option<String>| p.as_deref().map_or(Ok(vec![i16::MIN]), path);
-            Ok::<_, SettingsError>(Paths::new([one(&f.held)?, one(&f.waiting)?, one(&f.busy)?]))
+        let load_paths = |f: &LoadFields| {
+            // A path that matches no field stands for a value that is not reported.
+            let field = |p: &Option<String>| p.as_deref().map_or(Ok(vec![i16::MIN]), path);
+            Ok::<_, SettingsError>(Paths::new([field(&f.held)?, field(&f.waiting)?, field(&f.busy)?]))
         };
         let load = match &self.servers.load {
-            Some(load) => Some((load.method.clone(), fields(&load.fields)?)),
+            Some(load) => Some((load.method.clone(), load_paths(&load.fields)?)),
             None => None,
         };
-        let report = self.servers.report.as_ref().map(fields).transpose()?;
+        let report = self.servers.report.as_ref().map(load_paths).transpose()?;
         let message = self.message_kb as usize * 1024;
         let limits = Limits { message, string: message, elements: message, ..Limits::default() };
-        let clients = self.dialect.dialect();
+        let client_dialect = self.dialect.dialect();
         let default_tenant = default_tenant.and_then(|t| u16::try_from(t).ok()).map(TenantId);
-        Ok(ThriftSettings { settings: self, clients, servers, limits, methods, default_tenant, load, report })
+        Ok(ThriftSettings {
+            settings: self,
+            client_dialect,
+            server_dialect,
+            limits,
+            methods,
+            default_tenant,
+            load,
+            report,
+        })
     }
 }
 
 impl ThriftSettings {
-    /// The site's settings as they are for these servers: reports come as the operator says.
+    /// The site's settings adapted to these servers: the operator's file determines how load is reported.
     pub fn site_settings(&self, mut site: finchvale::Settings) -> finchvale::Settings {
         site.may_probe = self.load.is_some();
         site.reports = match (&self.load, &self.report) {
--- a/crates/thrift-proxy/src/upstream.rs
+++ b/crates/thrift-proxy/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The servers' side: connections to Thrift servers, one call at a time on each.
+//! Connections to Thrift servers, each with at most one call in flight.
 
 use crate::decoder::MessageDecoder;
 use crate::settings::ThriftSettings;
@@ -19,27 +19,27 @@
 use tokio::net::TcpStream;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// A call as a client wrote it.
+/// A call as the client sent it.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The client's protocol.
     pub protocol: Protocol,
-    /// The whole message, without its frame.
+    /// The complete message, without its frame header.
     pub message: Bytes,
-    /// Nobody waits for a reply.
+    /// Whether the call has no reply.
     pub oneway: bool,
 }
 
 struct Connection {
     stream: TcpStream,
-    messages: MessageDecoder,
+    decoder: MessageDecoder,
     generation: u64,
     _slot: OwnedSemaphorePermit,
 }
 
 impl PooledConnection for Connection {
     fn is_usable(&self) -> bool {
-        self.messages.is_empty() && is_open_and_idle(&self.stream)
+        self.decoder.is_empty() && is_open_and_idle(&self.stream)
     }
 
     fn generation(&self) -> u64 {
@@ -47,33 +47,33 @@
     }
 }
 
-/// All servers of a listener and the connections to them.
+/// The servers of a listener and the connections to them.
 pub struct ThriftUpstream {
     settings: Rc<ThriftSettings>,
     pool: Pool<Connection>,
     next_seqid: Cell<i32>,
 }
 
-/// How a call over a connection came out.
-enum Exchanged {
-    /// A whole reply to this call.
+/// The outcome of a call on a connection.
+enum ExchangeResult {
+    /// A complete reply to this call.
     Reply(Bytes),
-    /// The server took no more before the last byte was out.
+    /// The connection failed before the last byte was written.
     Unsent,
-    /// After that, anything but a good reply.
+    /// The call may have been executed: no valid reply followed it, or it is a oneway of which a part was written.
     Broken,
 }
 
 impl ThriftUpstream {
-    /// Starts with no servers.
+    /// Creates an upstream without servers.
     pub fn new(settings: Rc<ThriftSettings>, connect_timeout: Duration, conn_idle: Duration) -> Rc<Self> {
         let connections = settings.settings.servers.connections as usize;
-        // Replies are told apart by their sequence ids: no connection has to rest.
+        // Sequence ids tell a late reply from the current one, so a connection can be reused without a delay.
         let limits = Limits { connections, connect_timeout, conn_idle, reuse_delay: Duration::ZERO };
         Rc::new(ThriftUpstream { pool: Pool::new(limits), settings, next_seqid: Cell::new(1) })
     }
 
-    /// Closes connections that have been idle for long, for good.
+    /// Closes connections that have been idle for too long. Never returns.
     pub async fn retire_idle(&self) {
         self.pool.retire_idle().await;
     }
@@ -83,18 +83,19 @@
             return Ok(connection);
         }
         let NewConnection { stream, slot, generation } = self.pool.connect(server).await?;
-        let messages = MessageDecoder::new(Some(self.settings.servers), self.settings.limits);
-        Ok(Connection { stream, messages, generation, _slot: slot })
+        let decoder = MessageDecoder::new(Some(self.settings.server_dialect), self.settings.limits);
+        Ok(Connection { stream, decoder, generation, _slot: slot })
     }
 
-    /// One that no call on its connection has had lately: an old reply is not taken for a new one's.
-    fn seqid(&self) -> i32 {
+    /// A sequence id that no recent call on the same connection has used, so that a late reply is not taken for
+    /// the current one.
+    fn allocate_seqid(&self) -> i32 {
         self.next_seqid.replace(self.next_seqid.get().wrapping_add(1))
     }
 
-    /// The call in the servers' dialect.
-    fn outgoing(&self, call: &Call, seqid: i32) -> Result<Vec<u8>, Error> {
-        let dialect = self.settings.servers;
+    /// Encodes a call in the servers' dialect.
+    fn encode_call(&self, call: &Call, seqid: i32) -> Result<Vec<u8>, Error> {
+        let dialect = self.settings.server_dialect;
         let mut out = Vec::with_capacity(call.message.len() + 16);
         if dialect.framed {
             out.extend_from_slice(&[0; frame::HEADER_LEN]);
@@ -111,7 +112,8 @@
         Ok(out)
     }
 
-    async fn write(connection: &mut Connection, bytes: &[u8]) -> Result<(), usize> {
+    /// Writes a call. On failure, returns the number of bytes written.
+    async fn write_call(connection: &mut Connection, bytes: &[u8]) -> Result<(), usize> {
         let mut written = 0;
         while written < bytes.len() {
             match connection.stream.write(&bytes[written..]).await {
@@ -122,62 +124,66 @@
         Ok(())
     }
 
-    /// Reads the reply to the call of this id and method.
-    async fn read(&self, connection: &mut Connection, seqid: i32, method: &str) -> Exchanged {
+    /// Reads the reply to the call with this sequence id and method.
+    async fn read_reply(&self, connection: &mut Connection, seqid: i32, method: &str) -> ExchangeResult {
         loop {
-            match connection.messages.next_message() {
+            match connection.decoder.next_message() {
                 Ok(Some(reply)) => {
-                    let protocol = self.settings.servers.protocol;
-                    let nothing = Paths::default();
-                    let walked = walk::framed_message(protocol, &reply, &nothing, &self.settings.limits);
-                    let ours = |h: &Header| {
-                        let answers = matches!(h.kind, MessageType::Reply | MessageType::Exception);
-                        answers && h.seqid == seqid && h.name == method
+                    let protocol = self.settings.server_dialect.protocol;
+                    let no_paths = Paths::default();
+                    let walked = walk::framed_message(protocol, &reply, &no_paths, &self.settings.limits);
+                    let matches_call = |h: &Header| {
+                        let is_reply = matches!(h.kind, MessageType::Reply | MessageType::Exception);
+                        is_reply && h.seqid == seqid && h.name == method
                     };
-                    // A second reply, or part of one: whose is it?
-                    let alone = connection.messages.is_empty();
-                    return match walked.is_ok_and(|m| ours(&m.header)) && alone {
-                        true => Exchanged::Reply(reply),
-                        false => Exchanged::Broken,
+                    // Bytes after the reply belong to no call, so neither can be trusted.
+                    let no_trailing_bytes = connection.decoder.is_empty();
+                    return match walked.is_ok_and(|m| matches_call(&m.header)) && no_trailing_bytes {
+                        true => ExchangeResult::Reply(reply),
+                        false => ExchangeResult::Broken,
                     };
                 }
                 Ok(None) => {}
-                Err(_) => return Exchanged::Broken,
+                Err(_) => return ExchangeResult::Broken,
             }
-            if !matches!(connection.stream.read_buf(connection.messages.read_buffer()).await, Ok(n) if n > 0)
-            {
-                return Exchanged::Broken;
+            if !matches!(connection.stream.read_buf(connection.decoder.read_buffer()).await, Ok(n) if n > 0) {
+                return ExchangeResult::Broken;
             }
         }
     }
 
-    /// What a reply comes to.
-    fn ended(&self, reply: Bytes) -> AttemptResult<Bytes> {
-        let (protocol, limits) = (self.settings.servers.protocol, &self.settings.limits);
+    /// The attempt's result for a reply.
+    fn attempt_result(&self, reply: Bytes) -> AttemptResult<Bytes> {
+        let (protocol, limits) = (self.settings.server_dialect.protocol, &self.settings.limits);
         let Ok(header) = walk::header(protocol, &reply, limits) else {
             return AttemptResult::from_outcome(Outcome::Broken);
         };
         if header.kind == MessageType::Exception {
-            let kind = Paths::new([[2i16]]);
-            let read = walk::message(protocol, &reply, &kind, limits);
+            let type_path = Paths::new([[2i16]]);
+            let read = walk::message(protocol, &reply, &type_path, limits);
             let kind = read.ok().and_then(|m| m.values[0]?.integer());
-            let proof = |n: &crate::settings::ExceptionName| kind == Some(*n as i64);
-            let never_ran = self.settings.settings.servers.never_ran.iter().any(proof);
+            let is_type = |n: &crate::settings::ExceptionName| kind == Some(*n as i64);
+            let never_ran = self.settings.settings.servers.never_ran.iter().any(is_type);
             return AttemptResult::from_outcome(if never_ran { Outcome::Rejected } else { Outcome::Error });
         }
-        let report = self.settings.report.as_ref().and_then(|paths| self.report(&reply, paths));
+        let report = self.settings.report.as_ref().and_then(|paths| self.load_report(&reply, paths));
         AttemptResult { outcome: Outcome::Served, report, answer: Some(reply) }
     }
 
-    fn report(&self, reply: &[u8], paths: &Paths) -> Option<LoadReport> {
+    /// The load report in a reply, if it has any.
+    fn load_report(&self, reply: &[u8], paths: &Paths) -> Option<LoadReport> {
         let message =
-            walk::message(self.settings.servers.protocol, reply, paths, &self.settings.limits).ok()?;
-        let figure = |at: usize| {
-            let value: Option<Value> = message.values[at];
+            walk::message(self.settings.server_dialect.protocol, reply, paths, &self.settings.limits).ok()?;
+        let value_at = |index: usize| {
+            let value: Option<Value> = message.values[index];
             value.and_then(|v| v.number()).filter(|n| n.is_finite() && *n >= 0.0)
         };
-        let report =
-            LoadReport { held: figure(0), waiting: figure(1), busy: figure(2), ..LoadReport::default() };
+        let report = LoadReport {
+            held: value_at(0),
+            waiting: value_at(1),
+            busy: value_at(2),
+            ..LoadReport::default()
+        };
         (report != LoadReport::default()).then_some(report)
     }
 }
@@ -194,30 +200,31 @@
         self.pool.set_metrics(metrics);
     }
 
-    async fn attempt(self: Rc<Self>, server: ServerId, call: Rc<Call>, ticket: AttemptHandle<Self>) {
+    async fn attempt(self: Rc<Self>, server: ServerId, call: Rc<Call>, attempt: AttemptHandle<Self>) {
         let Some(server) = self.pool.get(server) else {
-            return ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
+            return attempt.finish(AttemptResult::from_outcome(Outcome::NotSent));
         };
         let mut connection = match self.checkout(&server).await {
             Ok(connection) => connection,
-            Err(outcome) => return ticket.finish(AttemptResult::from_outcome(outcome)),
+            Err(outcome) => return attempt.finish(AttemptResult::from_outcome(outcome)),
         };
-        let seqid = self.seqid();
-        // The front has walked over it: what can't be written here is no call.
-        let Ok(bytes) = self.outgoing(&call, seqid) else {
-            return ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
+        let seqid = self.allocate_seqid();
+        // The frontend has validated the call, so encoding can only fail for a message that is not a call.
+        let Ok(bytes) = self.encode_call(&call, seqid) else {
+            return attempt.finish(AttemptResult::from_outcome(Outcome::NotSent));
         };
-        if ticket.permit_send() == SendPermit::Denied {
-            ticket.finish(AttemptResult::from_outcome(Outcome::NotSent));
+        if attempt.permit_send() == SendPermit::Denied {
+            attempt.finish(AttemptResult::from_outcome(Outcome::NotSent));
             return self.pool.give_back(&server, connection);
         }
-        let exchanged = match Self::write(&mut connection, &bytes).await {
-            // A server begins with a call's last byte. Of a oneway nobody would ever hear that it began after all.
-            Err(written) if written == 0 || !call.oneway => Exchanged::Unsent,
-            Err(_) => Exchanged::Broken,
+        let result = match Self::write_call(&mut connection, &bytes).await {
+            // A server executes a call only once it has the last byte. A oneway counts as broken all the same: if the
+            // server executed it after all, nothing would ever report that.
+            Err(written) if written == 0 || !call.oneway => ExchangeResult::Unsent,
+            Err(_) => ExchangeResult::Broken,
             Ok(()) if call.oneway => {
-                ticket.written();
-                ticket.finish(AttemptResult {
+                attempt.written();
+                attempt.finish(AttemptResult {
                     outcome: Outcome::Served,
                     report: None,
                     answer: Some(Bytes::new()),
@@ -225,57 +232,57 @@
                 return self.pool.give_back(&server, connection);
             }
             Ok(()) => {
-                ticket.written();
+                attempt.written();
                 let header = walk::header(call.protocol, &call.message, &self.settings.limits);
                 let name = header.map_or("", |h| h.name);
                 let method = name.rsplit(':').next().unwrap_or(name);
-                self.read(&mut connection, seqid, method).await
+                self.read_reply(&mut connection, seqid, method).await
             }
         };
-        match exchanged {
-            Exchanged::Reply(reply) => {
-                ticket.finish(self.ended(reply));
+        match result {
+            ExchangeResult::Reply(reply) => {
+                attempt.finish(self.attempt_result(reply));
                 self.pool.give_back(&server, connection);
             }
-            Exchanged::Unsent => ticket.finish(AttemptResult::from_outcome(Outcome::Unreachable)),
-            Exchanged::Broken => ticket.finish(AttemptResult::from_outcome(Outcome::Broken)),
+            ExchangeResult::Unsent => attempt.finish(AttemptResult::from_outcome(Outcome::Unreachable)),
+            ExchangeResult::Broken => attempt.finish(AttemptResult::from_outcome(Outcome::Broken)),
         }
     }
 
-    async fn probe(self: Rc<Self>, server: ServerId, ticket: ProbeHandle<Self>) {
-        let Some((method, paths)) = &self.settings.load else { return ticket.finish(Outcome::NotSent, None) };
-        let Some(server) = self.pool.get(server) else { return ticket.finish(Outcome::NotSent, None) };
+    async fn probe(self: Rc<Self>, server: ServerId, probe: ProbeHandle<Self>) {
+        let Some((method, paths)) = &self.settings.load else { return probe.finish(Outcome::NotSent, None) };
+        let Some(server) = self.pool.get(server) else { return probe.finish(Outcome::NotSent, None) };
         let mut connection = match self.checkout(&server).await {
             Ok(connection) => connection,
-            Err(outcome) => return ticket.finish(outcome, None),
+            Err(outcome) => return probe.finish(outcome, None),
         };
-        let seqid = self.seqid();
-        let dialect = self.settings.servers;
+        let seqid = self.allocate_seqid();
+        let dialect = self.settings.server_dialect;
         let mut bytes = vec![0; if dialect.framed { frame::HEADER_LEN } else { 0 }];
-        fn ask(writer: &mut impl Writer, method: &str, seqid: i32) {
+        fn write_probe(writer: &mut impl Writer, method: &str, seqid: i32) {
             writer.header(MessageType::Call, method, seqid, true);
             writer.stop();
         }
         match dialect.protocol {
-            Protocol::Binary => ask(&mut write::Binary(&mut bytes), method, seqid),
-            Protocol::Compact => ask(&mut write::Compact(&mut bytes), method, seqid),
+            Protocol::Binary => write_probe(&mut write::Binary(&mut bytes), method, seqid),
+            Protocol::Compact => write_probe(&mut write::Compact(&mut bytes), method, seqid),
         }
         if dialect.framed {
             frame::write_length(&mut bytes);
         }
-        if Self::write(&mut connection, &bytes).await.is_err() {
-            return ticket.finish(Outcome::Unreachable, None);
+        if Self::write_call(&mut connection, &bytes).await.is_err() {
+            return probe.finish(Outcome::Unreachable, None);
         }
         let name = method.rsplit(':').next().unwrap_or(method);
-        match self.read(&mut connection, seqid, name).await {
-            Exchanged::Reply(reply) => {
+        match self.read_reply(&mut connection, seqid, name).await {
+            ExchangeResult::Reply(reply) => {
                 let header = walk::header(dialect.protocol, &reply, &self.settings.limits);
                 let served = header.is_ok_and(|h| h.kind == MessageType::Reply);
-                let report = self.report(&reply, paths).filter(|_| served);
-                ticket.finish(if served { Outcome::Served } else { Outcome::Error }, report);
+                let report = self.load_report(&reply, paths).filter(|_| served);
+                probe.finish(if served { Outcome::Served } else { Outcome::Error }, report);
                 self.pool.give_back(&server, connection);
             }
-            Exchanged::Unsent | Exchanged::Broken => ticket.finish(Outcome::Broken, None),
+            ExchangeResult::Unsent | ExchangeResult::Broken => probe.finish(Outcome::Broken, None),
         }
     }
 }
