--- a/crates/thrift/benches/walk.rs
+++ b/crates/thrift/benches/walk.rs
@@ -1,4 +1,4 @@
-//! Bytes a second of the walker beside the `thrift` crate, which decodes the same messages with generated code.
+//! Compares the throughput of the walker with the `thrift` crate, which decodes the same messages with generated code.
 
 #[allow(dead_code, missing_docs, clippy::all)]
 #[rustfmt::skip]
--- a/crates/thrift/src/error.rs
+++ b/crates/thrift/src/error.rs
@@ -1,18 +1,18 @@
-//! What can be wrong with bytes.
+//! Errors of reading messages.
 
 use std::fmt;
 
-/// What is wrong, and where: the offset of the value at fault.
+/// An error and the offset of the value that caused it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("at byte {offset}: {kind}")]
 pub struct Error {
-    /// From the first byte of what was given.
+    /// Offset from the first byte of the input.
     pub offset: usize,
-    /// What.
+    /// The kind of error.
     pub kind: ErrorKind,
 }
 
-/// What has a size. Kept small, as all errors here: they are part of every result on the way through a message.
+/// An item whose size is limited. All error types here are kept small, since every result of the walker contains one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum SizedItem {
@@ -35,56 +35,56 @@
     }
 }
 
-/// What is wrong.
+/// The kinds of errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ErrorKind {
-    /// More bytes are wanted than are there.
+    /// The input ends before the message does.
     #[error("cut short")]
     Truncated,
-    /// Neither a strict nor an old header of the binary protocol, nor one of the compact.
+    /// The bytes are no message header: neither a strict nor a non-strict binary one, nor a compact one.
     #[error("no message header")]
     NoHeader,
-    /// A version that is not known.
+    /// An unknown protocol version.
     #[error("version {0:#x} is not known")]
     UnknownVersion(u16),
-    /// A message type that is not known.
+    /// An unknown message type.
     #[error("message type {0} is not known")]
     UnknownMessageType(u8),
-    /// A type of values that is not known.
+    /// An unknown value type.
     #[error("type {0} is not known")]
     UnknownValueType(u8),
-    /// A size or length below zero.
+    /// A negative size or length.
     #[error("a size of {0}")]
     NegativeSize(i32),
     /// A size or length over its limit.
-    #[error("{what} of {size}, and {limit} is the most")]
+    #[error("{item} of {size}, and {limit} is the most")]
     TooLarge {
-        /// Of what.
-        what: SizedItem,
-        /// As claimed.
+        /// The item that is too large.
+        item: SizedItem,
+        /// The size in the input.
         size: u32,
-        /// As allowed.
+        /// The limit.
         limit: u32,
     },
-    /// A varint that doesn't end, or holds more than its type does.
+    /// A varint that is too long or doesn't fit its type.
     #[error("a varint without end")]
     InvalidVarint,
     /// A name that is not UTF-8.
     #[error("the name is not UTF-8")]
     NameNotUtf8,
-    /// Structs and containers inside one another without end.
+    /// Structs and containers nested deeper than the limit.
     #[error("nested too deeply")]
     NestingTooDeep,
-    /// A field id outside its range.
+    /// A field id that exceeds 16 bits.
     #[error("field ids run over")]
     FieldIdOverflow,
-    /// Bytes behind what should be a whole message.
+    /// Bytes after the end of a message that should fill the input.
     #[error("bytes behind the message")]
     TrailingBytes,
 }
 
 impl Error {
-    /// Whether it may only be that not all has come yet.
+    /// Whether the input is only incomplete so far: more bytes may make it valid.
     pub fn is_truncated(&self) -> bool {
         self.kind == ErrorKind::Truncated
     }
--- a/crates/thrift/src/frame.rs
+++ b/crates/thrift/src/frame.rs
@@ -1,32 +1,32 @@
-//! Frames: a length of four bytes, big-endian, before each message.
+//! Framing: each message is preceded by its length as four big-endian bytes.
 
 use crate::{Error, ErrorKind, Limits, SizedItem};
 
-/// Bytes of a frame's length.
+/// Size of a frame's header, in bytes.
 pub const HEADER_LEN: usize = 4;
 
-/// The length of the content of a frame that begins with the first byte; None: not even its length is there.
+/// The content length of the frame at the start of `bytes`; `None` if its header is incomplete.
 ///
-/// Errors: a length below zero, of nothing, or over the limit.
+/// Fails if the length is negative, zero or over the limit.
 pub fn length(bytes: &[u8], limits: &Limits) -> Result<Option<usize>, Error> {
-    let Some(head) = bytes.first_chunk::<HEADER_LEN>() else { return Ok(None) };
+    let Some(header) = bytes.first_chunk::<HEADER_LEN>() else { return Ok(None) };
     let (offset, limit) = (0, limits.message);
-    let length = i32::from_be_bytes(*head);
+    let length = i32::from_be_bytes(*header);
     let kind = match usize::try_from(length) {
         Err(_) => ErrorKind::NegativeSize(length),
         Ok(0) => ErrorKind::NoHeader,
         Ok(n) if n > limit => {
-            ErrorKind::TooLarge { what: SizedItem::Frame, size: n as u32, limit: limit as u32 }
+            ErrorKind::TooLarge { item: SizedItem::Frame, size: n as u32, limit: limit as u32 }
         }
         Ok(n) => return Ok(Some(n)),
     };
     Err(Error { offset, kind })
 }
 
-/// Puts the length of what follows it into the four bytes kept free for it at the beginning.
+/// Writes the content length into the first [`HEADER_LEN`] bytes, which the caller has reserved for it.
 ///
 /// # Panics
-/// If there are fewer than four bytes, or more than a frame can hold.
+/// If `frame` has fewer than four bytes or its content exceeds the maximum frame length.
 pub fn write_length(frame: &mut [u8]) {
     let length = i32::try_from(frame.len() - HEADER_LEN).expect("a frame holds less than 2 GiB");
     frame[..HEADER_LEN].copy_from_slice(&length.to_be_bytes());
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -1,14 +1,14 @@
 //! Thrift on the wire: the binary and the compact protocol, framed and unframed.
 //!
-//! A proxy needs little of a message: its name, type and sequence id, a few fields, and where it ends. [`walk`] finds
-//! these in one pass over the bytes and skips the rest; nothing is copied, and a claimed size never allocates. [`frame`]
-//! cuts frames, [`detect`] tells the protocols apart, [`write`] writes messages, [`transcode`] turns one protocol into
-//! the other.
+//! A proxy needs only parts of a message: its name, type and sequence id, a few fields, and its end. [`walk`] finds these
+//! in one pass over the bytes and skips the rest. It copies nothing, and a size in the input never causes an allocation.
+//! [`frame`] handles framing, [`detect`] detects the protocol, [`write`] writes messages and [`transcode`] converts one
+//! protocol to the other.
 //!
-//! Bytes from outside are never trusted: every error is an [`Error`] with the offset of what is at fault, and
-//! [`Limits`] bound depth, sizes and lengths. Input that ends too early is [`Error::is_truncated`]: more may come.
+//! Input is untrusted: every failure is an [`Error`] with the offset of the value that caused it, and [`Limits`] bound
+//! nesting, sizes and lengths. Errors of incomplete input are [`Error::is_truncated`].
 //!
-//! After the public specifications of the Thrift project ("Thrift Binary protocol encoding", "Thrift Compact protocol
+//! Implements the public specifications of the Thrift project ("Thrift Binary protocol encoding", "Thrift Compact protocol
 //! encoding", "Thrift Remote Procedure Call").
 
 #![forbid(unsafe_code)]
@@ -24,43 +24,43 @@
 
 pub use error::{Error, ErrorKind, SizedItem};
 
-/// The two encodings.
+/// The wire protocols.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Protocol {
-    /// Fixed widths.
+    /// The binary protocol: fixed-width integers.
     Binary,
-    /// Varints, and field ids as differences.
+    /// The compact protocol: varints and delta-encoded field ids.
     Compact,
 }
 
-/// What a message is.
+/// The type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MessageType {
-    /// A request that wants a reply.
+    /// A request that expects a reply.
     Call = 1,
     /// A reply with a result or a declared exception.
     Reply = 2,
     /// A reply with a `TApplicationException`.
     Exception = 3,
-    /// A request that gets no reply.
+    /// A request without a reply.
     Oneway = 4,
 }
 
 impl MessageType {
-    pub(crate) fn read(number: u8) -> Result<Self, ErrorKind> {
-        match number {
+    pub(crate) fn from_code(code: u8) -> Result<Self, ErrorKind> {
+        match code {
             1 => Ok(MessageType::Call),
             2 => Ok(MessageType::Reply),
             3 => Ok(MessageType::Exception),
             4 => Ok(MessageType::Oneway),
-            _ => Err(ErrorKind::UnknownMessageType(number)),
+            _ => Err(ErrorKind::UnknownMessageType(code)),
         }
     }
 }
 
-/// The types of values, in neither protocol's numbers.
+/// The types of values, independent of either protocol's type codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-#[allow(missing_docs)] // They are Thrift's own names.
+#[allow(missing_docs)] // Named as in Thrift.
 pub enum ValueType {
     Bool,
     I8,
@@ -68,7 +68,7 @@
     I32,
     I64,
     Double,
-    /// `string` and `binary`, which look alike.
+    /// `string` and `binary`, which have the same encoding.
     Binary,
     Struct,
     Map,
@@ -77,18 +77,18 @@
     Uuid,
 }
 
-/// Bounds on what is read.
+/// Limits on input that is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Structs and containers inside one another.
+    /// Maximum nesting of structs and containers.
     pub depth: u32,
-    /// Elements of one container.
+    /// Maximum number of elements in a container.
     pub elements: usize,
-    /// Bytes of one string.
+    /// Maximum length of a string, in bytes.
     pub string: usize,
-    /// Bytes of a whole message, or of a frame.
+    /// Maximum length of a message or a frame's content, in bytes.
     pub message: usize,
-    /// Bytes of a message's name.
+    /// Maximum length of a message's name, in bytes.
     pub name: usize,
 }
 
--- a/crates/thrift/src/transcode.rs
+++ b/crates/thrift/src/transcode.rs
@@ -1,17 +1,18 @@
-//! Turns a message of one protocol into the other, type by type.
+//! Converts messages from one protocol to the other, value by value.
 //!
-//! Every type has one on the other side, so that nothing changes but the encoding. Three things can't be kept, since one of the
-//! protocols doesn't have them: the types of an empty map (compact has none; binary then says `0, 0`, which decoders take
-//! for an empty map), the version word of an old binary header, and bytes of a bool other than 0 and 1.
+//! Both protocols have the same types, so only the encoding changes. Three things are lost because one of the protocols
+//! can't express them: the types of an empty map (compact has none; binary then has `0, 0`, which decoders accept as an
+//! empty map), whether a binary header is strict, and bool bytes other than 0 and 1.
 
 use crate::read::{self, Cursor, Field, Reader};
 use crate::walk::read_header;
 use crate::write::{self, Writer};
 use crate::{Error, ErrorKind, Limits, Protocol, ValueType};
 
-/// Appends a whole message in the other protocol, under a sequence id. A `strict` header is wanted of the binary one.
+/// Appends a complete message in the other protocol, with another sequence id. `strict` selects the header of a binary
+/// message.
 ///
-/// Errors: whatever a walk over it finds; what was appended by then is to be thrown away.
+/// Fails with the same errors as walking the message; the output is incomplete then and has to be discarded.
 pub fn message(
     out: &mut Vec<u8>,
     from: Protocol,
@@ -20,14 +21,14 @@
     strict: bool,
     limits: &Limits,
 ) -> Result<(), Error> {
-    let cursor = Cursor { bytes, at: 0, limits };
+    let cursor = Cursor { bytes, position: 0, limits };
     match from {
-        Protocol::Binary => run(read::Binary::new(cursor), write::Compact(out), seqid, strict),
-        Protocol::Compact => run(read::Compact::new(cursor), write::Binary(out), seqid, strict),
+        Protocol::Binary => transcode(read::Binary::new(cursor), write::Compact(out), seqid, strict),
+        Protocol::Compact => transcode(read::Compact::new(cursor), write::Binary(out), seqid, strict),
     }
 }
 
-fn run<'a, R: Reader<'a>, W: Writer>(
+fn transcode<'a, R: Reader<'a>, W: Writer>(
     mut reader: R,
     mut writer: W,
     seqid: i32,
@@ -35,15 +36,15 @@
 ) -> Result<(), Error> {
     let header = read_header(&mut reader)?;
     writer.header(header.kind, header.name, seqid, strict);
-    value(&mut reader, &mut writer, ValueType::Struct, 0)?;
+    transcode_value(&mut reader, &mut writer, ValueType::Struct, 0)?;
     let cursor = reader.cursor();
-    match cursor.at == cursor.bytes.len() {
+    match cursor.position == cursor.bytes.len() {
         true => Ok(()),
-        false => cursor.error(cursor.at, ErrorKind::TrailingBytes),
+        false => cursor.error(cursor.position, ErrorKind::TrailingBytes),
     }
 }
 
-fn value<'a, R: Reader<'a>, W: Writer>(
+fn transcode_value<'a, R: Reader<'a>, W: Writer>(
     reader: &mut R,
     writer: &mut W,
     kind: ValueType,
@@ -51,7 +52,7 @@
 ) -> Result<(), Error> {
     let cursor = reader.cursor();
     if depth >= cursor.limits.depth {
-        return cursor.error(cursor.at, ErrorKind::NestingTooDeep);
+        return cursor.error(cursor.position, ErrorKind::NestingTooDeep);
     }
     let inner = depth + 1;
     match kind {
@@ -65,17 +66,18 @@
         ValueType::Uuid => writer.uuid(reader.cursor().take(16)?),
         ValueType::Struct => {
             let mut last = 0;
-            while let Some(Field { id, kind, value: held }) = reader.field(last)? {
-                // The compact protocol has a bool's value in the header, so that it has to be read first.
-                let held = match (kind, held) {
+            while let Some(Field { id, kind, value: bool_value }) = reader.field(last)? {
+                // The compact protocol encodes a bool's value in the field header, so it is read before the header is
+                // written.
+                let bool_value = match (kind, bool_value) {
                     (ValueType::Bool, None) => Some(reader.bool()?),
-                    (_, held) => held,
+                    (_, bool_value) => bool_value,
                 };
-                let written = writer.field(kind, id, last, held);
-                match held {
-                    Some(held) if !written => writer.bool(held),
+                let written = writer.field(kind, id, last, bool_value);
+                match bool_value {
+                    Some(bool_value) if !written => writer.bool(bool_value),
                     Some(_) => {}
-                    None => value(reader, writer, kind, inner)?,
+                    None => transcode_value(reader, writer, kind, inner)?,
                 }
                 last = id;
             }
@@ -84,15 +86,15 @@
         ValueType::List | ValueType::Set => {
             let (element, size) = reader.list()?;
             writer.list(element, size);
-            (0..size).try_for_each(|_| value(reader, writer, element, inner))?;
+            (0..size).try_for_each(|_| transcode_value(reader, writer, element, inner))?;
         }
         ValueType::Map => {
             let (types, size) = reader.map()?;
             writer.map(types, size);
-            if let Some((key, held)) = types {
+            if let Some((key, value)) = types {
                 for _ in 0..size {
-                    value(reader, writer, key, inner)?;
-                    value(reader, writer, held, inner)?;
+                    transcode_value(reader, writer, key, inner)?;
+                    transcode_value(reader, writer, value, inner)?;
                 }
             }
         }
--- a/crates/thrift/src/walk.rs
+++ b/crates/thrift/src/walk.rs
@@ -1,28 +1,28 @@
-//! Finds a message's header, chosen fields and end in one pass, and skips everything else.
+//! Finds a message's header, selected fields and end in one pass, and skips everything else.
 
 use crate::read::{Binary, Compact, Cursor, Field, Reader};
 use crate::{Error, ErrorKind, Limits, MessageType, Protocol, SizedItem, ValueType};
 use smallvec::SmallVec;
 
-/// A message's header.
+/// A message header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header<'a> {
-    /// What the message is.
+    /// The message type.
     pub kind: MessageType,
-    /// The method's name, `service:method` where services share a connection.
+    /// The method's name, or `service:method` for multiplexed services.
     pub name: &'a str,
-    /// What a reply is matched by.
+    /// The sequence id, which matches replies to calls.
     pub seqid: i32,
-    /// Whether a binary header has its version word; always true of compact ones.
+    /// Whether a binary header has a version word; always true for compact headers.
     pub strict: bool,
-    /// Where the sequence id lies, from and to.
+    /// Start and end offsets of the sequence id.
     pub seqid_range: (usize, usize),
-    /// Where the arguments or the result begin.
+    /// Offset of the arguments or the result.
     pub body_offset: usize,
 }
 
 impl Header<'_> {
-    /// The service, where several share a connection, and the method.
+    /// The service, if the name is multiplexed, and the method.
     pub fn service_and_method(&self) -> (Option<&str>, &str) {
         match self.name.split_once(':') {
             Some((service, method)) => (Some(service), method),
@@ -31,9 +31,9 @@
     }
 }
 
-/// A value that was found. Structs and containers are named by their kind only.
+/// A field's value. Structs and containers are not decoded.
 #[derive(Clone, Copy, Debug, PartialEq)]
-#[allow(missing_docs)] // They are Thrift's own names.
+#[allow(missing_docs)] // Named as in Thrift.
 pub enum Value<'a> {
     Bool(bool),
     I8(i8),
@@ -43,12 +43,12 @@
     Double(f64),
     Binary(&'a [u8]),
     Uuid([u8; 16]),
-    /// A struct or container.
+    /// A struct or container of this type.
     Composite(ValueType),
 }
 
 impl Value<'_> {
-    /// A whole number as such.
+    /// The value as an integer, if it is one.
     pub fn integer(&self) -> Option<i64> {
         match *self {
             Value::I8(n) => Some(n.into()),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Any number as a floating one.
+    /// The value as a floating-point number, if it is numeric.
     pub fn number(&self) -> Option<f64> {
         match *self {
             Value::Double(n) => Some(n),
@@ -68,8 +68,8 @@
     }
 }
 
-/// Fields to look for, each by the ids that lead to it from the arguments or the result: `1.3` is field 3 of the struct in
-/// field 1. Made once, used for every message.
+/// The fields to find, each given by the field ids that lead to it from the arguments or the result: `1.3` is field 3 of
+/// the struct in field 1. Built once and used for every message.
 #[derive(Clone, Debug, Default)]
 pub struct Paths {
     root: Node,
@@ -78,18 +78,18 @@
 
 #[derive(Clone, Debug, Default)]
 struct Node {
-    /// Which paths end here.
-    leaves: Vec<usize>,
+    /// Indexes of the paths that end here.
+    path_indexes: Vec<usize>,
     children: Vec<(i16, Node)>,
 }
 
-/// Why a text is no path of field ids.
+/// The text is not a path of field ids.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no path of field ids: wanted numbers with points between, such as 1.3")]
+#[error("{0:?} is no path of field ids: expected numbers separated by dots, such as 1.3")]
 pub struct PathError(String);
 
 impl Paths {
-    /// Of these paths; a message's values come in the same order.
+    /// Combines paths. The values of a message are in the same order.
     pub fn new<P: AsRef<[i16]>>(paths: impl IntoIterator<Item = P>) -> Self {
         let mut all = Paths::default();
         for path in paths {
@@ -101,48 +101,48 @@
                 });
                 node = &mut node.children[at].1;
             }
-            node.leaves.push(all.count);
+            node.path_indexes.push(all.count);
             all.count += 1;
         }
         all
     }
 
-    /// Reads a path.
+    /// Parses a path such as `1.3`.
     pub fn parse(text: &str) -> Result<Vec<i16>, PathError> {
         text.split('.').map(|id| id.parse().map_err(|_| PathError(text.to_owned()))).collect()
     }
 
-    /// How many there are.
+    /// The number of paths.
     pub fn count(&self) -> usize {
         self.count
     }
 }
 
-/// The values of [`Paths`], in their order; a handful needs no allocation.
+/// The values found, in the order of [`Paths`]. Up to six are stored inline, without an allocation.
 pub type Values<'a> = SmallVec<[Option<Value<'a>>; 6]>;
 
-/// A message that is whole.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message<'a> {
-    /// Its header.
+    /// The header.
     pub header: Header<'a>,
-    /// The fields that were looked for; of one that comes twice the last, as decoders have it.
+    /// The values of the requested fields. If a field occurs twice, the last value is kept, as decoders do.
     pub values: Values<'a>,
-    /// Where it ends.
+    /// Offset of the message's end.
     pub end: usize,
 }
 
-/// Reads a message's header only.
+/// Reads only the message header.
 pub fn header<'a>(protocol: Protocol, bytes: &'a [u8], limits: &'a Limits) -> Result<Header<'a>, Error> {
-    let cursor = Cursor { bytes, at: 0, limits };
+    let cursor = Cursor { bytes, position: 0, limits };
     match protocol {
         Protocol::Binary => read_header(&mut Binary::new(cursor)),
         Protocol::Compact => read_header(&mut Compact::new(cursor)),
     }
 }
 
-/// Walks over a message that begins with the first byte. What is behind it is not looked at; one that is longer than
-/// allowed, whole or not, is an error as soon as that is known.
+/// Walks the message at the start of `bytes`; later bytes are ignored. A message over the size limit is an error as soon
+/// as that is known, even if it is incomplete.
 pub fn message<'a>(
     protocol: Protocol,
     bytes: &'a [u8],
@@ -151,22 +151,22 @@
 ) -> Result<Message<'a>, Error> {
     let too_long = bytes.len() > limits.message;
     let bytes = &bytes[..bytes.len().min(limits.message)];
-    let cursor = Cursor { bytes, at: 0, limits };
+    let cursor = Cursor { bytes, position: 0, limits };
     let walked = match protocol {
         Protocol::Binary => Walker::new(Binary::new(cursor), paths).walk(paths),
         Protocol::Compact => Walker::new(Compact::new(cursor), paths).walk(paths),
     };
-    let (what, limit) = (SizedItem::Message, limits.message as u32);
+    let (item, limit) = (SizedItem::Message, limits.message as u32);
     match walked {
         Err(e) if e.is_truncated() && (too_long || bytes.len() == limits.message) => {
             let size = limit.saturating_add(1);
-            Err(Error { offset: 0, kind: ErrorKind::TooLarge { what, size, limit } })
+            Err(Error { offset: 0, kind: ErrorKind::TooLarge { item, size, limit } })
         }
         walked => walked,
     }
 }
 
-/// The same for a frame's content, which is one whole message: one that ends early or late is an error.
+/// As [`message`], for the content of a frame: a message that ends before or after the frame's end is an error.
 pub fn framed_message<'a>(
     protocol: Protocol,
     bytes: &'a [u8],
@@ -188,7 +188,7 @@
         seqid: raw.seqid,
         strict: raw.strict,
         seqid_range: raw.seqid_range,
-        body_offset: reader.cursor().at,
+        body_offset: reader.cursor().position,
     })
 }
 
@@ -207,13 +207,13 @@
         let header = read_header(&mut self.reader)?;
         match paths.count {
             0 => self.skip(ValueType::Struct)?,
-            _ => self.look_through(&paths.root)?,
+            _ => self.walk_struct(&paths.root)?,
         }
-        Ok(Message { header, values: self.values, end: self.reader.cursor().at })
+        Ok(Message { header, values: self.values, end: self.reader.cursor().position })
     }
 
-    /// Goes through a struct in which fields are looked for.
-    fn look_through(&mut self, node: &Node) -> Result<(), Error> {
+    /// Walks a struct that may contain requested fields.
+    fn walk_struct(&mut self, node: &Node) -> Result<(), Error> {
         self.enter()?;
         let mut last = 0;
         while let Some(field) = self.reader.field(last)? {
@@ -221,12 +221,12 @@
             match node.children.iter().find(|c| c.0 == field.id) {
                 None => self.skip_field(field)?,
                 Some((_, child)) if field.kind == ValueType::Struct && !child.children.is_empty() => {
-                    self.set(child, Value::Composite(ValueType::Struct));
-                    self.look_through(child)?;
+                    self.store(child, Value::Composite(ValueType::Struct));
+                    self.walk_struct(child)?;
                 }
                 Some((_, child)) => {
                     let value = self.value(field)?;
-                    self.set(child, value);
+                    self.store(child, value);
                 }
             }
         }
@@ -234,8 +234,8 @@
         Ok(())
     }
 
-    fn set(&mut self, node: &Node, value: Value<'a>) {
-        node.leaves.iter().for_each(|&leaf| self.values[leaf] = Some(value));
+    fn store(&mut self, node: &Node, value: Value<'a>) {
+        node.path_indexes.iter().for_each(|&index| self.values[index] = Some(value));
     }
 
     fn value(&mut self, field: Field) -> Result<Value<'a>, Error> {
@@ -276,7 +276,7 @@
         self.depth += 1;
         let cursor = self.reader.cursor();
         match self.depth > cursor.limits.depth {
-            true => cursor.error(cursor.at, ErrorKind::NestingTooDeep),
+            true => cursor.error(cursor.position, ErrorKind::NestingTooDeep),
             false => Ok(()),
         }
     }
@@ -297,7 +297,7 @@
             ValueType::List | ValueType::Set => {
                 self.enter()?;
                 let (element, size) = self.reader.list()?;
-                self.skip_many(element, size)?;
+                self.skip_elements(element, size)?;
                 self.depth -= 1;
                 Ok(())
             }
@@ -305,27 +305,27 @@
                 self.enter()?;
                 let (types, size) = self.reader.map()?;
                 if let Some((key, value)) = types {
-                    match (R::width(key), R::width(value)) {
-                        (Some(k), Some(v)) => self.jump(size, k + v)?,
+                    match (R::fixed_width(key), R::fixed_width(value)) {
+                        (Some(k), Some(v)) => self.skip_fixed(size, k + v)?,
                         _ => (0..size).try_for_each(|_| self.skip(key).and_then(|()| self.skip(value)))?,
                     }
                 }
                 self.depth -= 1;
                 Ok(())
             }
-            number => self.reader.skip_number(number),
+            scalar => self.reader.skip_scalar(scalar),
         }
     }
 
-    /// So many elements; no element takes less than a byte, so that a false size ends with the input.
-    fn skip_many(&mut self, kind: ValueType, size: usize) -> Result<(), Error> {
-        match R::width(kind) {
-            Some(width) => self.jump(size, width),
+    /// Skips `size` elements. Every element takes at least one byte, so a false size runs into the end of the input.
+    fn skip_elements(&mut self, kind: ValueType, size: usize) -> Result<(), Error> {
+        match R::fixed_width(kind) {
+            Some(width) => self.skip_fixed(size, width),
             None => (0..size).try_for_each(|_| self.skip(kind)),
         }
     }
 
-    fn jump(&mut self, size: usize, width: usize) -> Result<(), Error> {
+    fn skip_fixed(&mut self, size: usize, width: usize) -> Result<(), Error> {
         self.reader.cursor().take(size.saturating_mul(width)).map(drop)
     }
 }
--- a/crates/thrift/src/write.rs
+++ b/crates/thrift/src/write.rs
@@ -1,44 +1,46 @@
-//! Writes messages in both protocols, and the exceptions that a proxy answers with.
+//! Writes messages in both protocols, including the exceptions that a proxy replies with.
 
 use crate::read::COMPACT_ID;
 use crate::walk::Header;
 use crate::{MessageType, Protocol, ValueType};
 
-/// Appends values to bytes.
+/// Appends encoded values to a buffer.
 pub trait Writer {
-    /// A message's header. A `strict` one has its version word, where the protocol knows others.
+    /// Writes a message header. `strict` adds the version word in the binary protocol; the compact protocol always has a
+    /// version.
     fn header(&mut self, kind: MessageType, name: &str, seqid: i32, strict: bool);
-    /// A field's header, after one of id `last`. A bool's value goes with it; returns whether it is written by that.
+    /// Writes a field header after the field with id `last`. `value` is the value of a bool field; returns whether the
+    /// header includes it.
     fn field(&mut self, kind: ValueType, id: i16, last: i16, value: Option<bool>) -> bool;
-    /// A struct's end.
+    /// Writes the end of a struct.
     fn stop(&mut self);
-    /// A list's or set's header.
+    /// Writes the header of a list or set.
     fn list(&mut self, element: ValueType, size: usize);
-    /// A map's header. Of an empty one types need not be known.
+    /// Writes a map header. The types may be unknown if the map is empty.
     fn map(&mut self, types: Option<(ValueType, ValueType)>, size: usize);
-    /// A string.
+    /// Writes a string or binary value.
     fn binary(&mut self, bytes: &[u8]);
-    /// A bool as an element.
+    /// Writes a bool as a container element, or as a field whose header does not include the value.
     fn bool(&mut self, value: bool);
-    /// A byte.
+    /// Writes an 8-bit integer.
     fn i8(&mut self, value: i8);
-    /// A number.
+    /// Writes a 16-bit integer.
     fn i16(&mut self, value: i16);
-    /// A number.
+    /// Writes a 32-bit integer.
     fn i32(&mut self, value: i32);
-    /// A number.
+    /// Writes a 64-bit integer.
     fn i64(&mut self, value: i64);
-    /// A number.
+    /// Writes a double.
     fn double(&mut self, value: f64);
-    /// Sixteen bytes as they are.
+    /// Writes the sixteen bytes of a UUID.
     fn uuid(&mut self, value: &[u8]);
 }
 
-/// The binary protocol's writer.
+/// Writes the binary protocol.
 pub struct Binary<'a>(pub &'a mut Vec<u8>);
 
 impl Binary<'_> {
-    fn kind(kind: ValueType) -> u8 {
+    fn type_code(kind: ValueType) -> u8 {
         match kind {
             ValueType::Bool => 2,
             ValueType::I8 => 3,
@@ -56,7 +58,7 @@
     }
 
     fn size(&mut self, size: usize) {
-        // Sizes come from what was read under limits, or from short texts.
+        // Sizes come from input that was read within limits, or from short texts, so they fit.
         self.i32(i32::try_from(size).unwrap_or(i32::MAX));
     }
 }
@@ -74,7 +76,7 @@
     }
 
     fn field(&mut self, kind: ValueType, id: i16, _: i16, _: Option<bool>) -> bool {
-        self.0.push(Self::kind(kind));
+        self.0.push(Self::type_code(kind));
         self.i16(id);
         false
     }
@@ -84,12 +86,12 @@
     }
 
     fn list(&mut self, element: ValueType, size: usize) {
-        self.0.push(Self::kind(element));
+        self.0.push(Self::type_code(element));
         self.size(size);
     }
 
     fn map(&mut self, types: Option<(ValueType, ValueType)>, size: usize) {
-        let types = types.map_or([0, 0], |(key, value)| [Self::kind(key), Self::kind(value)]);
+        let types = types.map_or([0, 0], |(key, value)| [Self::type_code(key), Self::type_code(value)]);
         self.0.extend_from_slice(&types);
         self.size(size);
     }
@@ -128,11 +130,11 @@
     }
 }
 
-/// The compact protocol's writer.
+/// Writes the compact protocol.
 pub struct Compact<'a>(pub &'a mut Vec<u8>);
 
 impl Compact<'_> {
-    fn kind(kind: ValueType) -> u8 {
+    fn type_code(kind: ValueType) -> u8 {
         match kind {
             ValueType::Bool => 1,
             ValueType::I8 => 3,
@@ -170,11 +172,11 @@
     }
 
     fn field(&mut self, kind: ValueType, id: i16, last: i16, value: Option<bool>) -> bool {
-        let number = if value == Some(false) { 2 } else { Self::kind(kind) };
+        let code = if value == Some(false) { 2 } else { Self::type_code(kind) };
         match i32::from(id) - i32::from(last) {
-            delta @ 1..=15 => self.0.push((delta as u8) << 4 | number),
+            delta @ 1..=15 => self.0.push((delta as u8) << 4 | code),
             _ => {
-                self.0.push(number);
+                self.0.push(code);
                 self.zigzag(id.into());
             }
         }
@@ -187,9 +189,9 @@
 
     fn list(&mut self, element: ValueType, size: usize) {
         match size {
-            0..=14 => self.0.push((size as u8) << 4 | Self::kind(element)),
+            0..=14 => self.0.push((size as u8) << 4 | Self::type_code(element)),
             _ => {
-                self.0.push(0xf0 | Self::kind(element));
+                self.0.push(0xf0 | Self::type_code(element));
                 self.varint(size as u64);
             }
         }
@@ -198,7 +200,7 @@
     fn map(&mut self, types: Option<(ValueType, ValueType)>, size: usize) {
         self.varint(size as u64);
         if let Some((key, value)) = types.filter(|_| size > 0) {
-            self.0.push(Self::kind(key) << 4 | Self::kind(value));
+            self.0.push(Self::type_code(key) << 4 | Self::type_code(value));
         }
     }
 
@@ -236,34 +238,34 @@
     }
 }
 
-/// What a `TApplicationException` says of a call. The numbers are Thrift's.
+/// The types of `TApplicationException`, with Thrift's numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExceptionType {
-    /// None of the others.
+    /// An unspecified error.
     Unknown = 0,
-    /// Nobody knows the method.
+    /// The method is unknown.
     UnknownMethod = 1,
-    /// A message of another type was wanted.
+    /// The message type is unexpected.
     InvalidMessageType = 2,
-    /// A reply of another method.
+    /// The reply names another method.
     WrongMethodName = 3,
-    /// A reply to another call.
+    /// The reply has the sequence id of another call.
     BadSequenceId = 4,
-    /// A reply without a result.
+    /// The reply has no result.
     MissingResult = 5,
-    /// The server went wrong.
+    /// The server failed internally.
     InternalError = 6,
-    /// The message can't be read.
+    /// The message is malformed.
     ProtocolError = 7,
-    /// The transform is not known.
+    /// The transform is unknown.
     InvalidTransform = 8,
-    /// The protocol is not known.
+    /// The protocol is unknown.
     InvalidProtocol = 9,
     /// The client's type is not supported.
     UnsupportedClientType = 10,
 }
 
-/// Appends a `TApplicationException` in answer to a call.
+/// Appends a `TApplicationException` as the reply to a call.
 pub fn exception(out: &mut Vec<u8>, protocol: Protocol, call: &Header, kind: ExceptionType, text: &str) {
     fn write(writer: &mut impl Writer, call: &Header, kind: ExceptionType, text: &str) {
         writer.header(MessageType::Exception, call.service_and_method().1, call.seqid, call.strict);
@@ -279,7 +281,7 @@
     }
 }
 
-/// Appends a message under another sequence id, byte for byte the same otherwise.
+/// Appends a message with another sequence id, otherwise unchanged byte for byte.
 pub fn with_seqid(out: &mut Vec<u8>, protocol: Protocol, message: &[u8], header: &Header, seqid: i32) {
     let (from, to) = header.seqid_range;
     out.extend_from_slice(&message[..from]);
--- a/crates/thrift/tests/interop.rs
+++ b/crates/thrift/tests/interop.rs
@@ -1,4 +1,4 @@
-//! Against the `thrift` crate, which this project did not write: what it writes is walked and transcoded to the byte.
+//! Interoperability with the independent `thrift` crate: its messages are walked, and transcoded to identical bytes.
 
 #[allow(dead_code, missing_docs, clippy::all)]
 #[rustfmt::skip]
@@ -12,8 +12,8 @@
 use proptest::prelude::*;
 use thrift::protocol::*;
 
-/// What a protocol of the crate writes.
-fn written(
+/// Encodes a message with the `thrift` crate.
+fn encode(
     protocol: Protocol,
     strict: bool,
     write: impl Fn(&mut dyn TOutputProtocol) -> thrift::Result<()>,
@@ -48,7 +48,7 @@
 }
 
 fn call(protocol: Protocol, strict: bool, name: &str, seqid: i32) -> Vec<u8> {
-    written(protocol, strict, |out| {
+    encode(protocol, strict, |out| {
         out.write_message_begin(&TMessageIdentifier::new(name, TMessageType::Call, seqid))?;
         out.write_struct_begin(&TStructIdentifier::new("args"))?;
         out.write_field_begin(&TFieldIdentifier::new("order", TType::Struct, 1))?;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_order_that_generated_code_wrote_is_walked() {
+fn an_order_from_generated_code_is_walked() {
     let limits = Limits::default();
     let paths = ["1.1.1", "1.1.2", "1.1.3", "1.1.4", "1.6", "1.2", "1.3", "1.9", "1.8"];
     let paths = Paths::new(paths.map(|p| Paths::parse(p).expect("a path")));
@@ -96,7 +96,7 @@
     let (binary, compact) = (call(Protocol::Binary, true, "buy", 9), call(Protocol::Compact, true, "buy", 9));
     let transcoded = |from, bytes: &[u8]| {
         let mut out = Vec::new();
-        transcode::message(&mut out, from, bytes, 9, true, &limits).expect("it is whole");
+        transcode::message(&mut out, from, bytes, 9, true, &limits).expect("the message is valid");
         out
     };
     assert_eq!(transcoded(Protocol::Binary, &binary), compact);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn another_sequence_id_changes_nothing_else() {
+fn with_seqid_changes_only_the_sequence_id() {
     for protocol in [Protocol::Binary, Protocol::Compact] {
         for (from, to) in [(0, i32::MAX), (-1, 5), (300, i32::MIN)] {
             let message = call(protocol, true, "buy", from);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_exception_of_ours_is_read_by_generated_code() {
+fn our_exceptions_are_read_by_the_thrift_crate() {
     for protocol in [Protocol::Binary, Protocol::Compact] {
         let bytes = call(protocol, true, "buy", 1234);
         let limits = Limits::default();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn each_dialect_is_told_by_its_first_bytes() {
+fn each_dialect_is_detected_from_its_first_bytes() {
     use Protocol::*;
     let limits = Limits::default();
     for (protocol, strict) in [(Binary, true), (Binary, false), (Compact, true)] {
@@ -155,21 +155,23 @@
             if framed {
                 birchswitch_thrift::frame::write_length(&mut bytes);
             }
-            let told: Vec<_> =
-                (0..=bytes.len()).filter_map(|n| detect(&bytes[..n], &limits).expect("fine")).collect();
-            let all = told.iter().all(|d| *d == Dialect { protocol, framed });
+            let detected: Vec<_> = (0..=bytes.len())
+                .filter_map(|n| detect(&bytes[..n], &limits).expect("a valid prefix"))
+                .collect();
+            let all = detected.iter().all(|d| *d == Dialect { protocol, framed });
             assert!(
-                all && told.len() >= bytes.len() - 8,
-                "{protocol:?} strict {strict} framed {framed}: {told:?}"
+                all && detected.len() >= bytes.len() - 8,
+                "{protocol:?} strict {strict} framed {framed}: {detected:?}"
             );
         }
     }
-    for odd in [&b"GET / HTTP/1.1"[..], b"\x16\x03\x01\x02\x00", b"\xff", b"\x83\x21", b"\0\0\0\x05\x07"] {
-        assert!((0..=odd.len()).any(|n| detect(&odd[..n], &limits).is_err()), "{odd:?}");
+    for foreign in [&b"GET / HTTP/1.1"[..], b"\x16\x03\x01\x02\x00", b"\xff", b"\x83\x21", b"\0\0\0\x05\x07"]
+    {
+        assert!((0..=foreign.len()).any(|n| detect(&foreign[..n], &limits).is_err()), "{foreign:?}");
     }
 }
 
-/// Values of every type that the crate knows.
+/// Values of every type that the `thrift` crate supports.
 #[derive(Clone, Debug)]
 enum Tree {
     Bool(bool),
@@ -248,29 +250,29 @@
         prop::collection::vec(any::<u8>(), 0..40).prop_map(Tree::Binary),
     ];
     leaf.prop_recursive(4, 60, 8, |inner| {
-        // The elements of a container are of one type: those of the first one's.
-        let alike = prop::collection::vec(inner.clone(), 1..20).prop_map(|mut items| {
+        // The elements of a container have one type: elements of another type than the first are removed.
+        let same_type = prop::collection::vec(inner.clone(), 1..20).prop_map(|mut items| {
             let kind = items[0].kind();
             items.retain(|i| i.kind() == kind);
             (kind, items)
         });
-        let pairs = (alike.clone(), alike.clone()).prop_map(|((key, keys), (value, values))| {
+        let pairs = (same_type.clone(), same_type.clone()).prop_map(|((key, keys), (value, values))| {
             Tree::Map(key, value, keys.into_iter().zip(values).collect())
         });
         prop_oneof![
             prop::collection::vec((1i16..3000, inner), 0..8).prop_map(Tree::Struct),
-            alike.clone().prop_map(|(kind, items)| Tree::List(kind, items)),
-            alike.prop_map(|(kind, items)| Tree::Set(kind, items)),
+            same_type.clone().prop_map(|(kind, items)| Tree::List(kind, items)),
+            same_type.prop_map(|(kind, items)| Tree::Set(kind, items)),
             pairs,
         ]
     })
 }
 
 proptest! {
-    /// Whatever the crate writes is walked to its very end, found in, and transcoded into what it writes in the other
-    /// protocol; cut anywhere it is cut, and never taken for whole.
+    /// Messages of the `thrift` crate are walked to their end with all fields found, and transcoded to what the crate
+    /// writes in the other protocol. A message truncated anywhere is reported as truncated, never as complete.
     #[test]
-    fn what_the_crate_writes_is_understood(
+    fn random_messages_are_walked_and_transcoded(
         fields in prop::collection::vec((1i16..3000, any_tree()), 0..6),
         seqid: i32,
         cut: prop::sample::Index,
@@ -279,7 +281,7 @@
         let ids: Vec<[i16; 1]> = fields.iter().map(|f| [f.0]).collect();
         let paths = Paths::new(ids);
         let tree = Tree::Struct(fields.clone());
-        let message = |protocol| written(protocol, true, |out| {
+        let message = |protocol| encode(protocol, true, |out| {
             out.write_message_begin(&TMessageIdentifier::new("m", TMessageType::OneWay, seqid))?;
             tree.write(out)?;
             out.write_message_end()
@@ -291,7 +293,7 @@
             let walked = walk::framed_message(protocol, bytes, &paths, &limits).expect("a message");
             prop_assert_eq!((walked.header.seqid, walked.header.kind), (seqid, MessageType::Oneway));
             for ((id, _), found) in fields.iter().zip(&walked.values) {
-                // Of two fields of one id decoders keep the last.
+                // Of two fields with one id, decoders keep the last.
                 let last = fields.iter().rfind(|f| f.0 == *id).map(|f| &f.1);
                 let same = match (last, found) {
                     (Some(Tree::Bool(a)), Some(Value::Bool(b))) => a == b,
@@ -307,18 +309,18 @@
                 prop_assert!(same, "{:?} found as {:?}", last, found);
             }
             let mut out = Vec::new();
-            transcode::message(&mut out, protocol, bytes, seqid, true, &limits).expect("it is whole");
+            transcode::message(&mut out, protocol, bytes, seqid, true, &limits).expect("the message is valid");
             match protocol {
-                // Encoders of the compact protocol differ in which ids they write as differences.
+                // Compact encoders differ in which field ids they write as deltas.
                 Protocol::Binary => {
                     let mut back = Vec::new();
-                    transcode::message(&mut back, Protocol::Compact, &out, seqid, true, &limits).expect("whole");
+                    transcode::message(&mut back, Protocol::Compact, &out, seqid, true, &limits).expect("the message is valid");
                     prop_assert_eq!(&back, bytes);
                 }
                 Protocol::Compact => prop_assert_eq!(&out, other),
             }
             let part = &bytes[..cut.index(bytes.len())];
-            prop_assert!(walk::message(protocol, part, &paths, &limits).expect_err("cut").is_truncated());
+            prop_assert!(walk::message(protocol, part, &paths, &limits).expect_err("the message is truncated").is_truncated());
         }
     }
 }
