--- a/crates/thrift-proxy/src/settings.rs
+++ b/crates/thrift-proxy/src/settings.rs
@@ -224,10 +224,9 @@
                 "memory_mb is too small: it must hold a call of message_kb and its reply".into(),
             ));
         }
-        let server_dialect = self.servers.dialect.dialect();
-        let server_dialect = server_dialect.ok_or_else(|| {
-            error("servers.dialect is auto: it must be set, since servers never send first".into())
-        })?;
+        let dialect = self.servers.dialect.dialect();
+        let server_dialect =
+            dialect.ok_or_else(|| error("servers.dialect is auto: servers never send first".into()))?;
         if self.methods.is_empty() {
             return Err(error("methods names no method".into()));
         }
--- a/crates/thrift/tests/hostile.rs
+++ b/crates/thrift/tests/hostile.rs
@@ -111,9 +111,8 @@
 #[test]
 fn invalid_headers_are_rejected() {
     let limits = Limits::default();
-    let error_kind = |protocol, bytes: &[u8]| {
-        walk::header(protocol, bytes, &limits).expect_err("the input is malformed").kind
-    };
+    let error_kind =
+        |protocol, bytes: &[u8]| walk::header(protocol, bytes, &limits).expect_err("malformed").kind;
     use Protocol::*;
     assert_eq!(error_kind(Binary, b"\x80\x02\x00\x01"), ErrorKind::UnknownVersion(0x8002));
     assert_eq!(error_kind(Binary, b"\x80\x01\x00\x05"), ErrorKind::UnknownMessageType(5));
@@ -138,7 +137,7 @@
     let limits = Limits { message: 100, ..Limits::default() };
     assert_eq!(frame::length(b"\x00\x00\x00", &limits), Ok(None));
     assert_eq!(frame::length(b"\x00\x00\x00\x64", &limits), Ok(Some(100)));
-    let error_kind = |bytes: &[u8]| frame::length(bytes, &limits).expect_err("the input is malformed").kind;
+    let error_kind = |bytes: &[u8]| frame::length(bytes, &limits).expect_err("malformed").kind;
     assert_eq!(
         error_kind(b"\x00\x00\x00\x65"),
         ErrorKind::TooLarge { item: SizedItem::Frame, size: 101, limit: 100 }
@@ -152,14 +151,12 @@
 fn an_unframed_message_is_bounded() {
     let limits = Limits { message: 64, ..Limits::default() };
     let endless = [BINARY_HEADER, &b"\x08\x00\x01\x00\x00\x00\x00".repeat(20)].concat();
-    let error_kind = |n| {
-        walk::message(Protocol::Binary, &endless[..n], &Paths::default(), &limits)
-            .expect_err("the message has no end")
-    };
-    assert!(error_kind(63).is_truncated());
+    let error =
+        |n| walk::message(Protocol::Binary, &endless[..n], &Paths::default(), &limits).expect_err("no end");
+    assert!(error(63).is_truncated());
     for n in [64, 65, endless.len()] {
         let too_large = ErrorKind::TooLarge { item: SizedItem::Message, size: 65, limit: 64 };
-        assert_eq!(error_kind(n).kind, too_large);
+        assert_eq!(error(n).kind, too_large);
     }
 }
 
