--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A proxy needs only parts of a message: its name, type and sequence id, a few fields, and its end. [`walk`] finds these
 //! in one pass over the bytes and skips the rest. It copies nothing, and a size in the input never causes an allocation.
-//! [`frame`] handles framing, [`detect`] detects the protocol, [`write`] writes messages and [`transcode`] converts one
-//! protocol to the other.
+//! [`frame`] handles framing, [`detect`] detects the protocol, [`write`](mod@write) writes messages and [`transcode`]
+//! converts one protocol to the other.
 //!
 //! Input is untrusted: every failure is an [`Error`] with the offset of the value that caused it, and [`Limits`] bound
 //! nesting, sizes and lengths. Errors of incomplete input are [`Error::is_truncated`].
