--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -15,11 +15,11 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 /// Before an order is placed again where nobody said how long to wait.
-const BACK_OFF: Duration = Duration::from_millis(50);
+const BACKOFF: Duration = Duration::from_millis(50);
 
 /// What may be done again with orders of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Anything: they are safe, and sent as GET.
     Safe,
     /// They carry a key. A client that can't tell which servers remember it comes again only after a refusal.
@@ -34,7 +34,7 @@
     /// Its name, the first part of the path.
     pub name: &'static str,
     /// How far orders may be repeated.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// How long clients wait, all tries together.
     pub deadline: Duration,
     /// An answer within this counts in full.
@@ -55,7 +55,7 @@
     /// Expected work in seconds.
     pub work: f64,
     /// Whether nodes are told it.
-    pub hinted: bool,
+    pub sends_cost_hints: bool,
 }
 
 /// The clients' side of a set of nodes, with the connections that rest.
@@ -86,28 +86,28 @@
     pub async fn place(&self, order: Order<'_>, first: usize) -> OrderOutcome {
         let placed = Instant::now();
         let due = placed + order.class.deadline;
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            let node = (first + tries) % self.nodes.len();
-            let request = request(order, tries, due - Instant::now());
-            tries += 1;
-            let Ok(reply) = timeout_at(due + self.slack, self.once(node, request)).await else {
+            let node = (first + attempts) % self.nodes.len();
+            let request = request(order, attempts, due - Instant::now());
+            attempts += 1;
+            let Ok(reply) = timeout_at(due + self.slack, self.attempt(node, request)).await else {
                 return OrderOutcome::Unanswered;
             };
-            let (otherwise, wait) = match reply {
+            let (outcome, wait) = match reply {
                 Reply::Answered(StatusCode::OK, _) => return OrderOutcome::Served(placed.elapsed()),
                 Reply::Answered(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, wait) => {
                     (OrderOutcome::Refused, wait)
                 }
                 Reply::Unsent => (OrderOutcome::Failed, None),
-                Reply::Answered(..) | Reply::Broken if order.class.repeat == Repeat::Safe => {
+                Reply::Answered(..) | Reply::Broken if order.class.idempotency == Idempotency::Safe => {
                     (OrderOutcome::Failed, None)
                 }
                 Reply::Answered(..) | Reply::Broken => return OrderOutcome::Failed,
             };
-            let wait = wait.unwrap_or(BACK_OFF * tries as u32);
+            let wait = wait.unwrap_or(BACKOFF * attempts as u32);
             if Instant::now() + wait >= due {
-                return otherwise;
+                return outcome;
             }
             sleep(wait).await;
         }
@@ -116,13 +116,13 @@
     /// Whether a node says that it is ready.
     pub async fn ready(&self, node: usize) -> bool {
         let request = Request::get("/health/ready").header("host", "shop").body(Full::default());
-        let reply = self.once(node, request.expect("a fixed request is valid")).await;
+        let reply = self.attempt(node, request.expect("a fixed request is valid")).await;
         matches!(reply, Reply::Answered(StatusCode::OK, _))
     }
 
     /// One try. A connection that was kept may have been closed in the moment of its use; what hyper hands back unsent
     /// goes out once more on a new one.
-    async fn once(&self, node: usize, mut request: Request<Full<Bytes>>) -> Reply {
+    async fn attempt(&self, node: usize, mut request: Request<Full<Bytes>>) -> Reply {
         loop {
             let kept = self.take_idle(node);
             let fresh = kept.is_none();
@@ -134,7 +134,7 @@
                 },
             };
             match sender.try_send_request(request).await {
-                Ok(response) => return self.finish(node, sender, response).await,
+                Ok(response) => return self.read_response(node, sender, response).await,
                 Err(mut error) => match error.take_message() {
                     Some(unsent) if !fresh => request = unsent,
                     Some(_) => return Reply::Unsent,
@@ -144,7 +144,12 @@
         }
     }
 
-    async fn finish(&self, node: usize, sender: Sender, response: Response<hyper::body::Incoming>) -> Reply {
+    async fn read_response(
+        &self,
+        node: usize,
+        sender: Sender,
+        response: Response<hyper::body::Incoming>,
+    ) -> Reply {
         let status = response.status();
         let wait = response.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
         let wait = wait.filter(|w| (0.0..1e6).contains(w)).map(Duration::from_secs_f64);
@@ -178,20 +183,20 @@
     Ok(sender)
 }
 
-fn request(order: Order<'_>, tries: usize, left: Duration) -> Request<Full<Bytes>> {
+fn request(order: Order<'_>, attempts: usize, left: Duration) -> Request<Full<Bytes>> {
     let (class, number) = (order.class, order.number);
-    let method = if class.repeat == Repeat::Safe { "GET" } else { "POST" };
+    let method = if class.idempotency == Idempotency::Safe { "GET" } else { "POST" };
     let mut request = Request::builder()
         .method(method)
         .uri(format!("/{}", class.name))
         .header("host", "shop")
-        .header("x-request-id", format!("{number:x}-{tries}"))
+        .header("x-request-id", format!("{number:x}-{attempts}"))
         .header("x-tenant-id", order.tenant)
         .header("x-timeout", format!("{}u", left.as_micros().max(1)))
-        .header(if order.hinted { "x-cost" } else { "x-work" }, format!("{:.0}", order.work * 1e6));
-    if class.repeat == Repeat::Keyed {
+        .header(if order.sends_cost_hints { "x-cost" } else { "x-work" }, format!("{:.0}", order.work * 1e6));
+    if class.idempotency == Idempotency::Keyed {
         request = request.header("idempotency-key", format!("{number:x}"));
     }
-    let body = if class.repeat == Repeat::Safe { Bytes::new() } else { Bytes::from_static(b"one") };
+    let body = if class.idempotency == Idempotency::Safe { Bytes::new() } else { Bytes::from_static(b"one") };
     request.body(Full::new(body)).expect("names and numbers are valid in a head")
 }
--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -17,18 +17,18 @@
 
 /// How to ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Transport {
     /// HTTP/1.1.
     Http,
     /// Thrift, in frames.
     Thrift(Protocol),
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for Transport {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Way::Http => f.write_str("HTTP/1.1"),
-            Way::Thrift(protocol) => write!(f, "Thrift framed {protocol:?}"),
+            Transport::Http => f.write_str("HTTP/1.1"),
+            Transport::Thrift(protocol) => write!(f, "Thrift framed {protocol:?}"),
         }
     }
 }
@@ -39,7 +39,7 @@
     /// The node's program.
     pub binary: PathBuf,
     /// How clients ask.
-    pub way: Way,
+    pub transport: Transport,
     /// Whether servers are probed for their load.
     pub probes: bool,
     /// Clients, each with one request at a time.
@@ -84,14 +84,14 @@
 }
 
 /// Bodies, and the strings in Thrift calls, hold so much.
-const BODY: usize = 128;
+const BODY_BYTES: usize = 128;
 
 /// A Thrift message with one string, in a frame.
 fn thrift_message(protocol: Protocol, kind: MessageType, seqid: i32) -> Vec<u8> {
     fn fill(writer: &mut impl Writer, kind: MessageType, seqid: i32) {
         writer.header(kind, "browse", seqid, true);
         writer.field(ValueType::Binary, if kind == MessageType::Call { 1 } else { 0 }, 0, None);
-        writer.binary(&[b'x'; BODY]);
+        writer.binary(&[b'x'; BODY_BYTES]);
         writer.stop();
     }
     let mut bytes = vec![0; frame::HEADER_LEN];
@@ -123,7 +123,7 @@
 }
 
 /// A server that answers at once, on a runtime of its own thread's, until the process ends.
-fn serve(way: Way, servers: usize) -> std::io::Result<Vec<SocketAddr>> {
+fn serve(transport: Transport, servers: usize) -> std::io::Result<Vec<SocketAddr>> {
     let listeners: Vec<TcpListener> =
         (0..servers).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
     let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
@@ -135,7 +135,7 @@
                 let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { continue };
                 tokio::spawn(async move {
                     while let Ok((stream, _)) = listener.accept().await {
-                        tokio::spawn(answer(way, stream));
+                        tokio::spawn(answer(transport, stream));
                     }
                 });
             }
@@ -145,12 +145,12 @@
     Ok(addresses)
 }
 
-async fn answer(way: Way, mut stream: tokio::net::TcpStream) {
+async fn answer(transport: Transport, mut stream: tokio::net::TcpStream) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let _ = stream.set_nodelay(true);
     let mut held = Vec::with_capacity(4096);
     loop {
-        while let Some((length, reply)) = reply(way, &held) {
+        while let Some((length, reply)) = reply(transport, &held) {
             held.drain(..length);
             if stream.write_all(&reply).await.is_err() {
                 return;
@@ -163,18 +163,21 @@
 }
 
 /// The answer to the first whole request, and that one's length.
-fn reply(way: Way, held: &[u8]) -> Option<(usize, Vec<u8>)> {
-    match way {
-        Way::Http => {
+fn reply(transport: Transport, held: &[u8]) -> Option<(usize, Vec<u8>)> {
+    match transport {
+        Transport::Http => {
             let end = held.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
             let stats = held.starts_with(b"GET /stats");
-            let body =
-                if stats { br#"{"outstanding":1,"utilization":0.3}"#.to_vec() } else { vec![b'x'; BODY] };
+            let body = if stats {
+                br#"{"outstanding":1,"utilization":0.3}"#.to_vec()
+            } else {
+                vec![b'x'; BODY_BYTES]
+            };
             let mut reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
             reply.extend(body);
             Some((end, reply))
         }
-        Way::Thrift(protocol) => {
+        Transport::Thrift(protocol) => {
             let limits = Limits::default();
             let length = frame::length(held, &limits).ok()??;
             let content = held.get(frame::HEADER_LEN..frame::HEADER_LEN + length)?;
@@ -189,8 +192,8 @@
 }
 
 /// One client: asks until the end, and returns the latencies of what counts and how many answers were no service.
-fn ask(
-    way: Way,
+fn run_client(
+    transport: Transport,
     address: SocketAddr,
     number: usize,
     from: Instant,
@@ -201,17 +204,17 @@
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     let (mut latencies, mut other, mut buffer) = (Vec::new(), 0, [0; 4096]);
     for count in 0u32.. {
-        let asked = Instant::now();
-        if asked >= to {
+        let sent_at = Instant::now();
+        if sent_at >= to {
             break;
         }
-        let request = match way {
-            Way::Http => format!(
+        let request = match transport {
+            Transport::Http => format!(
                 "GET /browse/item?page=1 HTTP/1.1\r\nHost: shop\r\nX-Request-ID: {number}-{count}\r\n\
                  X-Timeout: 2000m\r\nX-Tenant-Id: one\r\nCookie: obj=7f3a9c21e0b4d655\r\n\r\n"
             )
             .into_bytes(),
-            Way::Thrift(protocol) => thrift_message(protocol, MessageType::Call, count as i32),
+            Transport::Thrift(protocol) => thrift_message(protocol, MessageType::Call, count as i32),
         };
         stream.write_all(&request)?;
         let mut held = 0;
@@ -221,8 +224,8 @@
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
             held += read;
-            match way {
-                Way::Http => {
+            match transport {
+                Transport::Http => {
                     let Some(end) = buffer[..held].windows(4).position(|w| w == b"\r\n\r\n") else {
                         continue;
                     };
@@ -233,7 +236,7 @@
                         break head.starts_with("http/1.1 200");
                     }
                 }
-                Way::Thrift(protocol) => {
+                Transport::Thrift(protocol) => {
                     let limits = Limits::default();
                     let Ok(Some(length)) = frame::length(&buffer[..held], &limits) else { continue };
                     if held >= frame::HEADER_LEN + length {
@@ -243,8 +246,8 @@
                 }
             }
         };
-        if asked >= from {
-            latencies.extend(served.then(|| asked.elapsed().as_micros() as u32));
+        if sent_at >= from {
+            latencies.extend(served.then(|| sent_at.elapsed().as_micros() as u32));
             other += u64::from(!served);
         }
     }
@@ -260,7 +263,7 @@
 
 /// Starts servers and a node, plays the load, and ends the node. Has to run inside a `tokio::task::LocalSet`.
 pub async fn measure(plan: &Plan) -> Result<Cost, FleetError> {
-    let addresses = serve(plan.way, plan.servers).map_err(io("the servers"))?;
+    let addresses = serve(plan.transport, plan.servers).map_err(io("the servers"))?;
     let registry = Registry::start().await.map_err(io("the registry"))?;
     for (n, address) in addresses.iter().enumerate() {
         registry
@@ -283,9 +286,9 @@
         }
     });
     let load = "[thrift.servers.load]\nmethod = 'load'\nfields = { held = '1', busy = '2' }\n";
-    let operator = match plan.way {
-        Way::Http => None,
-        Way::Thrift(protocol) => Some(format!(
+    let operator = match plan.transport {
+        Transport::Http => None,
+        Transport::Thrift(protocol) => Some(format!(
             "[[thrift]]\nname = 'cost'\nlisten = '127.0.0.1:0'\ntenant = 'one'\nmethods.browse.class = 'browse'\n\
              [thrift.servers]\ndialect = 'framed-{}'\ndiscovery = '{}'\n{}",
             if protocol == Protocol::Binary { "binary" } else { "compact" },
@@ -294,23 +297,24 @@
         )),
     };
     let node = NodeProcess::start(&plan.binary, 0, config, operator.as_deref()).await?;
-    let address = match plan.way {
-        Way::Http => node.ready().await?,
-        Way::Thrift(_) => node.last_address("holds a list").await?,
+    let address = match plan.transport {
+        Transport::Http => node.ready().await?,
+        Transport::Thrift(_) => node.last_address("holds a list").await?,
     };
     let pid = node.pid();
     let from = Instant::now() + Duration::from_millis(500);
     let to = from + plan.length;
-    let (way, clients) = (plan.way, plan.clients);
-    let asking: Vec<_> =
-        (0..clients).map(|n| std::thread::spawn(move || ask(way, address, n, from, to))).collect();
+    let (transport, clients) = (plan.transport, plan.clients);
+    let clients_running: Vec<_> = (0..clients)
+        .map(|n| std::thread::spawn(move || run_client(transport, address, n, from, to)))
+        .collect();
     let until = |at: Instant| tokio::time::sleep(at.saturating_duration_since(Instant::now()));
     until(from).await;
     let before = cpu_time(pid);
     until(to).await;
     let used = cpu_time(pid).saturating_sub(before);
     let (mut latencies, mut other) = (Vec::new(), 0);
-    for client in asking {
+    for client in clients_running {
         let answered = client.join().unwrap_or_else(|_| Err(std::io::ErrorKind::Other.into()));
         let (own, turned_away) = answered.map_err(io("a client"))?;
         latencies.extend(own);
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,12 +1,12 @@
 //! A fleet on loopback: modelled servers, a registry, real nodes and clients, with a fault script played on them.
 
-use crate::client::{Class, Clients, Order, Repeat};
+use crate::client::{Class, Clients, Idempotency, Order};
 use crate::process::{self, ConfigFile};
 use crate::registry::Registry;
 use crate::results::Results;
-use crate::script::{Deed, Fault, NodeFault, Script, Servers};
+use crate::script::{Fault, Injection, NodeFault, Script, Servers};
 use crate::server::{Server, Shared};
-use crate::site::{Site, WINDOW};
+use crate::site::{Site, REPEAT_WINDOW};
 use birchswitch_lab::model::Capacity;
 use birchswitch_lab::rng::Rng;
 use serde_json::{json, Value};
@@ -22,13 +22,13 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 /// For a node to start, to be ready, or to end.
-const PATIENCE: Duration = Duration::from_secs(20);
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 /// Before the address in the line by which a node tells where it listens.
 pub(crate) const LISTENING: &str = "listening on ";
 /// Between a death and the registry's word on it.
-const NOTICE: Duration = Duration::from_millis(1500);
+const DEATH_NOTICE_DELAY: Duration = Duration::from_millis(1500);
 /// Between any other change and the registry's word on it.
-const WORD: Duration = Duration::from_millis(100);
+const NOTICE_DELAY: Duration = Duration::from_millis(100);
 
 /// What to build and how long to run it.
 #[derive(Clone, Debug)]
@@ -135,16 +135,16 @@
         let mut lines = BufReader::new(child.stderr.take().expect("it is piped")).lines();
         let listening = async {
             while let Ok(Some(line)) = lines.next_line().await {
-                process::keep(&log, &line);
+                process::append_log(&log, &line);
                 if let Some(address) = process::address_after(&line, LISTENING) {
                     return Some(address);
                 }
             }
             None
         };
-        let address = timeout(PATIENCE, listening).await.ok().flatten();
+        let address = timeout(PROCESS_TIMEOUT, listening).await.ok().flatten();
         let Some(address) = address else {
-            let ended = timeout(PATIENCE, child.wait()).await;
+            let ended = timeout(PROCESS_TIMEOUT, child.wait()).await;
             let log = log.take();
             return Err(match ended {
                 Ok(Ok(status)) => FleetError::Ended { node: number, status, log },
@@ -154,7 +154,7 @@
         let kept = log.clone();
         spawn_local(async move {
             while let Ok(Some(line)) = lines.next_line().await {
-                process::keep(&kept, &line);
+                process::append_log(&kept, &line);
             }
         });
         Ok(NodeProcess { number, child, address, log, config, _files: [Some(file), operator] })
@@ -169,7 +169,7 @@
             }
         };
         let not_ready = |_| FleetError::NotReady { node: self.number, log: self.log.borrow().clone() };
-        timeout(PATIENCE, ready).await.map(|()| self.address).map_err(not_ready)
+        timeout(PROCESS_TIMEOUT, ready).await.map(|()| self.address).map_err(not_ready)
     }
 
     /// The listener that it logged last, once its log holds a text as often as there are listeners.
@@ -188,7 +188,7 @@
             }
         };
         let not_ready = |_| FleetError::NotReady { node: self.number, log: self.log.borrow().clone() };
-        timeout(PATIENCE, logged).await.map_err(not_ready)
+        timeout(PROCESS_TIMEOUT, logged).await.map_err(not_ready)
     }
 
     /// Its process's number.
@@ -200,9 +200,9 @@
 /// What is under way, once a second and whenever a fault is played.
 pub enum Report<'a> {
     /// So much time has passed, and this is in the books.
-    Second(Duration, &'a Results),
+    Progress(Duration, &'a Results),
     /// This is done now.
-    Deed(Duration, &'a Deed),
+    Injection(Duration, &'a Injection),
 }
 
 /// Builds the fleet, plays the script while clients place orders, waits for the last answer, and returns the books.
@@ -210,11 +210,11 @@
 pub async fn play(plan: Plan, mut report: impl FnMut(Report)) -> Result<Results, FleetError> {
     let classes = plan.site.classes();
     let results = Results::new(
-        classes.iter().map(|c| (c.name.to_owned(), c.promise, c.repeat == Repeat::Safe)),
+        classes.iter().map(|c| (c.name.to_owned(), c.promise, c.idempotency == Idempotency::Safe)),
         plan.servers,
     );
-    let shared = Shared::new(results, WINDOW);
-    shared.tells.set(!plan.site.hinted());
+    let shared = Shared::new(results, REPEAT_WINDOW);
+    shared.reports_load.set(!plan.site.sends_cost_hints());
     let registry = Registry::start().await.map_err(io("the registry"))?;
     let mut servers = Vec::new();
     for n in 0..plan.servers {
@@ -240,11 +240,11 @@
     }
 
     let began = Instant::now();
-    let orders = spawn_local(place_orders(plan.clone(), classes, clients, shared.clone()));
+    let clients_task = spawn_local(place_orders(plan.clone(), classes, clients, shared.clone()));
     let faults = async {
-        let mut chance = Rng::new(plan.script.seed, 2);
-        let deeds = JoinSet::new();
-        let mut fleet = Fleet { plan: &plan, registry: &registry, servers: &servers, nodes, deeds };
+        let mut rng = Rng::new(plan.script.seed, 2);
+        let pending = JoinSet::new();
+        let mut fleet = Fleet { plan: &plan, registry: &registry, servers: &servers, nodes, pending };
         let mut entries = plan.script.entries.iter().filter(|e| e.at < plan.length).peekable();
         let mut seconds = tokio::time::interval_at(began + Duration::from_secs(1), Duration::from_secs(1));
         while began.elapsed() < plan.length {
@@ -252,25 +252,25 @@
             tokio::select! {
                 biased;
                 () = sleep_until(began + next) => if let Some(entry) = entries.next() {
-                    report(Report::Deed(entry.at, &entry.deed));
-                    fleet.carry_out(&entry.deed, &mut chance).await?;
+                    report(Report::Injection(entry.at, &entry.injection));
+                    fleet.inject(&entry.injection, &mut rng).await?;
                 },
-                _ = seconds.tick() => report(Report::Second(began.elapsed(), &shared.results.borrow())),
+                _ = seconds.tick() => report(Report::Progress(began.elapsed(), &shared.results.borrow())),
             }
             fleet.check()?;
         }
-        while let Some(done) = fleet.deeds.join_next().await {
+        while let Some(done) = fleet.pending.join_next().await {
             done.unwrap_or(Ok(()))?;
         }
         Ok::<_, FleetError>(fleet.nodes)
     };
     let mut nodes = faults.await?;
     // No order waits for longer than its deadline.
-    let _ = timeout(PATIENCE, orders).await;
+    let _ = timeout(PROCESS_TIMEOUT, clients_task).await;
     for (n, node) in nodes.iter_mut().enumerate() {
         let what = || format!("ending node n{n}");
         process::signal(&node.child, "TERM").await.map_err(io(what()))?;
-        let status = timeout(PATIENCE, node.child.wait()).await;
+        let status = timeout(PROCESS_TIMEOUT, node.child.wait()).await;
         match status {
             Ok(Ok(status)) if status.success() => {}
             Ok(Ok(status)) => return Err(FleetError::Ended { node: n, status, log: node.log.take() }),
@@ -300,7 +300,7 @@
     servers: &'a [Rc<Server>],
     nodes: Vec<NodeProcess>,
     /// Those that take time.
-    deeds: JoinSet<Result<(), FleetError>>,
+    pending: JoinSet<Result<(), FleetError>>,
 }
 
 impl Fleet<'_> {
@@ -314,60 +314,60 @@
         Ok(())
     }
 
-    async fn carry_out(&mut self, deed: &Deed, chance: &mut Rng) -> Result<(), FleetError> {
-        match *deed {
+    async fn inject(&mut self, injection: &Injection, rng: &mut Rng) -> Result<(), FleetError> {
+        match *injection {
             // The rig's: whoever reads scripts for this fleet turns them down.
-            Deed::Nodes(..) | Deed::Wire(_) => {}
-            Deed::RegistrySilent(length) => self.registry.silence(length),
-            Deed::Node(n, fault) => {
+            Injection::Nodes(..) | Injection::Wire(_) => {}
+            Injection::RegistrySilent(length) => self.registry.silence(length),
+            Injection::Node(n, fault) => {
                 let node = &mut self.nodes[n];
                 let name = match fault {
                     NodeFault::Restart => "TERM",
                     NodeFault::Kill => "KILL",
                 };
                 process::signal(&node.child, name).await.map_err(io(format!("ending node n{n}")))?;
-                let _ = timeout(PATIENCE, node.child.wait()).await;
+                let _ = timeout(PROCESS_TIMEOUT, node.child.wait()).await;
                 let mut config = node.config.clone();
                 config["listen"] = json!(node.address.to_string());
                 *node = NodeProcess::start(&self.plan.binary, n, config, None).await?;
             }
-            Deed::Servers(who, fault) => {
+            Injection::Servers(who, fault) => {
                 let all = self.servers.len();
                 let (first, last) = match who {
                     Servers::Range(first, last) => (first, last.min(all - 1)),
                     Servers::All => (0, all - 1),
                     Servers::Any => {
-                        let one = chance.below(all);
+                        let one = rng.below(all);
                         (one, one)
                     }
                 };
-                for (turn, n) in (first..=last).enumerate() {
-                    self.befall(n, turn as u32, fault);
+                for (index, n) in (first..=last).enumerate() {
+                    self.inject_server_fault(n, index as u32, fault);
                 }
             }
         }
         Ok(())
     }
 
-    fn befall(&mut self, n: usize, turn: u32, fault: Fault) {
+    fn inject_server_fault(&mut self, n: usize, index: u32, fault: Fault) {
         let (server, registry) = (self.servers[n].clone(), self.registry.clone());
         match fault {
             Fault::Freeze(length) => server.freeze(length),
             Fault::Slow(thousandths, length) => server.slow(f64::from(thousandths) / 1e3, length),
             Fault::Die => {
-                self.deeds.spawn_local(async move {
+                self.pending.spawn_local(async move {
                     server.die().await;
-                    sleep(NOTICE).await;
+                    sleep(DEATH_NOTICE_DELAY).await;
                     registry.announce(member(n, &server, "left", 0));
                     Ok(())
                 });
             }
             Fault::Start => {
-                self.deeds.spawn_local(start_cold(n, server, registry));
+                self.pending.spawn_local(start_cold(n, server, registry));
             }
             Fault::Deploy { drain, every } => {
-                self.deeds.spawn_local(async move {
-                    sleep(every * turn).await;
+                self.pending.spawn_local(async move {
+                    sleep(every * index).await;
                     registry.announce(member(n, &server, "leaving", 0));
                     sleep(drain).await;
                     server.die().await;
@@ -381,7 +381,7 @@
 async fn start_cold(n: usize, server: Rc<Server>, registry: Rc<Registry>) -> Result<(), FleetError> {
     let started = unix_ms();
     server.start(true).map_err(io(format!("starting server s{n} again")))?;
-    sleep(WORD).await;
+    sleep(NOTICE_DELAY).await;
     registry.announce(member(n, &server, "active", started));
     Ok(())
 }
@@ -390,35 +390,36 @@
 async fn place_orders(plan: Plan, classes: Vec<Class>, clients: Rc<Clients>, shared: Rc<Shared>) {
     let classes = Rc::new(classes);
     let rate = plan.load * (plan.servers * plan.cores) as f64 / plan.work;
-    let mut chance = Rng::new(plan.script.seed, 1);
+    let mut rng = Rng::new(plan.script.seed, 1);
     let mut at = Instant::now();
     let end = at + plan.length;
     let mut open = JoinSet::new();
     let mut number = 0;
     loop {
-        at += Duration::from_secs_f64(chance.exponential(1.0 / rate));
+        at += Duration::from_secs_f64(rng.exponential(1.0 / rate));
         if at >= end {
             break;
         }
         sleep_until(at).await;
         while open.try_join_next().is_some() {}
         number += 1;
-        let mut left = chance.unit();
+        let mut left = rng.unit();
         let class = classes.iter().position(|c| {
             left -= c.share;
             left < 0.0
         });
         let class = class.unwrap_or(classes.len() - 1);
-        let work = plan.work * (0.5 + 0.5 * chance.exponential(1.0));
+        let work = plan.work * (0.5 + 0.5 * rng.exponential(1.0));
         let tenants = plan.site.tenants();
-        let (tenant, hinted) = (tenants[number as usize % tenants.len()], plan.site.hinted());
-        let node = chance.below(plan.nodes);
+        let (tenant, sends_cost_hints) =
+            (tenants[number as usize % tenants.len()], plan.site.sends_cost_hints());
+        let node = rng.below(plan.nodes);
         shared.results.borrow_mut().classes[class].asked += 1;
         let (clients, shared, classes) = (clients.clone(), shared.clone(), classes.clone());
         open.spawn_local(async move {
-            let order = Order { class: &classes[class], number, tenant, work, hinted };
+            let order = Order { class: &classes[class], number, tenant, work, sends_cost_hints };
             let end = clients.place(order, node).await;
-            shared.results.borrow_mut().ended(class, end);
+            shared.results.borrow_mut().record_outcome(class, end);
         });
     }
     while open.join_next().await.is_some() {}
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -4,7 +4,7 @@
 
 mod scale_command;
 
-use birchswitch_standin::cost::{self, Way};
+use birchswitch_standin::cost::{self, Transport};
 use birchswitch_standin::fleet::{self, Plan, Report};
 use birchswitch_standin::process;
 use birchswitch_standin::process::block_on;
@@ -13,7 +13,7 @@
 use birchswitch_standin::rig::common;
 use birchswitch_standin::rig::leases;
 use birchswitch_standin::rig::takeovers::{random_script, takeovers};
-use birchswitch_standin::script::{Deed, Script};
+use birchswitch_standin::script::{Injection, Script};
 use birchswitch_standin::site::Site;
 use birchswitch_thrift::Protocol;
 use clap::{Args, Parser, Subcommand};
@@ -27,13 +27,13 @@
 #[command(version)]
 struct Arguments {
     #[command(subcommand)]
-    command: Play,
+    command: Subcommands,
 }
 
 #[derive(Subcommand)]
-enum Play {
+enum Subcommands {
     /// A launch minute: a freeze, a deploy with cold successors and a death, and a table of what came of it.
-    Demo(Demo),
+    Demo(DemoArguments),
     /// Many processes with a wire in user space between them: the hard cases of membership, and a table of what came of them
     Rig(RigArguments),
     /// Leases among processes in figures: a next holder after the last one's end, and random faults for as long as wanted
@@ -43,7 +43,7 @@
     /// What a fleet with all its fleet-wide parts on costs as it grows, size by size, without clients
     Scale(scale_command::Arguments),
     /// What a request costs a node over HTTP and Thrift: CPU time, latency, memory, and their ratios
-    Cost(Cost),
+    Cost(CostArguments),
 }
 
 #[derive(Args)]
@@ -106,7 +106,7 @@
 }
 
 #[derive(Args)]
-struct Cost {
+struct CostArguments {
     /// Rounds; a figure is the median of them
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u16).range(1..=50))]
     rounds: u16,
@@ -125,7 +125,7 @@
 }
 
 #[derive(Args)]
-struct Demo {
+struct DemoArguments {
     /// Nodes
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=64))]
     nodes: u16,
@@ -153,7 +153,7 @@
 }
 
 /// The launch minute, for the default fleet.
-const LAUNCH: &str = "\
+const LAUNCH_SCRIPT: &str = "\
 seed 7
 8s   s2      freeze 1500ms
 15s  s4-s7   deploy drain 2s every 4s
@@ -162,7 +162,7 @@
 ";
 
 fn site(name: &str) -> Result<Site, String> {
-    Site::named(name).ok_or_else(|| "wanted `shop` or `clinic`".into())
+    Site::from_name(name).ok_or_else(|| "wanted `shop` or `clinic`".into())
 }
 
 fn part(text: &str) -> Result<f64, String> {
@@ -172,12 +172,12 @@
 
 fn main() -> ExitCode {
     let done = match Arguments::parse().command {
-        Play::Demo(demo) => run(demo).map(|results| results.violations().is_empty()),
-        Play::Rig(arguments) => rig(&arguments),
-        Play::Leases(arguments) => of_leases(&arguments),
-        Play::Common(arguments) => in_common(&arguments),
-        Play::Scale(arguments) => scale_command::run(&arguments, build_node),
-        Play::Cost(cost) => measure(cost).map(|()| true),
+        Subcommands::Demo(demo) => run_demo(demo).map(|results| results.violations().is_empty()),
+        Subcommands::Rig(arguments) => run_rig(&arguments),
+        Subcommands::Leases(arguments) => run_leases(&arguments),
+        Subcommands::Common(arguments) => run_common(&arguments),
+        Subcommands::Scale(arguments) => scale_command::run(&arguments, build_node),
+        Subcommands::Cost(cost) => run_cost(cost).map(|()| true),
     };
     match done {
         Ok(true) => ExitCode::SUCCESS,
@@ -189,18 +189,20 @@
     }
 }
 
-fn run(demo: Demo) -> Result<Results, Box<dyn Error>> {
+fn run_demo(demo: DemoArguments) -> Result<Results, Box<dyn Error>> {
     let (nodes, servers) = (usize::from(demo.nodes), usize::from(demo.servers));
     let mut script = match &demo.script {
         Some(path) => {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
             Script::parse(&text, servers, nodes).map_err(|e| format!("{}: {e}", path.display()))?
         }
-        None => Script::parse(LAUNCH, servers, nodes)
+        None => Script::parse(LAUNCH_SCRIPT, servers, nodes)
             .map_err(|e| format!("the launch minute wants at least 10 servers: {e}"))?,
     };
-    if let Some(entry) = script.entries.iter().find(|e| matches!(e.deed, Deed::Nodes(..) | Deed::Wire(_))) {
-        return Err(format!("`{}` wants `birchswitch-standin rig`", entry.deed).into());
+    if let Some(entry) =
+        script.entries.iter().find(|e| matches!(e.injection, Injection::Nodes(..) | Injection::Wire(_)))
+    {
+        return Err(format!("`{}` wants `birchswitch-standin rig`", entry.injection).into());
     }
     script.seed = demo.seed.unwrap_or(script.seed);
     let binary = match demo.node {
@@ -232,7 +234,7 @@
     Ok(results)
 }
 
-fn rig(arguments: &RigArguments) -> Result<bool, Box<dyn Error>> {
+fn run_rig(arguments: &RigArguments) -> Result<bool, Box<dyn Error>> {
     let names: Vec<&str> = CASES.iter().map(|c| c.name).chain(leases::CASES.iter().map(|c| c.name)).collect();
     let unknown = arguments.cases.iter().find(|name| !names.contains(&name.as_str()));
     if let Some(name) = unknown {
@@ -240,14 +242,14 @@
     }
     let wanted = |name: &str| arguments.cases.is_empty() || arguments.cases.iter().any(|n| n == name);
     let chosen = CASES.iter().filter(|c| wanted(c.name));
-    let of_leases = || leases::CASES.iter().filter(|c| wanted(c.name));
+    let lease_cases = || leases::CASES.iter().filter(|c| wanted(c.name));
     let seeds = || arguments.seed..arguments.seed + arguments.runs;
     if arguments.list {
         for case in chosen {
             println!("{}: {} nodes", case.name, case.nodes[0]);
             case.script.lines().for_each(|l| println!("    {}", l.trim()));
         }
-        for case in of_leases() {
+        for case in lease_cases() {
             println!("{}: {} nodes, {} vote", case.name, case.nodes[0], case.nodes[1]);
             case.script.lines().for_each(|l| println!("    {}", l.trim()));
         }
@@ -274,7 +276,7 @@
         "{:<16}{:>6}{:>9}{:>12}{:>12}{:>10}{:>13}",
         "case", "seed", "one, s", "known, s", "last, s", "verdicts", "datagrams/s"
     );
-    let mut sound = true;
+    let mut passed = true;
     for case in chosen {
         for seed in seeds() {
             let outcome = block_on(cases::play(case, binary.clone(), seed, |_| {}))??;
@@ -291,17 +293,17 @@
                 )?;
             }
             if !outcome.violations.is_empty() {
-                sound = false;
+                passed = false;
                 println!("    seed {seed}, script:");
                 case.script.lines().for_each(|l| println!("        {}", l.trim()));
                 outcome.violations.iter().for_each(|w| println!("    WRONG: {w}"));
             }
         }
     }
-    if of_leases().next().is_some() {
+    if lease_cases().next().is_some() {
         println!("{:<16}{:>6}{:>9}{:>12}{:>12}{:>10}", "case", "seed", "acts", "grants", "lost", "gap, s");
     }
-    for case in of_leases() {
+    for case in lease_cases() {
         for seed in seeds() {
             let outcome = block_on(leases::play(case, binary.clone(), seed))??;
             println!(
@@ -312,27 +314,27 @@
                 outcome.lost,
                 outcome.gap.as_secs_f64()
             );
-            sound &= outcome.violations.is_empty();
+            passed &= outcome.violations.is_empty();
             outcome.violations.iter().for_each(|w| println!("    WRONG: seed {seed}: {w}"));
         }
     }
-    Ok(sound)
+    Ok(passed)
 }
 
-fn of_leases(arguments: &LeaseArguments) -> Result<bool, Box<dyn Error>> {
+fn run_leases(arguments: &LeaseArguments) -> Result<bool, Box<dyn Error>> {
     let binary = match &arguments.node {
         Some(path) => path.clone(),
         None => build_node()?,
     };
-    let (seed, mut sound) = (arguments.seed, true);
+    let (seed, mut passed) = (arguments.seed, true);
     println!("seven nodes, five of which vote; leases live for 2 s; seed {seed}");
     for (what, times, killed) in [("killed", arguments.kills, true), ("ended", arguments.ends, false)] {
         if times == 0 {
             continue;
         }
         let mut found = block_on(takeovers(binary.clone(), times.into(), killed, seed))??;
-        found.after.sort_by(f64::total_cmp);
-        let at = |part: f64| found.after[((found.after.len() - 1) as f64 * part).round() as usize];
+        found.delays.sort_by(f64::total_cmp);
+        let at = |part: f64| found.delays[((found.delays.len() - 1) as f64 * part).round() as usize];
         println!(
             "{times} holders {what}: the next after {:.2} s (median), {:.2} s (p99), {:.2} s (worst); {:.2} grants for each",
             at(0.5),
@@ -340,7 +342,7 @@
             at(1.0),
             (found.grants - 1) as f64 / f64::from(times)
         );
-        sound &= found.violations.is_empty();
+        passed &= found.violations.is_empty();
         found.violations.iter().for_each(|w| println!("    WRONG: {w}"));
     }
     if arguments.minutes > 0 {
@@ -360,20 +362,20 @@
             outcome.gap.as_secs_f64(),
             outcome.violations.len()
         );
-        sound &= outcome.violations.is_empty();
+        passed &= outcome.violations.is_empty();
         outcome.violations.iter().for_each(|w| println!("    WRONG: {w}"));
     }
-    Ok(sound)
+    Ok(passed)
 }
 
-fn in_common(arguments: &CommonArguments) -> Result<bool, Box<dyn Error>> {
+fn run_common(arguments: &CommonArguments) -> Result<bool, Box<dyn Error>> {
     let binary = match &arguments.node {
         Some(path) => path.clone(),
         None => build_node()?,
     };
     let (nodes, minutes, seed) = (arguments.nodes.into(), arguments.minutes.into(), arguments.seed);
-    let told = |at: u64, script: &str| println!("{at:>6} of {} s  {script}", minutes * 60);
-    let outcome = block_on(common::play(nodes, minutes, binary, seed, told))??;
+    let report = |at: u64, script: &str| println!("{at:>6} of {} s  {script}", minutes * 60);
+    let outcome = block_on(common::play(nodes, minutes, binary, seed, report))??;
     let [all, served, refused, failed, without] = outcome.ended;
     println!("{nodes} nodes, {minutes} minutes, seed {seed}; faults {:?}", outcome.faults);
     println!("{all} requests: {served} served, {refused} refused, {failed} failed, {without} of nodes that died or stood still");
@@ -384,15 +386,15 @@
     Ok(outcome.violations.is_empty())
 }
 
-fn measure(arguments: Cost) -> Result<(), Box<dyn Error>> {
+fn run_cost(arguments: CostArguments) -> Result<(), Box<dyn Error>> {
     let binary = match arguments.node {
         Some(path) => path,
         None => build_node()?,
     };
-    let one = |binary: &PathBuf, way, probes| -> Result<cost::Cost, Box<dyn Error>> {
+    let one = |binary: &PathBuf, transport, probes| -> Result<cost::Cost, Box<dyn Error>> {
         let plan = cost::Plan {
             binary: binary.clone(),
-            way,
+            transport,
             probes,
             clients: arguments.clients.into(),
             servers: 16,
@@ -400,15 +402,19 @@
         };
         Ok(block_on(cost::measure(&plan))??)
     };
-    let ways = [Way::Http, Way::Thrift(Protocol::Compact), Way::Thrift(Protocol::Binary)];
-    let mut cases: Vec<_> = ways.iter().map(|way| (way.to_string(), &binary, *way)).collect();
-    cases.extend(arguments.beside.iter().map(|other| ("HTTP/1.1, other build".to_owned(), other, Way::Http)));
+    let transports =
+        [Transport::Http, Transport::Thrift(Protocol::Compact), Transport::Thrift(Protocol::Binary)];
+    let mut cases: Vec<_> =
+        transports.iter().map(|transport| (transport.to_string(), &binary, *transport)).collect();
+    cases.extend(
+        arguments.beside.iter().map(|other| ("HTTP/1.1, other build".to_owned(), other, Transport::Http)),
+    );
     for probes in [false, true] {
         println!("{}", if probes { "with probes" } else { "without probes" });
         // The machine's speed changes by the second: each round asks all ways, and ratios are taken within it.
         let mut rounds = Vec::new();
         for _ in 0..arguments.rounds {
-            let round = cases.iter().map(|(_, binary, way)| one(binary, *way, probes));
+            let round = cases.iter().map(|(_, binary, transport)| one(binary, *transport, probes));
             rounds.push(round.collect::<Result<Vec<_>, _>>()?);
         }
         for (n, (name, ..)) in cases.iter().enumerate() {
@@ -425,11 +431,11 @@
 
 fn progress(report: Report) {
     match report {
-        Report::Second(at, results) => {
+        Report::Progress(at, results) => {
             let [asked, in_time, late, refused, failed] = results.totals();
             println!("{:>5}{asked:>9}{in_time:>9}{late:>7}{refused:>9}{failed:>8}", at.as_secs());
         }
-        Report::Deed(at, deed) => println!("{:>5}  {deed}", at.as_secs()),
+        Report::Injection(at, injection) => println!("{:>5}  {injection}", at.as_secs()),
     }
 }
 
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -12,16 +12,16 @@
 use std::time::Duration;
 use tempfile::TempDir;
 use tokio::process::{Child, Command};
-use tokio::signal::unix::{signal as unix, SignalKind};
+use tokio::signal::unix::{signal as unix_signal, SignalKind};
 use tokio::task::LocalSet;
 
 /// Held while a process starts and while a socket is closed. Between fork and exec a child holds copies of all sockets
 /// of the tests beside it, so that one closed meanwhile stays open for its peer: a closing would come late, and a
 /// connection that is to be refused would be taken.
-static STARTING: Mutex<()> = Mutex::new(());
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-pub(crate) fn nothing_starts() -> MutexGuard<'static, ()> {
-    STARTING.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+pub(crate) fn lock_spawning() -> MutexGuard<'static, ()> {
+    SPAWN_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 /// The node's binary, which cargo puts beside every program and test of the workspace that it builds.
@@ -75,7 +75,7 @@
         let mapped = command.as_std_mut().fd_mappings(vec![FdMapping { parent_fd, child_fd }]);
         mapped.map_err(io::Error::other)?;
     }
-    let _guard = nothing_starts();
+    let _guard = lock_spawning();
     command.spawn()
 }
 
@@ -84,7 +84,8 @@
 pub fn block_on<T>(future: impl Future<Output = T>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let (mut interrupt, mut terminate) = (unix(SignalKind::interrupt())?, unix(SignalKind::terminate())?);
+        let (mut interrupt, mut terminate) =
+            (unix_signal(SignalKind::interrupt())?, unix_signal(SignalKind::terminate())?);
         tokio::select! {
             value = future => Ok(value),
             _ = interrupt.recv() => Err(io::ErrorKind::Interrupted.into()),
@@ -111,7 +112,7 @@
 }
 
 /// Keeps a line of a log, and of those before it no more than a screenful.
-pub(crate) fn keep(log: &RefCell<String>, line: &str) {
+pub(crate) fn append_log(log: &RefCell<String>, line: &str) {
     let mut log = log.borrow_mut();
     log.push_str(line);
     log.push('\n');
@@ -126,7 +127,7 @@
     let ended = || io::Error::new(io::ErrorKind::NotFound, "the process has ended");
     let pid = child.id().ok_or_else(ended)?.to_string();
     let mut kill = {
-        let _guard = nothing_starts();
+        let _guard = lock_spawning();
         Command::new("kill").args(["-s", name, &pid]).spawn()?
     };
     kill.wait().await?.success().then_some(()).ok_or_else(ended)
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -16,7 +16,7 @@
 /// An empty line comes this often while nothing changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// Longest head that is read.
-const MOST_HEAD: usize = 16 << 10;
+const MAX_HEAD: usize = 16 << 10;
 
 /// See the module's own words. Dropping it ends it.
 pub struct Registry {
@@ -70,7 +70,7 @@
         self.silent_until.set(Some(Instant::now() + length));
     }
 
-    async fn silent(&self) {
+    async fn wait_while_silent(&self) {
         while let Some(until) = self.silent_until.get().filter(|u| *u > Instant::now()) {
             tokio::time::sleep_until(until).await;
         }
@@ -86,17 +86,17 @@
     }
 
     async fn serve(self: Rc<Self>, mut stream: TcpStream) -> io::Result<()> {
-        let mut held = Vec::new();
+        let mut buffer = Vec::new();
         loop {
-            let Some(end) = held.windows(4).position(|w| w == b"\r\n\r\n") else {
-                if held.len() > MOST_HEAD || stream.read_buf(&mut held).await? == 0 {
+            let Some(end) = buffer.windows(4).position(|w| w == b"\r\n\r\n") else {
+                if buffer.len() > MAX_HEAD || stream.read_buf(&mut buffer).await? == 0 {
                     return Ok(());
                 }
                 continue;
             };
-            let head = String::from_utf8_lossy(&held[..end]).into_owned();
-            held.drain(..end + 4);
-            self.silent().await;
+            let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
+            buffer.drain(..end + 4);
+            self.wait_while_silent().await;
             let target = head.split(' ').nth(1).unwrap_or_default();
             let query = target.strip_prefix("/registry/instances");
             match query {
@@ -121,13 +121,13 @@
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         let mut revisions = self.revision.subscribe();
         // A revision that was never given out comes from elsewhere: only the whole list helps.
-        let mut told = if since > *revisions.borrow() { 0 } else { since };
+        let mut sent = if since > *revisions.borrow() { 0 } else { since };
         let mut first = true;
         loop {
-            self.silent().await;
+            self.wait_while_silent().await;
             let now = *revisions.borrow_and_update();
-            let line = if first || now > told { self.list(told).to_string() } else { String::new() };
-            (first, told) = (false, now);
+            let line = if first || now > sent { self.list(sent).to_string() } else { String::new() };
+            (first, sent) = (false, now);
             stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await?;
             if let Ok(Err(_)) = timeout(HEARTBEAT, revisions.changed()).await {
                 return Ok(());
--- a/crates/standin/src/results.rs
+++ b/crates/standin/src/results.rs
@@ -53,7 +53,7 @@
     /// Probes answered.
     pub probes: u64,
     /// The most that ever waited.
-    pub most_waiting: usize,
+    pub max_waiting: usize,
     /// Core-seconds of work begun.
     pub work: f64,
     /// Times its process started.
@@ -97,7 +97,7 @@
     }
 
     /// An order ended.
-    pub fn ended(&mut self, class: usize, end: OrderOutcome) {
+    pub fn record_outcome(&mut self, class: usize, end: OrderOutcome) {
         let results = &mut self.classes[class];
         match end {
             OrderOutcome::Served(latency) => {
@@ -111,7 +111,7 @@
     }
 
     /// Work on an order has begun at a server.
-    pub fn run(&mut self, server: usize, class: usize, order: u64, work: f64) {
+    pub fn record_run(&mut self, server: usize, class: usize, order: u64, work: f64) {
         self.servers[server].runs += 1;
         self.servers[server].work += work;
         let results = &mut self.classes[class];
@@ -124,12 +124,12 @@
     pub fn violations(&self) -> Vec<String> {
         let mut faults = Vec::new();
         for class in &self.classes {
-            let ends = class.latencies.len() as u64 + class.refused + class.failed + class.unanswered;
+            let ended = class.latencies.len() as u64 + class.refused + class.failed + class.unanswered;
             if class.unanswered > 0 {
                 faults.push(format!("{}: {} never answered", class.name, class.unanswered));
             }
-            if ends != class.asked {
-                faults.push(format!("{}: {} asked and {ends} ended", class.name, class.asked));
+            if ended != class.asked {
+                faults.push(format!("{}: {} asked and {ended} ended", class.name, class.asked));
             }
             if class.run_twice > 0 && !class.repeatable {
                 faults.push(format!("{}: {} run twice", class.name, class.run_twice));
@@ -145,8 +145,8 @@
     pub fn totals(&self) -> [u64; 5] {
         self.classes.iter().fold([0; 5], |t, c| {
             let served = c.latencies.len() as u64;
-            let own = [c.asked, served - c.late, c.late, c.refused, c.failed + c.unanswered];
-            std::array::from_fn(|k| t[k] + own[k])
+            let class = [c.asked, served - c.late, c.late, c.refused, c.failed + c.unanswered];
+            std::array::from_fn(|k| t[k] + class[k])
         })
     }
 }
@@ -159,9 +159,9 @@
 
 impl fmt::Display for Results {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let head = ["class", "asked", "in time", "late", "refused", "failed", "unanswered", "run twice"];
-        write!(f, "{:<12}", head[0])?;
-        head[1..].iter().try_for_each(|h| write!(f, "{h:>11}"))?;
+        let header = ["class", "asked", "in time", "late", "refused", "failed", "unanswered", "run twice"];
+        write!(f, "{:<12}", header[0])?;
+        header[1..].iter().try_for_each(|h| write!(f, "{h:>11}"))?;
         writeln!(f, "{:>10}{:>10}", "p50 ms", "p99 ms")?;
         for c in &self.classes {
             let mut sorted = c.latencies.clone();
@@ -189,7 +189,7 @@
                 s.runs,
                 load,
                 s.turned_away,
-                s.most_waiting,
+                s.max_waiting,
                 s.probes,
                 s.starts,
                 s.fallen
@@ -205,21 +205,21 @@
 
     /// Books that find no fault whatever happens would make every test on them worthless.
     #[test]
-    fn each_fault_is_found() {
+    fn each_violation_is_reported() {
         let fresh = || Results::new([("buy".into(), Duration::from_millis(9), false)], 2);
         let served = OrderOutcome::Served(Duration::from_millis(3));
         let mut fine = fresh();
         fine.classes[0].asked = 2;
-        (0..2).for_each(|order| fine.run(0, 0, order, 0.1));
-        (0..2).for_each(|_| fine.ended(0, served));
+        (0..2).for_each(|order| fine.record_run(0, 0, order, 0.1));
+        (0..2).for_each(|_| fine.record_outcome(0, served));
         assert_eq!(fine.violations(), Vec::<String>::new());
 
         let mut twice = fine.clone();
-        twice.run(1, 0, 1, 0.1);
+        twice.record_run(1, 0, 1, 0.1);
         assert_eq!(twice.violations(), ["buy: 1 run twice"]);
         let mut silent = fresh();
         silent.classes[0].asked = 1;
-        silent.ended(0, OrderOutcome::Unanswered);
+        silent.record_outcome(0, OrderOutcome::Unanswered);
         assert_eq!(silent.violations(), ["buy: 1 never answered"]);
         let mut lost = fine.clone();
         lost.classes[0].asked = 3;
--- a/crates/standin/src/rig/bounds.rs
+++ b/crates/standin/src/rig/bounds.rs
@@ -4,13 +4,13 @@
 use birchswitch_quota::bound;
 
 /// By how many requests the worst window W holds more than `per_s`·W + `burst`, of these in order; nothing or less: none does.
-pub fn over_rate(at: &[Nanos], per_s: f64, burst: f64) -> f64 {
+pub fn max_rate_excess(at: &[Nanos], per_s: f64, burst: f64) -> f64 {
     let Some(first) = at.first() else { return f64::NEG_INFINITY };
     bound::max_excess(at.iter().map(|at| (at - first) as f64 / 1e9), per_s, burst)
 }
 
 /// The most that overlap; what has no end goes on.
-pub fn most_at_once(spans: impl Iterator<Item = (Nanos, Option<Nanos>)>) -> usize {
+pub fn max_concurrent(spans: impl Iterator<Item = (Nanos, Option<Nanos>)>) -> usize {
     let mut marks: Vec<(Nanos, i64)> =
         spans.flat_map(|(from, to)| [Some((from, 1)), to.map(|to| (to, -1))]).flatten().collect();
     // What ends at the moment in which another begins is over.
@@ -31,22 +31,26 @@
     use super::*;
 
     #[test]
-    fn each_window_counts_and_not_only_the_whole() {
+    fn bursts_within_a_window_exceed_the_rate() {
         let ms = |all: &[u64]| all.iter().map(|ms| ms * 1_000_000).collect::<Vec<_>>();
         // One a tenth of a second.
         let even: Vec<Nanos> = (0..100).map(|n| n * 100_000_000).collect();
-        assert!(over_rate(&even, 10.0, 1.0).abs() < 1e-9);
-        assert!(over_rate(&even, 9.0, 1.0) > 8.0);
+        assert!(max_rate_excess(&even, 10.0, 1.0).abs() < 1e-9);
+        assert!(max_rate_excess(&even, 9.0, 1.0) > 8.0);
         let burst = ms(&[0, 1000, 2000, 2001, 2002, 2003]);
-        assert!((over_rate(&burst, 1.0, 3.0) - 0.997).abs() < 1e-9, "{}", over_rate(&burst, 1.0, 3.0));
-        assert!(over_rate(&burst, 1.0, 4.0) <= 0.0);
-        assert_eq!(over_rate(&[], 1.0, 1.0), f64::NEG_INFINITY);
+        assert!(
+            (max_rate_excess(&burst, 1.0, 3.0) - 0.997).abs() < 1e-9,
+            "{}",
+            max_rate_excess(&burst, 1.0, 3.0)
+        );
+        assert!(max_rate_excess(&burst, 1.0, 4.0) <= 0.0);
+        assert_eq!(max_rate_excess(&[], 1.0, 1.0), f64::NEG_INFINITY);
     }
 
     #[test]
-    fn those_that_overlap_are_counted() {
+    fn overlapping_spans_are_counted() {
         let spans = [(0, Some(10)), (5, Some(15)), (10, Some(20)), (12, None)];
-        assert_eq!(most_at_once(spans.into_iter()), 3);
-        assert_eq!(most_at_once(std::iter::empty()), 0);
+        assert_eq!(max_concurrent(spans.into_iter()), 3);
+        assert_eq!(max_concurrent(std::iter::empty()), 0);
     }
 }
--- a/crates/standin/src/rig/cases.rs
+++ b/crates/standin/src/rig/cases.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// Within which all know of a death. In virtual time it is 5.1 s at 20% loss; processes share their cores with others.
-const KNOWN: Duration = Duration::from_secs(12);
+const DETECTION_BOUND: Duration = Duration::from_secs(12);
 /// Within which there is one membership again. Asserted at 5 s in virtual time.
-const AGREED: Duration = Duration::from_secs(20);
+const AGREEMENT_BOUND: Duration = Duration::from_secs(20);
 
 /// What more must hold than every case's claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Holds {
+pub enum Expectation {
     /// Nobody is declared dead by anyone.
     NoVerdict,
     /// Nobody but these places, in a row.
@@ -24,13 +24,13 @@
     /// These places, in a row, declare nobody dead.
     NoVerdictBy(usize, usize),
     /// The process at that place wrote a line of this kind.
-    Wrote(usize, &'static str),
+    Logged(usize, &'static str),
     /// All of the case's nodes wrote no line of this kind.
-    NobodyWrote(&'static str),
+    NeverLogged(&'static str),
     /// No process declared one member dead more often than this.
     VerdictsAtMost(usize),
     /// Places on the ring are even, within so many per cent of the mean, once they have settled.
-    Even(u32),
+    EvenRing(u32),
 }
 
 /// A case.
@@ -42,38 +42,38 @@
     /// Its script; the seed is the run's.
     pub script: &'static str,
     /// What more must hold.
-    pub holds: &'static [Holds],
+    pub expectations: &'static [Expectation],
 }
 
-use Holds::*;
+use Expectation::*;
 
 /// All cases. The short ones run in CI.
 pub const CASES: &[Case] = &[
-    Case { name: "kill", nodes: [12, 0], script: "1s n5 die\n14s n5 start", holds: &[VerdictsOnlyOn(5, 5), Even(15)] },
-    Case { name: "kill-lossy", nodes: [12, 0], script: "0s wire lose 0.2\n1s n5 die\n15s wire lose 0", holds: &[VerdictsOnlyOn(5, 5)] },
-    Case { name: "pause-2s", nodes: [12, 0], script: "1s n3 pause 2s\n6s n3 pause 2s", holds: &[NoVerdict] },
-    Case { name: "pause-20s", nodes: [12, 0], script: "1s n3 pause 20s", holds: &[VerdictsOnlyOn(3, 3), NoVerdictBy(3, 3), Wrote(3, "held_up")] },
-    Case { name: "stutter", nodes: [12, 0], script: "0s wire lose 0.1\n1s n2-n4 stutter 400ms for 60s\n62s wire lose 0", holds: &[NoVerdict] },
-    Case { name: "stutter-short", nodes: [12, 0], script: "0s wire lose 0.1\n1s n2-n4 stutter 400ms for 9s\n11s wire lose 0", holds: &[NoVerdict] },
-    Case { name: "one-way", nodes: [12, 0], script: "1s wire cut n1 n0\n16s wire heal", holds: &[NoVerdict] },
+    Case { name: "kill", nodes: [12, 0], script: "1s n5 die\n14s n5 start", expectations: &[VerdictsOnlyOn(5, 5), EvenRing(15)] },
+    Case { name: "kill-lossy", nodes: [12, 0], script: "0s wire lose 0.2\n1s n5 die\n15s wire lose 0", expectations: &[VerdictsOnlyOn(5, 5)] },
+    Case { name: "pause-2s", nodes: [12, 0], script: "1s n3 pause 2s\n6s n3 pause 2s", expectations: &[NoVerdict] },
+    Case { name: "pause-20s", nodes: [12, 0], script: "1s n3 pause 20s", expectations: &[VerdictsOnlyOn(3, 3), NoVerdictBy(3, 3), Logged(3, "held_up")] },
+    Case { name: "stutter", nodes: [12, 0], script: "0s wire lose 0.1\n1s n2-n4 stutter 400ms for 60s\n62s wire lose 0", expectations: &[NoVerdict] },
+    Case { name: "stutter-short", nodes: [12, 0], script: "0s wire lose 0.1\n1s n2-n4 stutter 400ms for 9s\n11s wire lose 0", expectations: &[NoVerdict] },
+    Case { name: "one-way", nodes: [12, 0], script: "1s wire cut n1 n0\n16s wire heal", expectations: &[NoVerdict] },
     Case {
         name: "deaf",
         nodes: [12, 0],
         script: "1s wire cut nodes n4\n16s wire heal",
-        holds: &[VerdictsOnlyOn(4, 4), NoVerdictBy(4, 4), Wrote(4, "cut_off"), Wrote(4, "hears")],
+        expectations: &[VerdictsOnlyOn(4, 4), NoVerdictBy(4, 4), Logged(4, "cut_off"), Logged(4, "hears")],
     },
     Case {
         name: "zone-unheard",
         nodes: [12, 0],
         script: "1s wire cut zone:0 zone:1\n1s wire cut zone:0 zone:2\n1s wire cut zone:0 zone:3\n21s wire heal",
-        holds: &[VerdictsOnlyOn(0, 2), NoVerdictBy(0, 2)],
+        expectations: &[VerdictsOnlyOn(0, 2), NoVerdictBy(0, 2)],
     },
-    Case { name: "halves", nodes: [12, 0], script: "1s wire split n0-n5 n6-n11\n21s wire heal", holds: &[VerdictsAtMost(1)] },
+    Case { name: "halves", nodes: [12, 0], script: "1s wire split n0-n5 n6-n11\n21s wire heal", expectations: &[VerdictsAtMost(1)] },
     Case {
         name: "thirds",
         nodes: [12, 0],
         script: "1s wire split n0-n3 n4-n11\n1s wire split n4-n7 n8-n11\n21s wire heal",
-        holds: &[VerdictsAtMost(1)],
+        expectations: &[VerdictsAtMost(1)],
     },
     Case {
         name: "flapping",
@@ -83,26 +83,26 @@
                  30s wire split n0-n3 n4-n11\n33s wire heal\n36s wire split n0-n3 n4-n11\n39s wire heal\n\
                  42s wire split n0-n3 n4-n11\n45s wire heal\n48s wire split n0-n3 n4-n11\n51s wire heal\n\
                  54s wire split n0-n3 n4-n11\n57s wire heal",
-        holds: &[VerdictsAtMost(10)],
+        expectations: &[VerdictsAtMost(10)],
     },
     Case {
         name: "quick-restart",
         nodes: [12, 0],
         script: "0s wire delay 2s\n0s wire double 0.3\n1s n7 die\n1300ms n7 start\n8s n7 die\n12s n7 start\n18s wire delay 0s\n18s wire double 0",
-        holds: &[VerdictsOnlyOn(7, 7)],
+        expectations: &[VerdictsOnlyOn(7, 7)],
     },
-    Case { name: "all-restart", nodes: [12, 0], script: "1s nodes die\n1s nodes start", holds: &[NoVerdict] },
+    Case { name: "all-restart", nodes: [12, 0], script: "1s nodes die\n1s nodes start", expectations: &[NoVerdict] },
     Case {
         name: "twins",
         nodes: [12, 1],
         script: "1s n5 twin\n9s wire lose 0",
-        holds: &[NoVerdict, Wrote(5, "yielded"), Wrote(12, "twin"), NobodyWrote("suspected")],
+        expectations: &[NoVerdict, Logged(5, "yielded"), Logged(12, "twin"), NeverLogged("suspected")],
     },
-    Case { name: "spoilt", nodes: [12, 0], script: "0s wire spoil 0.1\n0s wire shorten 0.1\n20s wire spoil 0\n20s wire shorten 0", holds: &[NoVerdict] },
-    Case { name: "seven-in-ten", nodes: [20, 0], script: "1s nodes:0.7 die\n25s wire lose 0", holds: &[Even(15)] },
+    Case { name: "spoilt", nodes: [12, 0], script: "0s wire spoil 0.1\n0s wire shorten 0.1\n20s wire spoil 0\n20s wire shorten 0", expectations: &[NoVerdict] },
+    Case { name: "seven-in-ten", nodes: [20, 0], script: "1s nodes:0.7 die\n25s wire lose 0", expectations: &[EvenRing(15)] },
     // Sixty are there, and forty join at once.
-    Case { name: "forty-join", nodes: [100, 0], script: "1s n60-n99 end\n2s n60-n99 start", holds: &[NoVerdict, Even(15)] },
-    Case { name: "tenth-at-a-time", nodes: [20, 0], script: "1s n0-n1 end\n1s n0-n1 start\n4s n2-n3 end\n4s n2-n3 start\n7s n4-n5 end\n7s n4-n5 start\n10s n6-n7 end\n10s n6-n7 start", holds: &[NoVerdict, Even(15)] },
+    Case { name: "forty-join", nodes: [100, 0], script: "1s n60-n99 end\n2s n60-n99 start", expectations: &[NoVerdict, EvenRing(15)] },
+    Case { name: "tenth-at-a-time", nodes: [20, 0], script: "1s n0-n1 end\n1s n0-n1 start\n4s n2-n3 end\n4s n2-n3 start\n7s n4-n5 end\n7s n4-n5 start\n10s n6-n7 end\n10s n6-n7 start", expectations: &[NoVerdict, EvenRing(15)] },
 ];
 
 /// What a case came to.
@@ -162,36 +162,36 @@
     let plan = Plan { spare, zones: 4, ..Plan::new(binary, nodes, script) };
     let mut rig = Rig::start(plan).await?;
     rig.wait_for_agreement(Duration::from_secs(60)).await?;
-    let (began, before) = (now(), rig.wire().passed().sent[0]);
+    let (began, before) = (now(), rig.wire().traffic().sent[0]);
     rig.play(report).await?;
     let mut violations = Vec::new();
-    let agreed = rig.wait_for_agreement(AGREED).await;
+    let agreed = rig.wait_for_agreement(AGREEMENT_BOUND).await;
     if let Err(error) = &agreed {
         violations.push(error.to_string());
     }
-    for holds in case.holds {
-        if let Even(percent) = holds {
+    for expectation in case.expectations {
+        if let EvenRing(percent) = expectation {
             let most = 1.0 + f64::from(*percent) / 100.0;
-            let uneven = |h: &History| Checker::new(h, now()).unevenness();
+            let uneven = |h: &History| Checker::new(h, now()).ring_unevenness();
             let settled = |h: &History| uneven(h).is_some_and(|u| u <= most);
             let last = |h: &History| format!("{:?} of the mean", uneven(h));
-            if let Err(error) = rig.wait_until("an even ring", AGREED, settled, last).await {
+            if let Err(error) = rig.wait_until("an even ring", AGREEMENT_BOUND, settled, last).await {
                 violations.push(error.to_string());
             }
         }
     }
-    let (end, sent) = (now(), rig.wire().passed().sent[0] - before);
+    let (end, sent) = (now(), rig.wire().traffic().sent[0] - before);
     let history = rig.history();
     rig.close().await?;
     let checker = Checker::new(&history, end);
     violations.extend(checker.false_verdicts());
-    violations.extend(checker.unnoticed(KNOWN));
-    violations.extend(checker.incarnations_back());
+    violations.extend(checker.missed_deaths(DETECTION_BOUND));
+    violations.extend(checker.incarnation_regressions());
     let verdicts: Vec<_> = history.lines.iter().filter(|l| l.kind == "verdict").collect();
-    for holds in case.holds {
+    for expectation in case.expectations {
         let row = |a: usize, b: usize| (a..=b).map(|n| format!("n{n}")).collect::<Vec<_>>();
-        let found = match *holds {
-            Even(_) => None,
+        let found = match *expectation {
+            EvenRing(_) => None,
             NoVerdict => (!verdicts.is_empty()).then(|| format!("{} verdicts, none wanted", verdicts.len())),
             VerdictsOnlyOn(a, b) => {
                 let other = verdicts.iter().find(|l| !row(a, b).contains(&l.text("member").to_owned()));
@@ -201,15 +201,15 @@
                 let by = verdicts.iter().find(|l| (a..=b).contains(&l.place));
                 by.map(|l| format!("n{} declared {} dead", l.place, l.text("member")))
             }
-            Wrote(place, kind) => {
-                (checker.wrote(place, kind) == 0).then(|| format!("place {place} wrote no {kind:?}"))
+            Logged(place, kind) => {
+                (checker.count_events(place, kind) == 0).then(|| format!("place {place} wrote no {kind:?}"))
             }
-            NobodyWrote(kind) => {
+            NeverLogged(kind) => {
                 let line = history.lines.iter().find(|l| l.kind == kind);
                 line.map(|l| format!("n{} wrote {kind:?} of {}", l.place, l.text("member")))
             }
             VerdictsAtMost(most) => {
-                let found = checker.most_verdicts();
+                let found = checker.max_verdicts_per_member();
                 (found > most)
                     .then(|| format!("{found} verdicts by one process on one member, {most} are fine"))
             }
@@ -243,10 +243,10 @@
     let mut rig = Rig::start(plan).await?;
     let agreed = rig.wait_for_agreement(Duration::from_secs(120)).await?;
     let spent = |rig: &Rig| rig.places().iter().filter_map(|n| rig.pid(*n)).map(cpu_time).collect::<Vec<_>>();
-    let (before, sent) = (spent(&rig), rig.wire().passed().sent);
+    let (before, sent) = (spent(&rig), rig.wire().traffic().sent);
     rig.play(|_| {}).await?;
     tokio::time::sleep(length).await;
-    let (after, now) = (spent(&rig), rig.wire().passed().sent);
+    let (after, now) = (spent(&rig), rig.wire().traffic().sent);
     rig.close().await?;
     let parts: Vec<f64> =
         after.iter().zip(before).map(|(a, b)| (*a - b).as_secs_f64() / length.as_secs_f64()).collect();
--- a/crates/standin/src/rig/checker.rs
+++ b/crates/standin/src/rig/checker.rs
@@ -1,14 +1,14 @@
 //! Judges a [`History`] by what membership claims. It knows what the rig did and what processes wrote, and takes no process's
 //! word on another for true.
 
-use super::history::{Did, History, Line, Nanos};
+use super::history::{History, Line, Nanos, RigAction};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Nobody is to be declared dead who was out of reach for less than this.
-const BORNE: Duration = Duration::from_secs(2);
+const TOLERATED_OUTAGE: Duration = Duration::from_secs(2);
 /// How finely spans are looked through.
-const LOOK: u64 = 50_000_000;
+const SAMPLE_INTERVAL: u64 = 50_000_000;
 
 /// One process of a history.
 #[derive(Clone, Debug)]
@@ -25,13 +25,13 @@
 }
 
 impl Process {
-    fn runs(&self, at: Nanos) -> bool {
+    fn is_running(&self, at: Nanos) -> bool {
         let ended = self.ended.is_some_and(|(e, _)| at >= e);
         at >= self.started && !ended && !self.stopped.iter().any(|(from, to)| (*from..*to).contains(&at))
     }
 
     /// Runs all that time, never stopped.
-    fn runs_through(&self, from: Nanos, to: Nanos) -> bool {
+    fn ran_throughout(&self, from: Nanos, to: Nanos) -> bool {
         self.started <= from
             && self.ended.is_none_or(|(e, _)| e > to)
             && !self.stopped.iter().any(|(a, b)| *a <= to && *b >= from)
@@ -52,10 +52,10 @@
         let mut processes: Vec<Process> = Vec::new();
         let mut cuts = vec![(0, BTreeSet::new())];
         let mut starts: BTreeMap<usize, usize> = BTreeMap::new();
-        for (at, did) in &history.did {
+        for (at, action) in &history.actions {
             let last = |place: &usize, all: &mut Vec<Process>| all.iter().rposition(|p| p.place == *place);
-            match did {
-                Did::Started(place, name) => {
+            match action {
+                RigAction::Started(place, name) => {
                     let start = starts.entry(*place).or_default();
                     let own = history
                         .lines
@@ -71,22 +71,22 @@
                         draw: own.map(|l| l.number("draw")),
                     });
                 }
-                Did::Ended(place, silent) => {
+                RigAction::Ended(place, killed) => {
                     if let Some(n) = last(place, &mut processes) {
-                        processes[n].ended = Some((*at, *silent));
+                        processes[n].ended = Some((*at, *killed));
                     }
                 }
-                Did::Stopped(place) => {
+                RigAction::Stopped(place) => {
                     if let Some(n) = last(place, &mut processes) {
                         processes[n].stopped.push((*at, Nanos::MAX));
                     }
                 }
-                Did::Resumed(place) => {
+                RigAction::Resumed(place) => {
                     if let Some(n) = last(place, &mut processes) {
                         processes[n].stopped.iter_mut().for_each(|s| s.1 = s.1.min(*at));
                     }
                 }
-                Did::Cut(pairs) => cuts.push((*at, pairs.clone())),
+                RigAction::Cut(pairs) => cuts.push((*at, pairs.clone())),
             }
         }
         Checker { history, processes, cuts, end }
@@ -98,12 +98,12 @@
     }
 
     /// Whether a question from one place and its answer can pass at that time, at once or through a third that runs.
-    fn road(&self, from: usize, to: usize, at: Nanos) -> bool {
+    fn reachable(&self, from: usize, to: usize, at: Nanos) -> bool {
         let cut = self.cut(at);
         let passes = |a, b| !cut.contains(&(a, b));
         let both = |a, b| passes(a, b) && passes(b, a);
         let third = |p: &Process| {
-            p.place != from && p.place != to && p.runs(at) && both(from, p.place) && both(p.place, to)
+            p.place != from && p.place != to && p.is_running(at) && both(from, p.place) && both(p.place, to)
         };
         both(from, to) || self.processes.iter().any(third)
     }
@@ -130,11 +130,11 @@
                 found.push(format!("a verdict on {:?}, whom the rig never started", line.text("member")));
                 continue;
             };
-            let reached = |at: Nanos| on.runs(at) && self.road(by.place, on.place, at);
-            let span = BORNE.as_nanos() as u64;
+            let reached = |at: Nanos| on.is_running(at) && self.reachable(by.place, on.place, at);
+            let span = TOLERATED_OUTAGE.as_nanos() as u64;
             // The last moment is left out: a fault that ended just now was there.
             let mut at = line.at.saturating_sub(span);
-            while at + 4 * LOOK < line.at {
+            while at + 4 * SAMPLE_INTERVAL < line.at {
                 if reached(at) {
                     let ms = (line.at - at) / 1_000_000;
                     found.push(format!(
@@ -143,14 +143,14 @@
                     ));
                     break;
                 }
-                at += LOOK;
+                at += SAMPLE_INTERVAL;
             }
         }
         found
     }
 
     /// Deaths without a word that some did not know of within the bound, though they ran all the while and nothing was cut.
-    pub fn unnoticed(&self, bound: Duration) -> Vec<String> {
+    pub fn missed_deaths(&self, bound: Duration) -> Vec<String> {
         let mut found = Vec::new();
         for (dead, killed, until, by, took) in self.deaths() {
             match took {
@@ -184,7 +184,8 @@
             if cut {
                 continue;
             }
-            for by in self.processes.iter().filter(|p| p.place != dead.place && p.runs_through(killed, until))
+            for by in
+                self.processes.iter().filter(|p| p.place != dead.place && p.ran_throughout(killed, until))
             {
                 let knows = |l: &&Line| {
                     let of = (killed..until).contains(&l.at) && matches!(l.kind.as_str(), "verdict" | "dead");
@@ -201,7 +202,7 @@
     pub fn disagreements(&self) -> Vec<String> {
         let yielded = |p: &Process| self.lines_of(p).any(|l| l.kind == "yielded");
         let running: Vec<&Process> =
-            self.processes.iter().filter(|p| p.runs(self.end) && !yielded(p)).collect();
+            self.processes.iter().filter(|p| p.is_running(self.end) && !yielded(p)).collect();
         let mut found = Vec::new();
         for p in &running {
             let mut held: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
@@ -231,12 +232,12 @@
     }
 
     /// Lines of this kind that processes at that place wrote.
-    pub fn wrote(&self, place: usize, kind: &str) -> usize {
+    pub fn count_events(&self, place: usize, kind: &str) -> usize {
         self.history.lines.iter().filter(|l| l.place == place && l.kind == kind).count()
     }
 
     /// Lines in which a process went back behind an incarnation that it had told.
-    pub fn incarnations_back(&self) -> Vec<String> {
+    pub fn incarnation_regressions(&self) -> Vec<String> {
         let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
         let mut found = Vec::new();
         for l in self.history.lines.iter().filter(|l| matches!(l.kind.as_str(), "refuted" | "held_up")) {
@@ -250,7 +251,7 @@
     }
 
     /// Most verdicts that one process reached on one member.
-    pub fn most_verdicts(&self) -> usize {
+    pub fn max_verdicts_per_member(&self) -> usize {
         let mut counts: BTreeMap<(usize, &str), usize> = BTreeMap::new();
         for l in self.history.lines.iter().filter(|l| l.kind == "verdict") {
             *counts.entry((l.place, l.text("member"))).or_default() += 1;
@@ -260,8 +261,8 @@
 
     /// How unevenly the places of those that run lie on the ring: the widest gap between neighbours over the mean. None: a
     /// process has no place yet.
-    pub fn unevenness(&self) -> Option<f64> {
-        let running = self.processes.iter().filter(|p| p.runs(self.end));
+    pub fn ring_unevenness(&self) -> Option<f64> {
+        let running = self.processes.iter().filter(|p| p.is_running(self.end));
         let last =
             |p: &Process| self.lines_of(p).filter(|l| l.kind == "place").last()?.fields.get("at")?.as_f64();
         let mut places = running.map(last).collect::<Option<Vec<f64>>>()?;
@@ -294,7 +295,7 @@
     fn quiet() -> History {
         let mut h = History::default();
         for n in 0..4 {
-            h.did.push((S, Did::Started(n, format!("n{n}"))));
+            h.actions.push((S, RigAction::Started(n, format!("n{n}"))));
             h.lines.push(line(S, n, "listening", &[("draw", n as u64 + 1)]));
             let others = (0..4).filter(|o| *o != n);
             others.for_each(|o| h.lines.push(line(2 * S, n, "joined", &[("draw", o as u64 + 1)])));
@@ -306,7 +307,7 @@
     fn a_quiet_history_is_sound() {
         let h = quiet();
         let c = Checker::new(&h, 60 * S);
-        assert!(c.false_verdicts().is_empty() && c.unnoticed(Duration::ZERO).is_empty());
+        assert!(c.false_verdicts().is_empty() && c.missed_deaths(Duration::ZERO).is_empty());
         assert_eq!(c.disagreements(), Vec::<String>::new());
     }
 
@@ -315,10 +316,10 @@
         let mut h = quiet();
         h.lines.push(line(20 * S, 0, "verdict", &[("draw", 2)]));
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 1);
-        h.did.push((17 * S, Did::Ended(1, true)));
+        h.actions.push((17 * S, RigAction::Ended(1, true)));
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 0);
         // Dead for half a second only.
-        h.did[4].0 = 19 * S + S / 2;
+        h.actions[4].0 = 19 * S + S / 2;
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 1);
         // Of nobody.
         h.lines.push(line(20 * S, 0, "verdict", &[("draw", 9)]));
@@ -329,8 +330,8 @@
     fn a_pause_excuses_a_verdict_only_while_it_lasts_and_for_long_enough() {
         for (from, to, found) in [(16, 21, 0), (19, 21, 1), (10, 15, 1)] {
             let mut h = quiet();
-            h.did.push((from * S, Did::Stopped(1)));
-            h.did.push((to * S, Did::Resumed(1)));
+            h.actions.push((from * S, RigAction::Stopped(1)));
+            h.actions.push((to * S, RigAction::Resumed(1)));
             h.lines.push(line(20 * S, 0, "verdict", &[("draw", 2)]));
             assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), found, "{from} to {to}");
         }
@@ -342,7 +343,7 @@
         let all: BTreeSet<_> = [0, 2, 3].into_iter().map(|to| (1, to)).collect();
         for (cut, found) in [(one, 1), (all, 0)] {
             let mut h = quiet();
-            h.did.push((10 * S, Did::Cut(cut)));
+            h.actions.push((10 * S, RigAction::Cut(cut)));
             h.lines.push(line(20 * S, 0, "verdict", &[("draw", 2)]));
             assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), found);
         }
@@ -351,16 +352,16 @@
     #[test]
     fn a_death_that_one_does_not_hear_of_is_found() {
         let mut h = quiet();
-        h.did.push((10 * S, Did::Ended(3, true)));
+        h.actions.push((10 * S, RigAction::Ended(3, true)));
         h.lines.push(line(14 * S, 0, "verdict", &[("draw", 4)]));
         h.lines.push(line(15 * S, 1, "dead", &[("draw", 4)]));
-        let missing = Checker::new(&h, 60 * S).unnoticed(Duration::from_secs(10));
+        let missing = Checker::new(&h, 60 * S).missed_deaths(Duration::from_secs(10));
         assert!(missing.len() == 1 && missing[0].contains("n2 "), "{missing:?}");
-        assert_eq!(Checker::new(&h, 60 * S).unnoticed(Duration::from_millis(4500)).len(), 2);
+        assert_eq!(Checker::new(&h, 60 * S).missed_deaths(Duration::from_millis(4500)).len(), 2);
         assert_eq!(Checker::new(&h, 60 * S).disagreements().len(), 1, "n2 holds it still");
         h.lines.push(line(16 * S, 2, "dead", &[("draw", 4)]));
         let c = Checker::new(&h, 60 * S);
-        assert!(c.unnoticed(Duration::from_secs(10)).is_empty() && c.disagreements().is_empty());
+        assert!(c.missed_deaths(Duration::from_secs(10)).is_empty() && c.disagreements().is_empty());
     }
 
     #[test]
@@ -368,9 +369,9 @@
         let mut h = quiet();
         h.lines.push(line(5 * S, 1, "refuted", &[("incarnation", 4)]));
         h.lines.push(line(6 * S, 1, "refuted", &[("incarnation", 3)]));
-        assert_eq!(Checker::new(&h, 60 * S).incarnations_back().len(), 1);
-        h.did.push((10 * S, Did::Ended(3, true)));
-        h.did.push((11 * S, Did::Started(3, "n3".to_owned())));
+        assert_eq!(Checker::new(&h, 60 * S).incarnation_regressions().len(), 1);
+        h.actions.push((10 * S, RigAction::Ended(3, true)));
+        h.actions.push((11 * S, RigAction::Started(3, "n3".to_owned())));
         let mut again = line(11 * S, 3, "listening", &[("draw", 77)]);
         again.start = 1;
         h.lines.push(again);
@@ -381,14 +382,14 @@
     #[test]
     fn places_beside_each_other_are_uneven() {
         let mut h = quiet();
-        assert_eq!(Checker::new(&h, 60 * S).unevenness(), None, "nobody told a place");
+        assert_eq!(Checker::new(&h, 60 * S).ring_unevenness(), None, "nobody told a place");
         for (n, at) in [0.0, 0.25, 0.5, 0.75].into_iter().enumerate() {
             let mut l = line(3 * S, n, "place", &[]);
             l.fields.insert("at".to_owned(), at.into());
             h.lines.push(l);
         }
-        assert_eq!(Checker::new(&h, 60 * S).unevenness(), Some(1.0));
+        assert_eq!(Checker::new(&h, 60 * S).ring_unevenness(), Some(1.0));
         h.lines.last_mut().expect("four").fields.insert("at".to_owned(), 0.5.into());
-        assert_eq!(Checker::new(&h, 60 * S).unevenness(), Some(2.0));
+        assert_eq!(Checker::new(&h, 60 * S).ring_unevenness(), Some(2.0));
     }
 }
--- a/crates/standin/src/rig/common.rs
+++ b/crates/standin/src/rig/common.rs
@@ -1,6 +1,6 @@
 //! All that a fleet holds in common at once, under random faults: limits, wallet, verdicts and weights, judged together.
 
-use super::bounds::over_rate;
+use super::bounds::max_rate_excess;
 use super::cases::CaseError;
 use super::history::Nanos;
 use super::load::{RequestOutcome, RequestSpec};
@@ -42,31 +42,31 @@
 }
 
 /// Some seconds of faults on so many nodes, healed at their end.
-fn fault(chance: &mut Rng, nodes: usize) -> (&'static str, String) {
-    let node = |chance: &mut Rng| chance.below(nodes);
-    match chance.below(6) {
+fn fault(rng: &mut Rng, nodes: usize) -> (&'static str, String) {
+    let node = |rng: &mut Rng| rng.below(nodes);
+    match rng.below(6) {
         0 => {
-            let (a, b) = (node(chance), node(chance));
+            let (a, b) = (node(rng), node(rng));
             ("die", format!("0s n{a} die\n0s n{b} die\n2s n{a} start\n2s n{b} start\n4s wire lose 0"))
         }
         1 => {
-            let (a, b) = (node(chance), node(chance));
+            let (a, b) = (node(rng), node(rng));
             ("pause", format!("0s n{a} pause 3s\n500ms n{b} pause 4s\n5s wire lose 0"))
         }
         2 => {
-            let at = 1 + chance.below(nodes - 2);
+            let at = 1 + rng.below(nodes - 2);
             (
                 "split",
                 format!("0s wire split n0-n{at} n{}-n{}\n4s wire heal\n5s wire lose 0", at + 1, nodes - 1),
             )
         }
         3 => {
-            let at = node(chance);
+            let at = node(rng);
             ("cut", format!("0s wire cut n{at} n0-n{}\n4s wire heal\n5s wire lose 0", nodes - 1))
         }
         4 => ("lose", "0s wire lose 0.1\n5s wire lose 0".to_owned()),
         _ => {
-            let at = node(chance);
+            let at = node(rng);
             ("stutter", format!("0s n{at} stutter 400ms for 4s\n5s wire lose 0"))
         }
     }
@@ -80,9 +80,9 @@
     seed: u64,
     mut report: impl FnMut(u64, &str),
 ) -> Result<Outcome, CaseError> {
-    let case = Case { nodes, overdraft: 100, more: TABLES, seed, ..BASELINE };
-    let mut bank = WalletRig::open(&case, binary).await?;
-    bank.top_up(&[0], "p0", PAID).await;
+    let case = Case { nodes, overdraft: 100, extra_tables: TABLES, seed, ..BASELINE };
+    let mut wallet = WalletRig::open(&case, binary).await?;
+    wallet.top_up(&[0], "p0", PAID).await;
     let order = |class: &str, tenant: &str| RequestSpec {
         class: class.into(),
         tenant: tenant.into(),
@@ -92,35 +92,35 @@
     let mix =
         [("safe", ACCOUNT), ("unsafe", "two"), ("keyed", ACCOUNT), ("safe", "two"), ("unsafe", ACCOUNT)];
     let orders: Vec<RequestSpec> = mix.iter().map(|(class, tenant)| order(class, tenant)).collect();
-    bank.start_load(EACH, &orders);
-    let (mut chance, mut faults, mut sizes) = (Rng::new(seed, 21), BTreeMap::new(), Vec::new());
+    wallet.start_load(EACH, &orders);
+    let (mut rng, mut faults, mut sizes) = (Rng::new(seed, 21), BTreeMap::new(), Vec::new());
     let (began, mut paid) = (Instant::now(), 0);
     while began.elapsed() < Duration::from_secs(minutes * 60) {
-        let (kind, script) = fault(&mut chance, nodes);
+        let (kind, script) = fault(&mut rng, nodes);
         *faults.entry(kind).or_default() += 1;
         report(began.elapsed().as_secs(), &script.replace('\n', "; "));
         let parsed = Script::parse(&script, 0, nodes)?;
-        bank.rig.set_script(Script { seed, ..parsed });
-        bank.rig.play(|_| ()).await?;
-        let shown = bank.shown().await;
-        if shown.balance + shown.outstanding < 2 * PAID as i64 && chance.below(3) > 0 {
+        wallet.rig.set_script(Script { seed, ..parsed });
+        wallet.rig.play(|_| ()).await?;
+        let shown = wallet.shown().await;
+        if shown.balance + shown.outstanding < 2 * PAID as i64 && rng.below(3) > 0 {
             paid += 1;
             let id = format!("p{paid}");
             for node in [1, 3, 5, 1, 3] {
-                bank.top_up(&[node % nodes, 0], &id, PAID).await;
+                wallet.top_up(&[node % nodes, 0], &id, PAID).await;
             }
         }
-        sleep(Duration::from_secs(1 + chance.below(3) as u64)).await;
+        sleep(Duration::from_secs(1 + rng.below(3) as u64)).await;
         if sizes.len() < (began.elapsed().as_secs() / 60) as usize {
-            sizes.push(largest(&bank));
+            sizes.push(largest(&wallet));
         }
     }
-    let ended = bank.stop_load().await;
-    let shown = bank.wait_until("all quiet", |s| s.outstanding == 0).await;
-    let mut violations = bank.violations(&case, true).await;
-    let seen = bank.site.received();
+    let ended = wallet.stop_load().await;
+    let shown = wallet.wait_until("all quiet", |s| s.outstanding == 0).await;
+    let mut violations = wallet.violations(&case, true).await;
+    let seen = wallet.site.received();
     let limited: Vec<Nanos> = seen.iter().filter(|s| s.tenant == "two").map(|s| s.at).collect();
-    let rate_excess = over_rate(&limited, PER_S, BURST);
+    let rate_excess = max_rate_excess(&limited, PER_S, BURST);
     if rate_excess > 0.0 {
         violations.push(format!("{rate_excess:.3} requests over {PER_S} W + {BURST} in some window"));
     }
@@ -130,7 +130,7 @@
     if twice > 0 {
         violations.push(format!("{twice} requests ran twice that must not"));
     }
-    bank.rig.close().await?;
+    wallet.rig.close().await?;
     let count = |of: &dyn Fn(&RequestOutcome) -> bool| ended.iter().filter(|e| of(e)).count();
     let ended = [
         ended.len(),
@@ -143,9 +143,9 @@
 }
 
 /// Memory in kB and descriptors of the process that has most.
-fn largest(bank: &WalletRig) -> (u64, usize) {
+fn largest(wallet: &WalletRig) -> (u64, usize) {
     let mut most = (0, 0);
-    for pid in bank.rig.places().into_iter().filter_map(|place| bank.rig.pid(place)) {
+    for pid in wallet.rig.places().into_iter().filter_map(|place| wallet.rig.pid(place)) {
         let Usage { memory_kb, descriptors, .. } = usage(pid);
         most = (most.0.max(memory_kb), most.1.max(descriptors));
     }
--- a/crates/standin/src/rig/around.rs
+++ b/crates/standin/src/rig/environment.rs
@@ -1,16 +1,16 @@
 //! What a place speaks with beside the members' socket: discovery, servers, clients, and other nodes' meshes.
 
 use super::plan::Plan;
-use super::streams::{From, Streams};
+use super::proxies::{Source, TcpProxies};
 use crate::registry::Registry;
-use crate::script::Far;
+use crate::script::External;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tempfile::TempDir;
 use tokio::sync::watch;
 
 /// What a place speaks with that is no node.
-pub(super) struct Around {
+pub(super) struct Environment {
     pub registry: Rc<Registry>,
     pub discovery: SocketAddr,
     /// Where each server is for this place.
@@ -26,34 +26,48 @@
 }
 
 /// A number like a place's for what is no node.
-pub(super) fn beyond(far: Far) -> usize {
+pub(super) fn external_place(far: External) -> usize {
     usize::MAX - far as usize
 }
 
 /// Opens all ways of a place.
-pub(super) async fn surround(
+pub(super) async fn create_environment(
     plan: &Plan,
     n: usize,
-    alone: &Rc<Registry>,
-    streams: &mut Streams,
-) -> std::io::Result<Around> {
+    shared_registry: &Rc<Registry>,
+    proxies: &mut TcpProxies,
+) -> std::io::Result<Environment> {
     let (listens, meshes) = (watch::Sender::new(None), watch::Sender::new(None));
     let mesh = match plan.mesh {
-        true => Some(streams.open((From::AnyNode, n), meshes.subscribe()).await?),
+        true => Some(proxies.open((Source::AnyNode, n), meshes.subscribe()).await?),
         false => None,
     };
     let folder = plan.folders.then(tempfile::tempdir).transpose()?;
     if !plan.streams {
-        let (registry, discovery, servers) = (alone.clone(), alone.address(), plan.servers.clone());
-        return Ok(Around { registry, discovery, servers, clients: None, listens, mesh, meshes, folder });
+        let (registry, discovery, servers) =
+            (shared_registry.clone(), shared_registry.address(), plan.servers.clone());
+        return Ok(Environment {
+            registry,
+            discovery,
+            servers,
+            clients: None,
+            listens,
+            mesh,
+            meshes,
+            folder,
+        });
     }
     let registry = Registry::start().await?;
     let real = |address| watch::Sender::new(Some(address)).subscribe();
-    let discovery = streams.open((From::Place(n), beyond(Far::Discovery)), real(registry.address())).await?;
+    let discovery = proxies
+        .open((Source::Place(n), external_place(External::Discovery)), real(registry.address()))
+        .await?;
     let mut servers = Vec::new();
     for server in &plan.servers {
-        servers.push(streams.open((From::Place(n), beyond(Far::Servers)), real(*server)).await?);
+        servers
+            .push(proxies.open((Source::Place(n), external_place(External::Servers)), real(*server)).await?);
     }
-    let clients = Some(streams.open((From::Place(beyond(Far::Clients)), n), listens.subscribe()).await?);
-    Ok(Around { registry, discovery, servers, clients, listens, mesh, meshes, folder })
+    let clients =
+        Some(proxies.open((Source::Place(external_place(External::Clients)), n), listens.subscribe()).await?);
+    Ok(Environment { registry, discovery, servers, clients, listens, mesh, meshes, folder })
 }
--- a/crates/standin/src/rig/history.rs
+++ b/crates/standin/src/rig/history.rs
@@ -49,7 +49,7 @@
 
 /// What the rig did, as it was done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Did {
+pub enum RigAction {
     /// A process was started at a place, under a name.
     Started(usize, String),
     /// It is gone; true: without a word.
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// The rig's own record.
-    pub did: Vec<(Nanos, Did)>,
+    pub actions: Vec<(Nanos, RigAction)>,
     /// What processes wrote.
     pub lines: Vec<Line>,
 }
--- a/crates/standin/src/rig/leases.rs
+++ b/crates/standin/src/rig/leases.rs
@@ -1,6 +1,6 @@
 //! Leases on the rig: a contender at each node that acts for as long as it may, and what must hold of all acts and holders.
 
-use super::history::{now, Did, History, Nanos};
+use super::history::{now, History, Nanos, RigAction};
 use super::{LeasePlan, Plan, Rig};
 use crate::script::Script;
 use std::cell::RefCell;
@@ -17,9 +17,9 @@
 /// What all contenders want.
 const NAME: &str = "task";
 /// Between a contender's questions.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// For an answer: shorter than a lease, so that a paused node is noticed.
-const PATIENCE: Duration = Duration::from_millis(300);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What one contender did under one grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -133,8 +133,12 @@
     let mut contenders = JoinSet::new();
     for place in (0..nodes).filter(|n| case.contenders.is_empty() || case.contenders.contains(n)) {
         let (activities, operators) = (activities.clone(), rig.operator_addresses());
-        let habit = Habit { hold_time: case.hold_time, polite: false, retry_at_once: case.retry_at_once };
-        contenders.spawn_local(async move { contend(place, &operators, habit, &activities).await });
+        let behavior = ContenderBehavior {
+            hold_time: case.hold_time,
+            releases_on_loss: false,
+            retry_at_once: case.retry_at_once,
+        };
+        contenders.spawn_local(async move { contend(place, &operators, behavior, &activities).await });
     }
     let granted = |h: &History| h.lines.iter().filter(|l| l.kind == "granted").count();
     let first = |h: &History| granted(h) > 0;
@@ -162,11 +166,11 @@
 
 /// How a contender uses what it is granted.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Habit {
+pub(super) struct ContenderBehavior {
     /// For how long it acts that is not told otherwise.
     pub hold_time: Duration,
     /// Told that it is over it ends at once and gives the lease back; else it uses all the time that it was allowed.
-    pub polite: bool,
+    pub releases_on_loss: bool,
     /// It asks anew at once where another has it.
     pub retry_at_once: bool,
 }
@@ -175,20 +179,25 @@
 pub(super) async fn contend(
     place: usize,
     operators: &super::SharedAddresses,
-    habit: Habit,
+    behavior: ContenderBehavior,
     activities: &RefCell<Vec<Activity>>,
 ) {
     loop {
         let address = operators.borrow()[place];
         if let Some(address) = address {
-            session(place, address, habit, activities).await;
+            session(place, address, behavior, activities).await;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn session(place: usize, address: SocketAddr, habit: Habit, activities: &RefCell<Vec<Activity>>) {
-    let Ok(Ok(stream)) = timeout(PATIENCE, TcpStream::connect(address)).await else { return };
+async fn session(
+    place: usize,
+    address: SocketAddr,
+    behavior: ContenderBehavior,
+    activities: &RefCell<Vec<Activity>>,
+) {
+    let Ok(Ok(stream)) = timeout(REPLY_TIMEOUT, TcpStream::connect(address)).await else { return };
     let mut stream = BufReader::new(stream);
     let mut question = format!("LEASE {NAME} 1\n");
     // The act under way, by its number, and by when it has to be over.
@@ -200,59 +209,61 @@
             stream.write_all(question.as_bytes()).await?;
             stream.read_line(&mut line).await
         };
-        let answered = timeout(PATIENCE, exchange).await;
+        let answered = timeout(REPLY_TIMEOUT, exchange).await;
         question = "\n".to_owned();
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
-        let told = match (answered, &words[..]) {
+        let grant = match (answered, &words[..]) {
             (Ok(Ok(_)), ["HELD", token, _, left]) => token.parse().ok().zip(left.parse::<u64>().ok()),
-            (Ok(Ok(_)), ["WAITING", "busy"]) if activity.is_none() && habit.retry_at_once => {
-                let _ = timeout(PATIENCE, stream.write_all(b"RELEASE\n")).await;
+            (Ok(Ok(_)), ["WAITING", "busy"]) if activity.is_none() && behavior.retry_at_once => {
+                let _ = timeout(REPLY_TIMEOUT, stream.write_all(b"RELEASE\n")).await;
                 return;
             }
             (Ok(Ok(_)), ["WAITING", ..]) if activity.is_none() => {
-                sleep(POLL).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             }
             _ => None,
         };
-        let Some((token, left)) = told else {
-            if let (Some((n, guard)), ["LOST"], true) = (activity, &words[..], habit.polite) {
-                activities.borrow_mut()[n].end = now().min(guard);
-                let _ = timeout(PATIENCE, stream.write_all(b"RELEASE\n")).await;
+        let Some((token, left)) = grant else {
+            if let (Some((n, valid_until)), ["LOST"], true) =
+                (activity, &words[..], behavior.releases_on_loss)
+            {
+                activities.borrow_mut()[n].end = now().min(valid_until);
+                let _ = timeout(REPLY_TIMEOUT, stream.write_all(b"RELEASE\n")).await;
                 return;
             }
             // Nothing more is heard: all the time that was allowed is used.
-            if let Some((n, guard)) = activity {
-                sleep(Duration::from_nanos(guard.saturating_sub(now()))).await;
+            if let Some((n, valid_until)) = activity {
+                sleep(Duration::from_nanos(valid_until.saturating_sub(now()))).await;
                 // What was allowed is what counts, not when this task woke.
-                activities.borrow_mut()[n].end = guard;
+                activities.borrow_mut()[n].end = valid_until;
             }
             return;
         };
-        let guard = asked + left * 1_000_000;
+        let valid_until = asked + left * 1_000_000;
         let at = now();
         match &mut activity {
-            None if at < guard => {
-                activities.borrow_mut().push(Activity { place, token, begin: at, end: guard });
-                activity = Some((activities.borrow().len() - 1, guard));
+            None if at < valid_until => {
+                activities.borrow_mut().push(Activity { place, token, begin: at, end: valid_until });
+                activity = Some((activities.borrow().len() - 1, valid_until));
             }
             None => {}
             Some((n, until)) => {
-                *until = guard.max(*until);
+                *until = valid_until.max(*until);
                 let mut activities = activities.borrow_mut();
                 (activities[*n].token, activities[*n].end) = (token, *until);
             }
         }
         if let Some((n, _)) = activity {
             let begin = activities.borrow()[n].begin;
-            if at > begin + habit.hold_time.as_nanos() as u64 {
+            if at > begin + behavior.hold_time.as_nanos() as u64 {
                 // The act is over before the lease is given back.
                 activities.borrow_mut()[n].end = now();
-                let _ = timeout(PATIENCE, stream.write_all(b"RELEASE\n")).await;
+                let _ = timeout(REPLY_TIMEOUT, stream.write_all(b"RELEASE\n")).await;
                 return;
             }
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -297,8 +308,8 @@
         }
     }
     // Who was killed holds nothing more.
-    for (at, did) in &history.did {
-        if let Did::Ended(place, _) = did {
+    for (at, action) in &history.actions {
+        if let RigAction::Ended(place, _) = action {
             let theirs = spans.iter_mut().filter(|s| s.2 == *place && s.0 <= *at);
             theirs.for_each(|s| s.1 = s.1.min(*at));
         }
--- a/crates/standin/src/rig/limits.rs
+++ b/crates/standin/src/rig/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the whole fleet on the rig: nodes under load from their own clients, faults between them, and what servers saw.
 
-use super::bounds::{most_at_once, over_rate};
+use super::bounds::{max_concurrent, max_rate_excess};
 use super::cases::CaseError;
 use super::history::{now, History, Nanos};
 use super::load::{Load, NodeLoad, RequestOutcome, RequestSpec};
@@ -132,7 +132,7 @@
 }
 
 /// Requests a second at each node of `nodes`: twice the limit together, the first third a hundred times what the last third gets.
-fn demand(case: &Case, turned: bool) -> Vec<f64> {
+fn demand(case: &Case, reversed: bool) -> Vec<f64> {
     let nodes = case.nodes;
     let weight = |n: usize| match n * 3 / nodes {
         _ if case.uniform_load => 1.0,
@@ -140,13 +140,13 @@
         1 => 10.0,
         _ => 1.0,
     };
-    let weights: Vec<f64> = (0..nodes).map(|n| weight(if turned { nodes - 1 - n } else { n })).collect();
+    let weights: Vec<f64> = (0..nodes).map(|n| weight(if reversed { nodes - 1 - n } else { n })).collect();
     let sum: f64 = weights.iter().sum();
     weights.iter().map(|w| 2.0 * PER_S * w / sum).collect()
 }
 
 /// Ends a run whose limit is never used after demand has moved. How soon it is used is told, and not bounded by this.
-const SETTLES: Duration = Duration::from_secs(90);
+const SETTLING_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Plays a case.
 pub async fn play(case: &Case<'_>, binary: PathBuf, seed: u64) -> Result<Outcome, CaseError> {
@@ -182,7 +182,7 @@
             requests: vec![order("one"), order("one"), order("two")],
         })
         .collect();
-    let knobs: Vec<Rc<Cell<f64>>> = rates.iter().map(|r| r.per_s.clone()).collect();
+    let node_rates: Vec<Rc<Cell<f64>>> = rates.iter().map(|r| r.per_s.clone()).collect();
     let load = Load::start(rates, rig.client_addresses());
     let keeps = |h: &History| h.lines.iter().any(|l| l.kind == "keeps");
     rig.wait_until("a keeper", Duration::from_secs(30), keeps, |_| "none".into()).await?;
@@ -196,12 +196,12 @@
     let faults_end = now();
     sleep(case.extra_time).await;
     // Demand moves to the other end of the fleet.
-    for (knob, per_s) in knobs.iter().zip(demand(case, true)) {
-        knob.set(per_s * 1.5);
+    for (node_rate, per_s) in node_rates.iter().zip(demand(case, true)) {
+        node_rate.set(per_s * 1.5);
     }
     let shifted = now();
     let mut settling_time = None;
-    while settling_time.is_none() && now() < shifted + SETTLES.as_nanos() as Nanos {
+    while settling_time.is_none() && now() < shifted + SETTLING_TIMEOUT.as_nanos() as Nanos {
         sleep(Duration::from_millis(200)).await;
         let to = now();
         let from = to - 3_000_000_000;
@@ -213,7 +213,7 @@
     let ended = load.stop().await;
     let history = rig.close().await?;
     let received = site.received();
-    let mut outcome = judge(case, received, ended, [faults_end, stopped]);
+    let mut outcome = evaluate(case, received, ended, [faults_end, stopped]);
     outcome.settling_time = settling_time;
     let lines = history.lines.iter().filter(|l| {
         matches!(l.kind.as_str(), "keeps" | "task_begun" | "task_ended" | "granted" | "lost" | "lower")
@@ -223,7 +223,7 @@
     Ok(outcome)
 }
 
-fn judge(
+fn evaluate(
     case: &Case,
     received: Vec<ReceivedRequest>,
     ended: Vec<RequestOutcome>,
@@ -231,8 +231,8 @@
 ) -> Outcome {
     let of = |tenant: &'static str| received.iter().filter(move |s| s.tenant == tenant);
     let one: Vec<Nanos> = of("one").map(|s| s.at).collect();
-    let rate_excess = over_rate(&one, PER_S, BURST);
-    let max_in_flight = most_at_once(of("two").map(|s| (s.at, s.ended)));
+    let rate_excess = max_rate_excess(&one, PER_S, BURST);
+    let max_in_flight = max_concurrent(of("two").map(|s| (s.at, s.ended)));
     let mut violations = Vec::new();
     if case.when_cut == "strict" && rate_excess > 0.0 {
         violations.push(format!("{rate_excess:.3} requests over {PER_S} W + {BURST} in some window"));
--- a/crates/standin/src/rig/load.rs
+++ b/crates/standin/src/rig/load.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep_until, timeout, Instant};
 
 /// A client waits so long for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A client uses a connection again that has rested for less than this: well before a node closes it, since a request that
 /// crosses the close goes unanswered.
@@ -82,12 +82,12 @@
 }
 
 impl Load {
-    /// Begins at once: `rates` are the nodes', `fronts` says where each of them is reached now.
-    pub fn start(rates: Vec<NodeLoad>, fronts: SharedAddresses) -> Load {
+    /// Begins at once: `rates` are the nodes', `addresses` says where each of them is reached now.
+    pub fn start(rates: Vec<NodeLoad>, addresses: SharedAddresses) -> Load {
         let (ended, sent, mut tasks): (Rc<RefCell<Vec<RequestOutcome>>>, Rc<Cell<u64>>, _) =
             (Rc::default(), Rc::default(), JoinSet::new());
         for (node, rate) in rates.into_iter().enumerate() {
-            tasks.spawn_local(clients(node, rate, fronts.clone(), ended.clone(), sent.clone()));
+            tasks.spawn_local(run_clients(node, rate, addresses.clone(), ended.clone(), sent.clone()));
         }
         Load { ended, sent, tasks }
     }
@@ -111,15 +111,15 @@
             }
         };
         // Those that are given up have ended too.
-        let _ = timeout(PATIENCE * 2, all).await;
+        let _ = timeout(REPLY_TIMEOUT * 2, all).await;
         self.ended.take()
     }
 }
 
-async fn clients(
+async fn run_clients(
     node: usize,
     rate: NodeLoad,
-    fronts: SharedAddresses,
+    addresses: SharedAddresses,
     ended: Rc<RefCell<Vec<RequestOutcome>>>,
     sent: Rc<Cell<u64>>,
 ) {
@@ -136,34 +136,34 @@
         sleep_until(next).await;
         // Whoever was held up does not make up for it in one burst.
         next = next.max(Instant::now() - Duration::from_millis(200));
-        let Some(front) = fronts.borrow()[node] else { continue };
+        let Some(address) = addresses.borrow()[node] else { continue };
         let mut order = rate.requests[n as usize % rate.requests.len()].clone();
         // A key of its own for each that wants one.
         order.key = order.key.map(|_| format!("{node}-{n}"));
         let (id, idle, ended) = (format!("{node}-{n}"), idle.clone(), ended.clone());
         sent.set(sent.get() + 1);
         spawn_local(async move {
-            let end = place(node, front, id, &order, &idle).await;
+            let end = timed_request(node, address, id, &order, &idle).await;
             ended.borrow_mut().push(end);
         });
     }
 }
 
 /// Places one order at a node.
-pub async fn send_request(node: usize, front: SocketAddr, id: &str, order: &RequestSpec) -> RequestOutcome {
-    place(node, front, id.to_owned(), order, &Idle::default()).await
+pub async fn send_request(node: usize, address: SocketAddr, id: &str, order: &RequestSpec) -> RequestOutcome {
+    timed_request(node, address, id.to_owned(), order, &Idle::default()).await
 }
 
-async fn place(
+async fn timed_request(
     node: usize,
-    front: SocketAddr,
+    address: SocketAddr,
     id: String,
     order: &RequestSpec,
     idle: &Idle,
 ) -> RequestOutcome {
     let began = Instant::now();
-    let answer = timeout(PATIENCE, ask(front, &id, order, idle)).await;
-    let answer = answer.unwrap_or_else(|_| Err(format!("nothing came within {PATIENCE:?}")));
+    let answer = timeout(REPLY_TIMEOUT, exchange(address, &id, order, idle)).await;
+    let answer = answer.unwrap_or_else(|_| Err(format!("nothing came within {REPLY_TIMEOUT:?}")));
     let took = began.elapsed();
     match answer {
         Ok(Answer { status, retry_after, text }) => {
@@ -174,17 +174,17 @@
 }
 
 /// Sends an order and reads its answer, or says why there is none.
-async fn ask(front: SocketAddr, id: &str, order: &RequestSpec, idle: &Idle) -> Result<Answer, String> {
-    let (mut sender, rested) = match take_idle(front, idle) {
+async fn exchange(address: SocketAddr, id: &str, order: &RequestSpec, idle: &Idle) -> Result<Answer, String> {
+    let (mut sender, idle_for) = match take_idle(address, idle) {
         Some(kept) => (kept.sender, Some(kept.since.elapsed())),
-        None => (connect(front).await.map_err(|error| format!("no connection: {error}"))?, None),
+        None => (connect(address).await.map_err(|error| format!("no connection: {error}"))?, None),
     };
     let response = sender.send_request(request(id, order)).await;
-    let response = response.map_err(|error| format!("after a rest of {rested:?}: {error:?}"))?;
+    let response = response.map_err(|error| format!("after a rest of {idle_for:?}: {error:?}"))?;
     let (head, body) = response.into_parts();
     let body = body.collect().await.map_err(|error| format!("broken off: {error:?}"))?;
     if head.headers.get("connection").is_none_or(|v| v.as_bytes() != b"close") {
-        idle.borrow_mut().push(IdleConnection { to: front, since: Instant::now(), sender });
+        idle.borrow_mut().push(IdleConnection { to: address, since: Instant::now(), sender });
     }
     Ok(Answer {
         status: head.status.as_u16(),
@@ -193,9 +193,9 @@
     })
 }
 
-fn take_idle(front: SocketAddr, idle: &Idle) -> Option<IdleConnection> {
+fn take_idle(address: SocketAddr, idle: &Idle) -> Option<IdleConnection> {
     let mut idle = idle.borrow_mut();
-    idle.retain(|kept| kept.to == front && !kept.sender.is_closed() && kept.since.elapsed() < KEEP_ALIVE);
+    idle.retain(|kept| kept.to == address && !kept.sender.is_closed() && kept.since.elapsed() < KEEP_ALIVE);
     let ready = idle.iter().position(|kept| kept.sender.is_ready())?;
     Some(idle.swap_remove(ready))
 }
--- a/crates/standin/src/rig/mod.rs
+++ b/crates/standin/src/rig/mod.rs
@@ -4,11 +4,11 @@
 //! that all processes of a machine share. The rig keeps a record of what it did on the same clock; the [`checker`] judges
 //! by the two alone. What the rig started is gone when it is dropped, also after a panic: every process is killed by its id.
 
-mod around;
 pub mod bounds;
 pub mod cases;
 pub mod checker;
 pub mod common;
+mod environment;
 mod faults;
 pub mod fenced_resource;
 pub mod history;
@@ -16,9 +16,9 @@
 pub mod limits;
 pub mod load;
 mod plan;
+pub mod proxies;
 pub mod scale;
 pub mod site;
-pub mod streams;
 pub mod takeovers;
 pub mod wallet;
 pub mod wire;
@@ -28,17 +28,17 @@
 use crate::registry::Registry;
 use crate::script::{Entry, Script};
 use crate::scripted::member;
-use around::{surround, Around};
 use birchswitch_lab::rng::Rng;
-use history::{now, Did, History, Line};
+use environment::{create_environment, Environment};
+use history::{now, History, Line, RigAction};
 pub use plan::{LeasePlan, Plan};
+use proxies::TcpProxies;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use streams::Streams;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::Child;
 use tokio::sync::Notify;
@@ -47,7 +47,7 @@
 use wire::Wire;
 
 /// For a process to start or to end.
-const PATIENCE: Duration = Duration::from_secs(20);
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why a rig can't go on. What a run was is in `History`; this is trouble with the rig itself.
 #[derive(Debug, thiserror::Error)]
@@ -71,12 +71,12 @@
         log: String,
     },
     /// What was waited for did not come.
-    #[error("{what} did not come within {patience:?}: {last}")]
-    Late {
+    #[error("{what} did not come within {timeout_after:?}: {last}")]
+    Timeout {
         /// What.
         what: String,
         /// How long it was waited for.
-        patience: Duration,
+        timeout_after: Duration,
         /// What was there instead.
         last: String,
     },
@@ -89,9 +89,9 @@
 
 /// Lines as they come.
 #[derive(Default)]
-struct Record {
+struct Recorder {
     history: RefCell<History>,
-    came: Notify,
+    changed: Notify,
 }
 
 struct Process {
@@ -104,7 +104,7 @@
 
 /// Where a process's addresses stand in its log.
 #[derive(Default)]
-struct Told {
+struct LoggedAddresses {
     listen: Option<SocketAddr>,
     operators: Option<SocketAddr>,
 }
@@ -127,15 +127,15 @@
 pub struct Rig {
     plan: Plan,
     wire: Rc<Wire>,
-    streams: Streams,
-    around: Vec<Around>,
+    proxies: TcpProxies,
+    environment: Vec<Environment>,
     processes: Vec<Option<Process>>,
-    desks: SharedAddresses,
-    fronts: SharedAddresses,
+    operator_addresses: SharedAddresses,
+    client_addresses: SharedAddresses,
     starts: Vec<usize>,
-    record: Rc<Record>,
-    chance: Rng,
-    deeds: JoinSet<()>,
+    recorder: Rc<Recorder>,
+    rng: Rng,
+    pending: JoinSet<()>,
 }
 
 impl Rig {
@@ -147,24 +147,28 @@
         if plan.servers.is_empty() {
             plan.servers = (0..20).map(|_| crate::scripted::unique_address()).collect();
         }
-        let mut streams = Streams::default();
-        let mut around = Vec::new();
-        let alone = Registry::start().await.map_err(io("the registry"))?;
+        let mut proxies = TcpProxies::default();
+        let mut environment = Vec::new();
+        let shared_registry = Registry::start().await.map_err(io("the registry"))?;
         for n in 0..places {
-            around.push(surround(&plan, n, &alone, &mut streams).await.map_err(io("a way for connections"))?);
+            environment.push(
+                create_environment(&plan, n, &shared_registry, &mut proxies)
+                    .await
+                    .map_err(io("a way for connections"))?,
+            );
         }
-        let chance = Rng::new(plan.script.seed, 3);
+        let rng = Rng::new(plan.script.seed, 3);
         let mut rig = Rig {
             wire,
-            streams,
-            around,
-            desks: Rc::new(RefCell::new(vec![None; places])),
-            fronts: Rc::new(RefCell::new(vec![None; places])),
+            proxies,
+            environment,
+            operator_addresses: Rc::new(RefCell::new(vec![None; places])),
+            client_addresses: Rc::new(RefCell::new(vec![None; places])),
             processes: (0..places).map(|_| None).collect(),
             starts: vec![0; places],
-            record: Rc::default(),
-            chance,
-            deeds: JoinSet::new(),
+            recorder: Rc::default(),
+            rng,
+            pending: JoinSet::new(),
             plan,
         };
         for server in 0..rig.plan.servers.len() {
@@ -179,16 +183,16 @@
     /// Discovery tells a server's phase.
     pub fn announce(&self, server: usize, phase: &str) {
         // Places without ways of their own share one registry.
-        let own = if self.plan.streams { &self.around[..] } else { &self.around[..1] };
-        for around in own {
-            let mut told = member(&format!("s{server}"), around.servers[server], phase);
-            told["cell"] = json!(server / 4);
-            around.registry.announce(told);
+        let own = if self.plan.streams { &self.environment[..] } else { &self.environment[..1] };
+        for environment in own {
+            let mut logged = member(&format!("s{server}"), environment.servers[server], phase);
+            logged["cell"] = json!(server / 4);
+            environment.registry.announce(logged);
         }
     }
 
-    fn did(&self, did: Did) {
-        self.record.history.borrow_mut().did.push((now(), did));
+    fn record_action(&self, action: RigAction) {
+        self.recorder.history.borrow_mut().actions.push((now(), action));
     }
 
     /// Starts a process at a place, under the name of a node.
@@ -196,110 +200,112 @@
         let name = format!("n{node}");
         let config = json!({
             "name": name, "listen": "127.0.0.1:0", "ops": "127.0.0.1:0",
-            "discovery": self.around[place].discovery.to_string(), "seed": format!("{:x}", self.plan.script.seed),
+            "discovery": self.environment[place].discovery.to_string(), "seed": format!("{:x}", self.plan.script.seed),
             "limits": {"sockets": self.plan.sockets, "memory_mb": 64}, "settings": self.plan.settings,
         });
         let file = ConfigFile::new(&config.to_string()).map_err(io("a configuration"))?;
-        let operator = self.plan.operator_file((place, node), &self.around[place], |n| self.wire.address(n));
+        let operator =
+            self.plan.operator_file((place, node), &self.environment[place], |n| self.wire.address(n));
         let operator =
             ConfigFile::new(&operator.map_err(io("the wire"))?).map_err(io("an operator's file"))?;
         let path = operator.path().display().to_string();
-        self.did(Did::Started(place, name.clone()));
+        self.record_action(RigAction::Started(place, name.clone()));
         let mut child = process::start(&self.plan.binary, &file, &[("GW_OPERATOR", &path)])
             .map_err(io(format!("starting {name} ({})", self.plan.binary.display())))?;
         let mut lines = BufReader::new(child.stderr.take().expect("it is piped")).lines();
         let log = Rc::new(RefCell::new(String::new()));
-        let (start, record, kept) = (self.starts[place], self.record.clone(), log.clone());
+        let (start, recorder, kept) = (self.starts[place], self.recorder.clone(), log.clone());
         self.starts[place] += 1;
-        let (wire, ready) = (self.wire.clone(), Rc::new(RefCell::new(Told::default())));
-        let (told, meshes) = (ready.clone(), self.around[place].meshes.clone());
+        let (wire, ready) = (self.wire.clone(), Rc::new(RefCell::new(LoggedAddresses::default())));
+        let (logged, meshes) = (ready.clone(), self.environment[place].meshes.clone());
         spawn_local(async move {
             while let Ok(Some(text)) = lines.next_line().await {
                 let address = |words| process::address_after(&text, words);
                 if let Some(listen) = address(LISTENING) {
-                    told.borrow_mut().listen = Some(listen);
+                    logged.borrow_mut().listen = Some(listen);
                 } else if let Some(operators) = address("operators call ") {
-                    told.borrow_mut().operators = Some(operators);
+                    logged.borrow_mut().operators = Some(operators);
                 }
                 if let Some(line) = Line::parse(&text, place, start) {
                     match (line.kind.as_str(), line.text("address").parse()) {
-                        ("listening", Ok(real)) => wire.runs_at(place, Some(real)),
+                        ("listening", Ok(real)) => wire.set_process_address(place, Some(real)),
                         ("mesh_listening", Ok(real)) => drop(meshes.send_replace(Some(real))),
                         _ => {}
                     }
-                    record.history.borrow_mut().lines.push(line);
+                    recorder.history.borrow_mut().lines.push(line);
                 }
-                process::keep(&kept, &text);
-                record.came.notify_waiters();
+                process::append_log(&kept, &text);
+                recorder.changed.notify_waiters();
             }
         });
         let up = |h: &History| {
             h.lines.iter().any(|l| l.kind == "listening" && (l.place, l.start) == (place, start))
         };
-        let told = || ready.borrow().listen.zip(ready.borrow().operators);
-        let waited = self.wait(PATIENCE, || up(&self.record.history.borrow()) && told().is_some()).await;
-        let Some((listen, operators)) = told().filter(|_| waited) else {
+        let logged = || ready.borrow().listen.zip(ready.borrow().operators);
+        let waited =
+            self.wait(PROCESS_TIMEOUT, || up(&self.recorder.history.borrow()) && logged().is_some()).await;
+        let Some((listen, operators)) = logged().filter(|_| waited) else {
             let log = log.borrow().clone();
             return Err(RigError::Ended { place, what: "did not come up".into(), log });
         };
-        self.around[place].listens.send_replace(Some(listen));
+        self.environment[place].listens.send_replace(Some(listen));
         let operators = Some(operators);
-        self.desks.borrow_mut()[place] = operators;
-        self.fronts.borrow_mut()[place] = Some(self.around[place].clients.unwrap_or(listen));
+        self.operator_addresses.borrow_mut()[place] = operators;
+        self.client_addresses.borrow_mut()[place] = Some(self.environment[place].clients.unwrap_or(listen));
         self.processes[place] = Some(Process { child, listen, operators, log, _files: [file, operator] });
         Ok(())
     }
 
-    async fn wait(&self, patience: Duration, holds: impl Fn() -> bool) -> bool {
+    async fn wait(&self, timeout_after: Duration, condition: impl Fn() -> bool) -> bool {
         let wait = async {
             loop {
-                let came = self.record.came.notified();
-                if holds() {
+                let changed = self.recorder.changed.notified();
+                if condition() {
                     return;
                 }
                 // Lines tell when to look; the clock does where none comes.
-                let _ = timeout(Duration::from_millis(100), came).await;
+                let _ = timeout(Duration::from_millis(100), changed).await;
             }
         };
-        timeout(patience, wait).await.is_ok()
+        timeout(timeout_after, wait).await.is_ok()
     }
 
     /// Waits until the history is so. How long that took; an error says what came instead, as `last` tells it.
     pub async fn wait_until(
         &self,
         what: &str,
-        patience: Duration,
-        holds: impl Fn(&History) -> bool,
+        timeout_after: Duration,
+        condition: impl Fn(&History) -> bool,
         last: impl Fn(&History) -> String,
     ) -> Result<Duration, RigError> {
         let began = Instant::now();
-        if self.wait(patience, || holds(&self.record.history.borrow())).await {
+        if self.wait(timeout_after, || condition(&self.recorder.history.borrow())).await {
             return Ok(began.elapsed());
         }
-        let last = last(&self.record.history.borrow());
-        Err(RigError::Late { what: what.to_owned(), patience, last })
+        let last = last(&self.recorder.history.borrow());
+        Err(RigError::Timeout { what: what.to_owned(), timeout_after, last })
     }
 
     /// Waits until all that run hold just each other.
-    pub async fn wait_for_agreement(&self, patience: Duration) -> Result<Duration, RigError> {
+    pub async fn wait_for_agreement(&self, timeout_after: Duration) -> Result<Duration, RigError> {
         let violations = |h: &History| checker::Checker::new(h, now()).disagreements();
         let last = |h: &History| violations(h).into_iter().take(5).collect::<Vec<_>>().join("; ");
-        self.wait_until("one membership", patience, |h| violations(h).is_empty(), last).await
+        self.wait_until("one membership", timeout_after, |h| violations(h).is_empty(), last).await
     }
 
     /// Kills the process at a place.
     pub async fn kill(&mut self, place: usize) -> Result<(), RigError> {
-        self.end(place, true).await
+        self.end_process(place, true).await
     }
 
     /// Ends the process at a place by SIGTERM, and waits until it is gone.
     pub async fn stop(&mut self, place: usize) -> Result<(), RigError> {
-        self.end(place, false).await
+        self.end_process(place, false).await
     }
 
     /// What happened so far.
     pub fn history(&self) -> History {
-        self.record.history.borrow().clone()
+        self.recorder.history.borrow().clone()
     }
 
     /// The wire.
@@ -310,12 +316,12 @@
     /// What the processes at a place sent to others so far.
     pub fn sent(&self, place: usize) -> Sent {
         let [datagrams, datagram_bytes] = self.wire.sent_by(place);
-        Sent { datagrams, datagram_bytes, stream_bytes: self.streams.sent_by(place) }
+        Sent { datagrams, datagram_bytes, stream_bytes: self.proxies.sent_by(place) }
     }
 
     /// Where clients reach the node at a place.
     pub fn listen(&self, place: usize) -> Option<SocketAddr> {
-        self.processes[place].as_ref().map(|p| self.around[place].clients.unwrap_or(p.listen))
+        self.processes[place].as_ref().map(|p| self.environment[place].clients.unwrap_or(p.listen))
     }
 
     /// Where operators call the node at a place.
@@ -325,17 +331,17 @@
 
     /// Where clients reach each place's process, as it changes.
     pub fn client_addresses(&self) -> SharedAddresses {
-        self.fronts.clone()
+        self.client_addresses.clone()
     }
 
     /// What a place's processes keep.
     pub fn folder(&self, place: usize) -> Option<&std::path::Path> {
-        self.around[place].folder.as_ref().map(|f| f.path())
+        self.environment[place].folder.as_ref().map(|f| f.path())
     }
 
     /// Where operators call each place's process, as it changes.
     pub fn operator_addresses(&self) -> SharedAddresses {
-        self.desks.clone()
+        self.operator_addresses.clone()
     }
 
     /// The id of the process at a place.
@@ -356,25 +362,25 @@
         }
     }
 
-    async fn end(&mut self, place: usize, silent: bool) -> Result<(), RigError> {
+    async fn end_process(&mut self, place: usize, killed: bool) -> Result<(), RigError> {
         let Some(mut process) = self.processes[place].take() else { return Ok(()) };
         if let Some(pid) = process.child.id().and_then(|p| Pid::from_raw(p as i32)) {
-            let _ = kill_process(pid, if silent { Signal::KILL } else { Signal::TERM });
+            let _ = kill_process(pid, if killed { Signal::KILL } else { Signal::TERM });
         }
-        if silent {
-            self.did(Did::Ended(place, true));
+        if killed {
+            self.record_action(RigAction::Ended(place, true));
         }
-        let ended = timeout(PATIENCE, process.child.wait()).await;
-        if !silent {
-            self.did(Did::Ended(place, false));
+        let ended = timeout(PROCESS_TIMEOUT, process.child.wait()).await;
+        if !killed {
+            self.record_action(RigAction::Ended(place, false));
         }
-        self.wire.runs_at(place, None);
-        self.around[place].listens.send_replace(None);
-        self.around[place].meshes.send_replace(None);
-        self.desks.borrow_mut()[place] = None;
-        self.fronts.borrow_mut()[place] = None;
+        self.wire.set_process_address(place, None);
+        self.environment[place].listens.send_replace(None);
+        self.environment[place].meshes.send_replace(None);
+        self.operator_addresses.borrow_mut()[place] = None;
+        self.client_addresses.borrow_mut()[place] = None;
         match ended {
-            Ok(Ok(status)) if silent || status.success() => Ok(()),
+            Ok(Ok(status)) if killed || status.success() => Ok(()),
             other => {
                 let log = process.log.borrow().clone();
                 Err(RigError::Ended { place, what: format!("ended with {other:?}"), log })
@@ -394,9 +400,9 @@
             sleep_until(began + entry.at).await;
             self.check()?;
             report(&entry);
-            self.carry_out(&entry.deed).await?;
+            self.inject(&entry.injection).await?;
         }
-        while self.deeds.join_next().await.is_some() {}
+        while self.pending.join_next().await.is_some() {}
         self.check()
     }
 
@@ -417,7 +423,7 @@
             self.signal(place, Signal::KILL);
         }
         for place in self.places() {
-            self.end(place, true).await?;
+            self.end_process(place, true).await?;
         }
         Ok(())
     }
@@ -429,7 +435,7 @@
             self.signal(place, Signal::TERM);
         }
         for place in self.places() {
-            self.end(place, false).await?;
+            self.end_process(place, false).await?;
         }
         Ok(self.history())
     }
--- a/crates/standin/src/rig/plan.rs
+++ b/crates/standin/src/rig/plan.rs
@@ -1,6 +1,6 @@
 //! What a rig is to be built of.
 
-use super::around::Around;
+use super::environment::Environment;
 use super::wire;
 use crate::script::Script;
 use serde_json::{json, Value};
@@ -93,7 +93,7 @@
     pub(super) fn operator_file(
         &self,
         (place, node): (usize, usize),
-        around: &Around,
+        environment: &Environment,
         at: impl Fn(usize) -> std::io::Result<SocketAddr>,
     ) -> std::io::Result<String> {
         let seeds = (0..self.nodes.min(3)).map(&at).collect::<Result<Vec<_>, _>>()?;
@@ -112,13 +112,13 @@
                 lease.lines
             );
         }
-        if let Some(mesh) = around.mesh {
+        if let Some(mesh) = environment.mesh {
             file += &format!(
                 "[mesh]\nbind = \"{own}:0\"\nadvertise = \"{mesh}\"\nconnections = {}\n",
                 self.sockets / 4
             );
         }
-        let folder = around.folder.as_ref().map(|f| f.path().display().to_string()).unwrap_or_default();
+        let folder = environment.folder.as_ref().map(|f| f.path().display().to_string()).unwrap_or_default();
         Ok(file + &self.operator.replace("{folder}", &folder))
     }
 }
--- a/crates/standin/src/rig/streams.rs
+++ b/crates/standin/src/rig/proxies.rs
@@ -21,11 +21,11 @@
 pub type Pairs = BTreeSet<(usize, usize)>;
 
 /// What was lost on the way comes so much later: a sender's first timer.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
 /// Who comes on a way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum From {
+pub enum Source {
     /// One place, or what is no node.
     Place(usize),
     /// Whichever node it is, by the address that it comes from.
@@ -41,22 +41,22 @@
 }
 
 /// All ways of a rig. Runs on a `LocalSet`, as long as it is held.
-pub struct Streams {
+pub struct TcpProxies {
     faults: watch::Sender<Faults>,
-    ways: JoinSet<()>,
+    tasks: JoinSet<()>,
     opened: u64,
     /// Bytes that each place sent.
     sent: Rc<RefCell<BTreeMap<usize, u64>>>,
 }
 
-impl Default for Streams {
+impl Default for TcpProxies {
     fn default() -> Self {
         let faults = watch::Sender::new(Faults::default());
-        Streams { faults, ways: JoinSet::new(), opened: 0, sent: Rc::default() }
+        TcpProxies { faults, tasks: JoinSet::new(), opened: 0, sent: Rc::default() }
     }
 }
 
-impl Streams {
+impl TcpProxies {
     /// Bytes that a place sent so far.
     pub fn sent_by(&self, place: usize) -> u64 {
         self.sent.borrow().get(&place).copied().unwrap_or_default()
@@ -76,34 +76,34 @@
     /// closed at once while that is none.
     pub async fn open(
         &mut self,
-        (from, to): (From, usize),
+        (from, to): (Source, usize),
         real: watch::Receiver<Option<SocketAddr>>,
     ) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (faults, sent) = (self.faults.subscribe(), self.sent.clone());
         self.opened += 1;
-        let mut chance = Rng::new(self.opened, 17);
-        self.ways.spawn_local(async move {
+        let mut rng = Rng::new(self.opened, 17);
+        self.tasks.spawn_local(async move {
             let mut open = JoinSet::new();
             loop {
                 tokio::select! {
-                    taken = listener.accept() => {
-                        let Ok((near, comes)) = taken else { continue };
+                    accepted = listener.accept() => {
+                        let Ok((near, source)) = accepted else { continue };
                         let real = *real.borrow();
                         if let Some(real) = real {
                             let from = match from {
-                                From::Place(place) => place,
-                                From::AnyNode => wire::place(comes.ip()).unwrap_or(usize::MAX),
+                                Source::Place(place) => place,
+                                Source::AnyNode => wire::place(source.ip()).unwrap_or(usize::MAX),
                             };
-                            let mut gate = |pair| {
-                                let seed = (chance.unit() * 1e9) as u64;
+                            let mut direction = |pair| {
+                                let seed = (rng.unit() * 1e9) as u64;
                                 let (faults, sent) = (faults.clone(), sent.clone());
-                                Gate { faults, pair, chance: Rng::new(seed, 18), sent }
+                                Direction { faults, pair, rng: Rng::new(seed, 18), sent }
                             };
-                            let (there, back) = (gate((from, to)), gate((to, from)));
+                            let (forward, backward) = (direction((from, to)), direction((to, from)));
                             // Its end is either side's; neither has anything more to say of it.
-                            open.spawn_local(async move { drop(join(near, real, there, back).await) });
+                            open.spawn_local(async move { drop(relay(near, real, forward, backward).await) });
                         }
                     }
                     Some(_) = open.join_next() => {}
@@ -115,21 +115,21 @@
 }
 
 /// One direction.
-struct Gate {
+struct Direction {
     faults: watch::Receiver<Faults>,
     pair: (usize, usize),
-    chance: Rng,
+    rng: Rng,
     sent: Rc<RefCell<BTreeMap<usize, u64>>>,
 }
 
-impl Gate {
-    async fn opens(&mut self) -> io::Result<()> {
+impl Direction {
+    async fn wait_until_open(&mut self) -> io::Result<()> {
         let pair = self.pair;
         let open = self.faults.wait_for(|f| !f.cut.contains(&pair)).await;
         open.map(drop).map_err(io::Error::other)
     }
 
-    async fn pump(
+    async fn copy(
         mut self,
         mut from: impl AsyncRead + Unpin,
         mut to: impl AsyncWrite + Unpin,
@@ -138,11 +138,11 @@
         loop {
             let length = from.read(&mut buffer).await?;
             *self.sent.borrow_mut().entry(self.pair.0).or_default() += length as u64;
-            self.opens().await?;
+            self.wait_until_open().await?;
             let lose = self.faults.borrow().lose;
-            if lose > 0 && self.chance.unit() * 1000.0 < f64::from(lose) {
-                tokio::time::sleep(AGAIN).await;
-                self.opens().await?;
+            if lose > 0 && self.rng.unit() * 1000.0 < f64::from(lose) {
+                tokio::time::sleep(RETRANSMIT_DELAY).await;
+                self.wait_until_open().await?;
             }
             if length == 0 {
                 return to.shutdown().await;
@@ -152,13 +152,18 @@
     }
 }
 
-async fn join(near: TcpStream, real: SocketAddr, mut there: Gate, mut back: Gate) -> io::Result<()> {
-    there.opens().await?;
-    back.opens().await?;
+async fn relay(
+    near: TcpStream,
+    real: SocketAddr,
+    mut forward: Direction,
+    mut backward: Direction,
+) -> io::Result<()> {
+    forward.wait_until_open().await?;
+    backward.wait_until_open().await?;
     let far = TcpStream::connect(real).await?;
     near.set_nodelay(true)?;
     far.set_nodelay(true)?;
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
     // A reset on either side ends both.
-    tokio::try_join!(there.pump(near_in, far_out), back.pump(far_in, near_out)).map(drop)
+    tokio::try_join!(forward.copy(near_in, far_out), backward.copy(far_in, near_out)).map(drop)
 }
--- a/crates/standin/src/rig/scale/mod.rs
+++ b/crates/standin/src/rig/scale/mod.rs
@@ -1,7 +1,7 @@
 //! What a fleet costs as it grows: real processes with every fleet-wide part on, size by size, without clients.
 //!
 //! Each size is a fleet of its own, started, left to agree, and watched. What its processes took is told by role: those that hold
-//! a lease by its task, those that vote, and all others. Lines through the sizes ([`Line`]) tell what each role's cost grows by.
+//! a lease by its task, those that vote, and all others. Lines through the sizes ([`LinearFit`]) tell what each role's cost grows by.
 
 mod fit;
 pub(super) mod measure;
@@ -10,7 +10,7 @@
 use super::history::History;
 use super::{LeasePlan, Plan, Rig, RigError, Sent};
 use crate::script::Script;
-pub use fit::Line;
+pub use fit::LinearFit;
 use measure::{usage, Processors, Usage};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -20,21 +20,21 @@
 use tokio::time::{sleep, Instant};
 
 /// Processes that may run at once.
-pub const MOST_PROCESSES: usize = 200;
+pub const MAX_PROCESSES: usize = 200;
 /// Memory that a process is taken to need before it is started.
 const PROCESS_KB: u64 = 32 << 10;
 /// Nodes that vote on leases.
 const VOTERS: usize = 5;
 /// Fewest nodes of a fleet: those that vote and one that does not.
-const LEAST_NODES: usize = VOTERS + 1;
+const MIN_NODES: usize = VOTERS + 1;
 /// For a fleet to agree on its members and its leases.
-const AGREED: Duration = Duration::from_secs(120);
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(120);
 /// Between looks at whether it has.
-const LOOK: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// From then until it is watched.
-const SETTLED: Duration = Duration::from_secs(5);
+const SETTLING_TIME: Duration = Duration::from_secs(5);
 /// With the processors busier than this, processes wait for each other: what is measured shows the machine.
-const MOST_BUSY: f64 = 0.85;
+const MAX_BUSY: f64 = 0.85;
 /// Tasks of which a fleet with all parts on runs one each.
 const TASKS: [&str; 3] = ["limits", "tuner", "verdict"];
 /// The one that accounts want beside them.
@@ -60,7 +60,7 @@
     #[error("{0} nodes are too few: {VOTERS} vote, and at least one does not")]
     TooSmall(usize),
     /// Too many processes.
-    #[error("{0} nodes are more than the {MOST_PROCESSES} processes that a run may start")]
+    #[error("{0} nodes are more than the {MAX_PROCESSES} processes that a run may start")]
     TooManyProcesses(usize),
     /// Too much memory.
     #[error("{nodes} nodes may need {wanted_mb} MB, and a run may take half of the machine's memory, {most_mb} MB")]
@@ -84,10 +84,10 @@
 
 fn check_against(sizes: &[Size], machine_kb: u64) -> Result<(), ScaleError> {
     for nodes in sizes.iter().map(|size| size.nodes) {
-        if nodes < LEAST_NODES {
+        if nodes < MIN_NODES {
             return Err(ScaleError::TooSmall(nodes));
         }
-        if nodes > MOST_PROCESSES {
+        if nodes > MAX_PROCESSES {
             return Err(ScaleError::TooManyProcesses(nodes));
         }
         let (wanted, most) = (nodes as u64 * PROCESS_KB, machine_kb / 2);
@@ -138,7 +138,7 @@
 
 /// What a size came to.
 #[derive(Clone, Debug)]
-pub struct Step {
+pub struct SizeResult {
     /// The size.
     pub size: Size,
     /// Until all knew each other and each task was somebody's.
@@ -150,10 +150,15 @@
 }
 
 /// Plays one size.
-pub async fn play(size: Size, binary: PathBuf, length: Duration, seed: u64) -> Result<Step, ScaleError> {
+pub async fn play(
+    size: Size,
+    binary: PathBuf,
+    length: Duration,
+    seed: u64,
+) -> Result<SizeResult, ScaleError> {
     let rig = Rig::start(plan(size, binary, seed)).await?;
     let agreed = agreed(&rig, size).await?;
-    sleep(SETTLED).await;
+    sleep(SETTLING_TIME).await;
     let (verdicts, held) = (verdicts(&rig.history()), holders(&rig.history()));
     let processors = Processors::now();
     let (before, began) = (readings(&rig), Instant::now());
@@ -162,7 +167,7 @@
     let busy = Processors::now().busy_since(processors);
     let history = rig.history();
     let void = match self::verdicts(&history) - verdicts {
-        0 if busy > MOST_BUSY => {
+        0 if busy > MAX_BUSY => {
             Some(format!("the processors were busy for {:.0}% of the time", 100.0 * busy))
         }
         0 if holders(&history) != held => Some("a task's holder changed".to_owned()),
@@ -173,7 +178,7 @@
     rig.abort().await?;
     let costs =
         before.iter().zip(&after).map(|(before, after)| cost(before, after, seconds)).collect::<Vec<_>>();
-    Ok(Step { size, agreed, roles: by_role(&roles, &costs), void })
+    Ok(SizeResult { size, agreed, roles: by_role(&roles, &costs), void })
 }
 
 fn plan(size: Size, binary: PathBuf, seed: u64) -> Plan {
@@ -223,12 +228,12 @@
         let missing = tasks.iter().find(|task| !holders.keys().any(|lease| task_of(lease) == ***task));
         match (one, missing) {
             (Ok(_), None) => return Ok(began.elapsed()),
-            (Err(error), _) if began.elapsed() > AGREED => return Err(error.into()),
-            (_, Some(task)) if began.elapsed() > AGREED => {
+            (Err(error), _) if began.elapsed() > AGREEMENT_TIMEOUT => return Err(error.into()),
+            (_, Some(task)) if began.elapsed() > AGREEMENT_TIMEOUT => {
                 let (what, last) = (format!("a holder of {task}"), "none".to_owned());
-                return Err(RigError::Late { what, patience: AGREED, last }.into());
+                return Err(RigError::Timeout { what, timeout_after: AGREEMENT_TIMEOUT, last }.into());
             }
-            _ => sleep(LOOK).await,
+            _ => sleep(POLL_INTERVAL).await,
         }
     }
 }
@@ -277,14 +282,14 @@
 }
 
 fn cost(before: &(Usage, Sent), after: &(Usage, Sent), seconds: f64) -> Cost {
-    let a_second = |before: u64, after: u64| (after - before) as f64 / seconds;
+    let per_second = |before: u64, after: u64| (after - before) as f64 / seconds;
     Cost {
         cpu_percent: 100.0 * after.0.cpu.saturating_sub(before.0.cpu).as_secs_f64() / seconds,
         memory_kb: after.0.memory_kb as f64,
         descriptors: after.0.descriptors as f64,
-        datagrams: a_second(before.1.datagrams, after.1.datagrams),
-        datagram_bytes: a_second(before.1.datagram_bytes, after.1.datagram_bytes),
-        stream_bytes: a_second(before.1.stream_bytes, after.1.stream_bytes),
+        datagrams: per_second(before.1.datagrams, after.1.datagrams),
+        datagram_bytes: per_second(before.1.datagram_bytes, after.1.datagram_bytes),
+        stream_bytes: per_second(before.1.stream_bytes, after.1.stream_bytes),
     }
 }
 
--- a/crates/standin/src/rig/scale/table.rs
+++ b/crates/standin/src/rig/scale/table.rs
@@ -1,6 +1,6 @@
 //! Costs as lines of CSV.
 
-use super::{Cost, Step};
+use super::{Cost, SizeResult};
 
 /// One figure of a cost.
 pub struct Metric {
@@ -42,7 +42,7 @@
 }
 
 /// The lines of a step, one a role.
-pub fn row(seed: u64, step: &Step) -> String {
+pub fn row(seed: u64, step: &SizeResult) -> String {
     let size = step.size;
     let mut text = String::new();
     for (role, (processes, cost)) in &step.roles {
--- a/crates/standin/src/rig/scale/tests.rs
+++ b/crates/standin/src/rig/scale/tests.rs
@@ -40,7 +40,7 @@
 fn a_step_is_a_line_a_role() {
     let roles = [("node".to_owned(), (20, Cost { cpu_percent: 0.5, ..Cost::default() }))].into();
     let void = Some("2 nodes that live were taken for dead".to_owned());
-    let step = Step { size: size(25, 20, 2, 0), agreed: Duration::from_millis(1250), roles, void };
+    let step = SizeResult { size: size(25, 20, 2, 0), agreed: Duration::from_millis(1250), roles, void };
     let line = row(7, &step);
     assert_eq!(
         line,
--- a/crates/standin/src/rig/takeovers.rs
+++ b/crates/standin/src/rig/takeovers.rs
@@ -1,7 +1,7 @@
 //! Leases among processes in figures: how soon another holds after a holder's end, and scripts of random faults for as long as wanted.
 
 use super::history::{now, History};
-use super::leases::{concurrent_holders, contend, overlaps, Activity, Habit};
+use super::leases::{concurrent_holders, contend, overlaps, Activity, ContenderBehavior};
 use super::{LeasePlan, Plan, Rig, RigError};
 use crate::script::Script;
 use birchswitch_lab::rng::Rng;
@@ -16,13 +16,13 @@
 /// Nodes, and how many of them vote.
 const NODES: [usize; 2] = [7, 5];
 /// For a next holder, or the first.
-const PATIENCE: Duration = Duration::from_secs(30);
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What came of holders' ends.
 #[derive(Debug, Default)]
 pub struct Takeovers {
     /// Seconds from each end, as the signal was sent, until another process was granted the lease.
-    pub after: Vec<f64>,
+    pub delays: Vec<f64>,
     /// Grants in all, the first one included.
     pub grants: usize,
     /// What did not hold.
@@ -34,13 +34,13 @@
 }
 
 /// What nodes wrote of leases around a moment, to find out by.
-fn words(history: &History, holder: usize, at: u64) -> String {
+fn lease_events(history: &History, holder: usize, at: u64) -> String {
     let of_leases = history.lines.iter().filter(|l| !l.text("lease").is_empty() || l.kind == "votes");
-    let told: Vec<String> = of_leases
+    let events: Vec<String> = of_leases
         .map(|l| format!("{:+.1} s n{} {}", (l.at as f64 - at as f64) / 1e9, l.place, l.kind))
         .filter(|l| !l.ends_with("extended"))
         .collect();
-    format!("n{holder} had it; {}", told.join(", "))
+    format!("n{holder} had it; {}", events.join(", "))
 }
 
 /// Ends the holder's process so many times, killed or by SIGTERM, with contenders at all nodes that keep the lease for good.
@@ -50,18 +50,23 @@
     let script = Script { seed, ..Script::default() };
     let plan = Plan { lease: Some(lease.clone()), ..Plan::new(binary, nodes, script) };
     let mut rig = Rig::start(plan).await?;
-    rig.wait_for_agreement(PATIENCE).await?;
+    rig.wait_for_agreement(HOLDER_TIMEOUT).await?;
     let activities: Rc<RefCell<Vec<Activity>>> = Rc::default();
     let mut contenders = JoinSet::new();
-    let habit = Habit { hold_time: Duration::from_secs(86_400), polite: true, retry_at_once: false };
+    let behavior = ContenderBehavior {
+        hold_time: Duration::from_secs(86_400),
+        releases_on_loss: true,
+        retry_at_once: false,
+    };
     for place in 0..nodes {
-        let (activities, desks) = (activities.clone(), rig.operator_addresses());
-        contenders.spawn_local(async move { contend(place, &desks, habit, &activities).await });
+        let (activities, operator_addresses) = (activities.clone(), rig.operator_addresses());
+        contenders
+            .spawn_local(async move { contend(place, &operator_addresses, behavior, &activities).await });
     }
     let mut found = Takeovers::default();
     for _ in 0..ends {
         // Whoever was granted it last holds it, once voters that started have abstained and nobody changes.
-        rig.wait_until("a holder", PATIENCE, |h| granted(h) > 0, |_| "none".to_owned()).await?;
+        rig.wait_until("a holder", HOLDER_TIMEOUT, |h| granted(h) > 0, |_| "none".to_owned()).await?;
         let settled = Duration::from_secs_f64(3.5);
         sleep(settled).await;
         let history = rig.history();
@@ -79,20 +84,25 @@
         gone.await?;
         let next = |h: &History| h.lines.iter().filter(|l| l.kind == "granted").nth(grants).map(|l| l.at);
         let came = rig
-            .wait_until("a next holder", PATIENCE, |h| next(h).is_some(), |h| words(h, holder, ended))
+            .wait_until(
+                "a next holder",
+                HOLDER_TIMEOUT,
+                |h| next(h).is_some(),
+                |h| lease_events(h, holder, ended),
+            )
             .await;
         if let Err(mut error) = came {
-            let desks = rig.operator_addresses().borrow().clone();
-            for desk in desks.into_iter().flatten() {
+            let operator_addresses = rig.operator_addresses().borrow().clone();
+            for desk in operator_addresses.into_iter().flatten() {
                 let held = crate::scripted::call(desk, "LEASES").await;
-                if let RigError::Late { last, .. } = &mut error {
+                if let RigError::Timeout { last, .. } = &mut error {
                     let _ = write!(last, "\n{held}");
                 }
             }
             return Err(error);
         }
         let at = next(&rig.history()).unwrap_or(ended);
-        found.after.push(at.saturating_sub(ended) as f64 / 1e9);
+        found.delays.push(at.saturating_sub(ended) as f64 / 1e9);
         rig.spawn(holder, holder).await?;
     }
     contenders.shutdown().await;
@@ -110,13 +120,13 @@
 /// next but one.
 pub fn random_script(seconds: u64, seed: u64) -> String {
     let [nodes, voters] = NODES;
-    let mut chance = Rng::new(seed, 91);
+    let mut rng = Rng::new(seed, 91);
     let mut faults: Vec<(f64, String)> = Vec::new();
     let mut at = 1.0;
     while at < seconds as f64 {
-        let (n, m, lasts) = (chance.below(nodes), chance.below(nodes), 0.5 + 4.0 * chance.unit());
+        let (n, m, lasts) = (rng.below(nodes), rng.below(nodes), 0.5 + 4.0 * rng.unit());
         let mut put = |after: f64, what: String| faults.push((at + after, what));
-        match chance.below(12) {
+        match rng.below(12) {
             0 | 1 => {
                 put(0.0, format!("n{n} die"));
                 put(0.1 + lasts / 4.0, format!("n{n} start"));
@@ -133,7 +143,7 @@
                 put(lasts, "wire heal".to_owned());
             }
             8 => {
-                let first = chance.below(nodes - 1);
+                let first = rng.below(nodes - 1);
                 put(0.0, format!("wire split n0-n{first} n{}-n{}", first + 1, nodes - 1));
                 put(lasts, "wire heal".to_owned());
             }
@@ -150,7 +160,7 @@
                 put(lasts, "wire double 0".to_owned());
             }
         }
-        at += 2.0 + 3.0 * chance.unit();
+        at += 2.0 + 3.0 * rng.unit();
     }
     faults.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut text = String::new();
--- a/crates/standin/src/rig/wallet.rs
+++ b/crates/standin/src/rig/wallet.rs
@@ -23,7 +23,7 @@
 /// Nodes that keep the ledger.
 pub const LEDGER: [&str; 3] = ["n0", "n1", "n2"];
 /// For an operator's call.
-const CALL: Duration = Duration::from_secs(6);
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// What is to be played.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     /// For how long servers work on a request.
     pub service_time: Duration,
     /// Further tables of the operator's file.
-    pub more: &'a str,
+    pub extra_tables: &'a str,
     /// The seed.
     pub seed: u64,
 }
@@ -54,7 +54,7 @@
     overdraft: 0,
     error_permille: 0,
     service_time: Duration::from_millis(20),
-    more: "",
+    extra_tables: "",
     seed: 1,
 };
 
@@ -84,7 +84,7 @@
     /// The servers.
     pub site: Site,
     load: Option<Load>,
-    knobs: Vec<Rc<Cell<f64>>>,
+    node_rates: Vec<Rc<Cell<f64>>>,
     paid: BTreeMap<String, u64>,
 }
 
@@ -111,7 +111,7 @@
             },
             prices.join(", "),
             case.overdraft
-        ) + case.more;
+        ) + case.extra_tables;
         let plan = Plan {
             lease: Some(LeasePlan::new(3)),
             mesh: true,
@@ -125,7 +125,7 @@
         rig.wait_for_agreement(Duration::from_secs(60)).await?;
         let kept = |h: &super::history::History| h.lines.iter().any(|l| l.kind == "wallet_kept");
         rig.wait_until("a keeper", Duration::from_secs(30), kept, |_| "none".into()).await?;
-        Ok(WalletRig { rig, site, load: None, knobs: Vec::new(), paid: BTreeMap::new() })
+        Ok(WalletRig { rig, site, load: None, node_rates: Vec::new(), paid: BTreeMap::new() })
     }
 
     /// From now on each node gets so many requests a second, of these classes in turn.
@@ -146,13 +146,13 @@
         let rates: Vec<NodeLoad> = (0..nodes)
             .map(|_| NodeLoad { per_s: Rc::new(Cell::new(per_s)), requests: orders.to_vec() })
             .collect();
-        self.knobs = rates.iter().map(|r| r.per_s.clone()).collect();
+        self.node_rates = rates.iter().map(|r| r.per_s.clone()).collect();
         self.load = Some(Load::start(rates, self.rig.client_addresses()));
     }
 
     /// A node gets so many from now on.
     pub fn set_rate(&self, node: usize, per_s: f64) {
-        self.knobs[node].set(per_s);
+        self.node_rates[node].set(per_s);
     }
 
     /// Nobody asks for anything any more. How all requests ended.
@@ -178,7 +178,7 @@
             stream.read_to_string(&mut answer).await.ok()?;
             Some(answer)
         };
-        timeout(CALL, exchange).await.ok().flatten()
+        timeout(CALL_TIMEOUT, exchange).await.ok().flatten()
     }
 
     /// Pays, at one of these nodes after the other until one says that it was taken.
@@ -229,11 +229,11 @@
     }
 
     /// Waits until the ledger shows that.
-    pub async fn wait_until(&self, what: &str, holds: impl Fn(&Shown) -> bool) -> Shown {
+    pub async fn wait_until(&self, what: &str, condition: impl Fn(&Shown) -> bool) -> Shown {
         let began = Instant::now();
         loop {
             let shown = self.shown().await;
-            if holds(&shown) {
+            if condition(&shown) {
                 return shown;
             }
             assert!(began.elapsed() < Duration::from_secs(60), "{what} did not come: {shown:?}");
--- a/crates/standin/src/rig/wire.rs
+++ b/crates/standin/src/rig/wire.rs
@@ -32,15 +32,15 @@
 
 /// What passed, and what was done to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Passed {
+pub struct Traffic {
     /// Datagrams and bytes that nodes sent.
     pub sent: [u64; 2],
     /// Of these, lost or cut.
     pub lost: u64,
     /// Changed or cut short.
-    pub spoilt: u64,
+    pub corrupted: u64,
     /// From addresses of nobody.
-    pub strangers: u64,
+    pub unknown_sources: u64,
 }
 
 struct Place {
@@ -60,8 +60,8 @@
 struct Shared {
     places: Vec<Place>,
     faults: RefCell<Faults>,
-    passed: RefCell<Passed>,
-    chance: RefCell<Rng>,
+    traffic: RefCell<Traffic>,
+    rng: RefCell<Rng>,
 }
 
 /// The address of a place within 127.0.0.0/8, for its process and for its stand-in on the wire.
@@ -93,13 +93,13 @@
         let shared = Rc::new(Shared {
             places: all,
             faults: RefCell::default(),
-            passed: RefCell::default(),
-            chance: RefCell::new(Rng::new(seed, 9)),
+            traffic: RefCell::default(),
+            rng: RefCell::new(Rng::new(seed, 9)),
         });
         let mut tasks = JoinSet::new();
         for n in 0..places {
             let shared = shared.clone();
-            tasks.spawn_local(async move { shared.carry(n).await });
+            tasks.spawn_local(async move { shared.forward(n).await });
         }
         Ok(Wire { shared, _tasks: tasks })
     }
@@ -110,7 +110,7 @@
     }
 
     /// Where the process at a place listens now.
-    pub fn runs_at(&self, place: usize, real: Option<SocketAddr>) {
+    pub fn set_process_address(&self, place: usize, real: Option<SocketAddr>) {
         self.shared.places[place].real.set(real);
     }
 
@@ -135,29 +135,29 @@
     }
 
     /// What passed.
-    pub fn passed(&self) -> Passed {
-        *self.shared.passed.borrow()
+    pub fn traffic(&self) -> Traffic {
+        *self.shared.traffic.borrow()
     }
 }
 
 impl Shared {
-    async fn carry(self: Rc<Self>, to: usize) {
+    async fn forward(self: Rc<Self>, to: usize) {
         let mut buffer = vec![0; 65536];
         loop {
             let Ok((length, source)) = self.places[to].socket.recv_from(&mut buffer).await else { continue };
             let from = self.places.iter().position(|p| p.real.get() == Some(source));
             let Some(from) = from else {
-                self.passed.borrow_mut().strangers += 1;
+                self.traffic.borrow_mut().unknown_sources += 1;
                 continue;
             };
-            for (bytes, held) in self.befall(from, to, &buffer[..length]) {
+            for (bytes, held) in self.apply_faults(from, to, &buffer[..length]) {
                 if held.is_zero() {
-                    self.pass(from, to, &bytes);
+                    self.deliver(from, to, &bytes);
                 } else {
                     let shared = self.clone();
                     spawn_local(async move {
                         tokio::time::sleep(held).await;
-                        shared.pass(from, to, &bytes);
+                        shared.deliver(from, to, &bytes);
                     });
                 }
             }
@@ -165,39 +165,38 @@
     }
 
     /// What arrives of a datagram, and how much later.
-    fn befall(&self, from: usize, to: usize, bytes: &[u8]) -> Vec<(Vec<u8>, Duration)> {
-        let (faults, mut chance) = (self.faults.borrow(), self.chance.borrow_mut());
-        let mut passed = self.passed.borrow_mut();
-        passed.sent[0] += 1;
-        passed.sent[1] += bytes.len() as u64;
+    fn apply_faults(&self, from: usize, to: usize, bytes: &[u8]) -> Vec<(Vec<u8>, Duration)> {
+        let (faults, mut rng) = (self.faults.borrow(), self.rng.borrow_mut());
+        let mut traffic = self.traffic.borrow_mut();
+        traffic.sent[0] += 1;
+        traffic.sent[1] += bytes.len() as u64;
         let [datagrams, sent] = self.places[from].sent.get();
         self.places[from].sent.set([datagrams + 1, sent + bytes.len() as u64]);
-        let befalls = |chance: &mut Rng, part: u32| part > 0 && chance.unit() < f64::from(part) / 1e3;
-        if faults.cut.contains(&(from, to)) || befalls(&mut chance, faults.lose) {
-            passed.lost += 1;
+        let happens = |rng: &mut Rng, part: u32| part > 0 && rng.unit() < f64::from(part) / 1e3;
+        if faults.cut.contains(&(from, to)) || happens(&mut rng, faults.lose) {
+            traffic.lost += 1;
             return Vec::new();
         }
-        let copies = 1 + usize::from(befalls(&mut chance, faults.double));
+        let copies = 1 + usize::from(happens(&mut rng, faults.double));
         let mut arrive = Vec::new();
         for _ in 0..copies {
             let mut bytes = bytes.to_vec();
-            if befalls(&mut chance, faults.spoil) && !bytes.is_empty() {
-                passed.spoilt += 1;
-                let at = chance.below(bytes.len());
-                bytes[at] ^= 1 << chance.below(8);
+            if happens(&mut rng, faults.spoil) && !bytes.is_empty() {
+                traffic.corrupted += 1;
+                let at = rng.below(bytes.len());
+                bytes[at] ^= 1 << rng.below(8);
             }
-            if befalls(&mut chance, faults.shorten) {
-                passed.spoilt += 1;
-                bytes.truncate(chance.below(bytes.len()));
+            if happens(&mut rng, faults.shorten) {
+                traffic.corrupted += 1;
+                bytes.truncate(rng.below(bytes.len()));
             }
-            let held =
-                if faults.delay.is_zero() { Duration::ZERO } else { faults.delay.mul_f64(chance.unit()) };
+            let held = if faults.delay.is_zero() { Duration::ZERO } else { faults.delay.mul_f64(rng.unit()) };
             arrive.push((bytes, held));
         }
         arrive
     }
 
-    fn pass(&self, from: usize, to: usize, bytes: &[u8]) {
+    fn deliver(&self, from: usize, to: usize, bytes: &[u8]) {
         if let Some(real) = self.places[to].real.get() {
             // A full socket loses it, as a wire may.
             let _ = self.places[from].socket.try_send_to(bytes, real);
--- a/crates/standin/src/scale_command.rs
+++ b/crates/standin/src/scale_command.rs
@@ -1,7 +1,7 @@
 //! `birchswitch-standin scale`: what a fleet costs as it grows, as a table, a CSV file and lines through the sizes.
 
 use birchswitch_standin::process::block_on;
-use birchswitch_standin::rig::scale::{self, Line, Size, Step, METRICS};
+use birchswitch_standin::rig::scale::{self, LinearFit, Size, SizeResult, METRICS};
 use clap::Args;
 use std::error::Error;
 use std::fs::File;
@@ -76,7 +76,7 @@
     }
 }
 
-fn print_step(step: &Step) {
+fn print_step(step: &SizeResult) {
     let Size { nodes, servers, limits, accounts } = step.size;
     println!(
         "{nodes} nodes, {servers} servers, {limits} limits, {accounts} accounts; agreed after {:.1} s",
@@ -103,21 +103,22 @@
 }
 
 /// Lines through the sizes in which only the number of nodes differs.
-fn print_lines(steps: &[Step], planned: usize) {
+fn print_lines(steps: &[SizeResult], planned: usize) {
     let Some(base) = steps.first().map(|step| step.size) else { return };
-    let alike = |step: &&Step| Size { nodes: base.nodes, ..step.size } == base && step.void.is_none();
-    let alike: Vec<&Step> = steps.iter().filter(alike).collect();
-    let mut roles: Vec<&String> = alike.iter().flat_map(|step| step.roles.keys()).collect();
+    let comparable =
+        |step: &&SizeResult| Size { nodes: base.nodes, ..step.size } == base && step.void.is_none();
+    let comparable: Vec<&SizeResult> = steps.iter().filter(comparable).collect();
+    let mut roles: Vec<&String> = comparable.iter().flat_map(|step| step.roles.keys()).collect();
     roles.sort();
     roles.dedup();
     for role in roles {
         for metric in &METRICS {
-            let point = |step: &&Step| {
+            let point = |step: &&SizeResult| {
                 let (_, cost) = step.roles.get(role)?;
                 Some((step.size.nodes as f64, (metric.of)(cost)))
             };
-            let points: Vec<(f64, f64)> = alike.iter().filter_map(point).collect();
-            let Some(line) = Line::through(&points) else { continue };
+            let points: Vec<(f64, f64)> = comparable.iter().filter_map(point).collect();
+            let Some(line) = LinearFit::fit(&points) else { continue };
             println!(
                 "{role}: {} = {:.3} + {:.5} a node (off by {:.3} at most); extrapolated to {planned} nodes {:.2}",
                 metric.name,
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -15,7 +15,7 @@
 //! 60s     wire     heal
 //! ```
 //!
-//! The last three want the rig of many processes ([`crate::rig`]); more of them are in [`NodesFault`] and [`WireFault`].
+//! The last three want the rig of many processes ([`crate::rig`]); more of them are in [`ProcessFault`] and [`WireFault`].
 //!
 //! One fault a line; `#` begins a comment. Times are whole numbers with `ms` or `s`, counted from the start. A target is
 //! one server (`s2`), a run of them (`s0-s3`, both included), `all`, `any` (one server that the seed chooses), a node
@@ -23,7 +23,7 @@
 
 mod nodes;
 
-pub use nodes::{End, Far, Nodes, NodesFault, WireFault};
+pub use nodes::{Endpoint, External, Nodes, ProcessFault, WireFault};
 use std::fmt;
 use std::time::Duration;
 
@@ -42,18 +42,18 @@
     /// When, from the start.
     pub at: Duration,
     /// To whom, with what.
-    pub deed: Deed,
+    pub injection: Injection,
 }
 
 /// A fault and those that it befalls.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum Injection {
     /// To servers.
     Servers(Servers, Fault),
     /// To a node.
     Node(usize, NodeFault),
     /// To nodes' processes, on the rig.
-    Nodes(Nodes, NodesFault),
+    Nodes(Nodes, ProcessFault),
     /// To the wire between nodes, on the rig.
     Wire(WireFault),
     /// The registry neither speaks nor takes calls for so long.
@@ -124,8 +124,8 @@
                 }
                 [at, target, ref fault @ ..] => {
                     let at = duration(at).map_err(error)?;
-                    let deed = deed(target, fault, servers, nodes).map_err(error)?;
-                    script.entries.push(Entry { at, deed });
+                    let injection = injection(target, fault, servers, nodes).map_err(error)?;
+                    script.entries.push(Entry { at, injection });
                 }
                 _ => return Err(error("wanted: a time, a target and a fault".into())),
             }
@@ -135,18 +135,18 @@
     }
 }
 
-fn deed(target: &str, fault: &[&str], servers: usize, count: usize) -> Result<Deed, String> {
+fn injection(target: &str, fault: &[&str], servers: usize, count: usize) -> Result<Injection, String> {
     if target == "registry" {
         return match fault {
-            ["silent", length] => Ok(Deed::RegistrySilent(duration(length)?)),
+            ["silent", length] => Ok(Injection::RegistrySilent(duration(length)?)),
             _ => Err(format!("{:?} befalls no registry: wanted `silent TIME`", fault.join(" "))),
         };
     }
     if target == "wire" {
-        return nodes::wire(fault, count).map(Deed::Wire);
+        return nodes::wire_fault(fault, count).map(Injection::Wire);
     }
-    if let Some(what) = nodes::fault(fault).filter(|_| target.starts_with(['n', 'z'])) {
-        return Ok(Deed::Nodes(nodes::nodes(target, count)?, what?));
+    if let Some(what) = nodes::process_fault(fault).filter(|_| target.starts_with(['n', 'z'])) {
+        return Ok(Injection::Nodes(nodes::target(target, count)?, what?));
     }
     let number = |text: &str, most: usize| match text.parse::<usize>() {
         Ok(n) if n < most => Ok(n),
@@ -156,8 +156,8 @@
     if let Some(n) = target.strip_prefix('n') {
         let node = number(n, count)?;
         return match fault {
-            ["restart"] => Ok(Deed::Node(node, NodeFault::Restart)),
-            ["kill"] => Ok(Deed::Node(node, NodeFault::Kill)),
+            ["restart"] => Ok(Injection::Node(node, NodeFault::Restart)),
+            ["kill"] => Ok(Injection::Node(node, NodeFault::Kill)),
             _ => {
                 let wanted =
                     "`restart` or `kill`; on the rig `die`, `end`, `start`, `twin`, `pause TIME` or \
@@ -204,7 +204,7 @@
             return Err(format!("{:?} befalls no server: wanted {wanted}", fault.join(" ")));
         }
     };
-    Ok(Deed::Servers(who, what))
+    Ok(Injection::Servers(who, what))
 }
 
 fn duration(text: &str) -> Result<Duration, String> {
@@ -219,9 +219,9 @@
 }
 
 /// A time as scripts write it.
-struct Written(Duration);
+struct FormattedDuration(Duration);
 
-impl fmt::Display for Written {
+impl fmt::Display for FormattedDuration {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.0.subsec_millis() {
             0 => write!(f, "{}s", self.0.as_secs()),
@@ -233,22 +233,22 @@
 impl fmt::Display for Script {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         writeln!(f, "seed {}", self.seed)?;
-        self.entries.iter().try_for_each(|e| writeln!(f, "{} {}", Written(e.at), e.deed))
+        self.entries.iter().try_for_each(|e| writeln!(f, "{} {}", FormattedDuration(e.at), e.injection))
     }
 }
 
-impl fmt::Display for Deed {
+impl fmt::Display for Injection {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Deed::Servers(Servers::All, fault) => write!(f, "all {fault}"),
-            Deed::Servers(Servers::Any, fault) => write!(f, "any {fault}"),
-            Deed::Servers(Servers::Range(a, b), fault) if a == b => write!(f, "s{a} {fault}"),
-            Deed::Servers(Servers::Range(a, b), fault) => write!(f, "s{a}-s{b} {fault}"),
-            Deed::Node(n, NodeFault::Restart) => write!(f, "n{n} restart"),
-            Deed::Node(n, NodeFault::Kill) => write!(f, "n{n} kill"),
-            Deed::Nodes(who, fault) => write!(f, "{who} {fault}"),
-            Deed::Wire(fault) => write!(f, "wire {fault}"),
-            Deed::RegistrySilent(length) => write!(f, "registry silent {}", Written(*length)),
+            Injection::Servers(Servers::All, fault) => write!(f, "all {fault}"),
+            Injection::Servers(Servers::Any, fault) => write!(f, "any {fault}"),
+            Injection::Servers(Servers::Range(a, b), fault) if a == b => write!(f, "s{a} {fault}"),
+            Injection::Servers(Servers::Range(a, b), fault) => write!(f, "s{a}-s{b} {fault}"),
+            Injection::Node(n, NodeFault::Restart) => write!(f, "n{n} restart"),
+            Injection::Node(n, NodeFault::Kill) => write!(f, "n{n} kill"),
+            Injection::Nodes(who, fault) => write!(f, "{who} {fault}"),
+            Injection::Wire(fault) => write!(f, "wire {fault}"),
+            Injection::RegistrySilent(length) => write!(f, "registry silent {}", FormattedDuration(*length)),
         }
     }
 }
@@ -256,14 +256,14 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Freeze(length) => write!(f, "freeze {}", Written(*length)),
+            Fault::Freeze(length) => write!(f, "freeze {}", FormattedDuration(*length)),
             Fault::Slow(part, length) => {
-                write!(f, "slow {} for {}", f64::from(*part) / 1e3, Written(*length))
+                write!(f, "slow {} for {}", f64::from(*part) / 1e3, FormattedDuration(*length))
             }
             Fault::Die => f.write_str("die"),
             Fault::Start => f.write_str("start"),
             Fault::Deploy { drain, every } => {
-                write!(f, "deploy drain {} every {}", Written(*drain), Written(*every))
+                write!(f, "deploy drain {} every {}", FormattedDuration(*drain), FormattedDuration(*every))
             }
         }
     }
@@ -275,8 +275,8 @@
     use proptest::prelude::*;
 
     #[test]
-    fn what_is_wrong_is_said_with_its_line() {
-        for (text, said) in [
+    fn errors_name_the_line_and_the_problem() {
+        for (text, expected) in [
             ("seed x", "line 1: \"x\" is no whole number"),
             ("# fine\n8s", "line 2: wanted: a time, a target and a fault"),
             ("8 s1 die", "line 1: \"8\" is no time"),
@@ -299,7 +299,7 @@
             ("8s s1 slow NaN for 3s", "\"NaN\" is no factor"),
         ] {
             let error = Script::parse(text, 4, 1).expect_err(text).to_string();
-            assert!(error.contains(said), "{text}: {error}");
+            assert!(error.contains(expected), "{text}: {error}");
         }
     }
 
@@ -307,7 +307,7 @@
         (0u64..100_000).prop_map(Duration::from_millis)
     }
 
-    fn any_deed() -> impl Strategy<Value = Deed> {
+    fn any_injection() -> impl Strategy<Value = Injection> {
         let servers = prop_oneof![
             Just(Servers::All),
             Just(Servers::Any),
@@ -328,19 +328,19 @@
                 (0usize..9).prop_map(Nodes::Zone),
             ]
         };
-        let far = || prop_oneof![Just(Far::Servers), Just(Far::Discovery), Just(Far::Clients)];
+        let far = || prop_oneof![Just(External::Servers), Just(External::Discovery), Just(External::Clients)];
         let nodes_fault = prop_oneof![
-            Just(NodesFault::Die),
-            Just(NodesFault::End),
-            Just(NodesFault::Start),
-            Just(NodesFault::Twin),
-            any_duration().prop_map(NodesFault::Pause),
-            (any_duration(), any_duration()).prop_map(|(a, b)| NodesFault::Stutter(a, b)),
+            Just(ProcessFault::Die),
+            Just(ProcessFault::End),
+            Just(ProcessFault::Start),
+            Just(ProcessFault::Twin),
+            any_duration().prop_map(ProcessFault::Pause),
+            (any_duration(), any_duration()).prop_map(|(a, b)| ProcessFault::Stutter(a, b)),
         ];
         let wire = prop_oneof![
-            (nodes(), nodes()).prop_map(|(a, b)| WireFault::Cut(End::Nodes(a), End::Nodes(b))),
-            (nodes(), far()).prop_map(|(a, b)| WireFault::Split(End::Nodes(a), End::Far(b))),
-            (far(), nodes()).prop_map(|(a, b)| WireFault::Cut(End::Far(a), End::Nodes(b))),
+            (nodes(), nodes()).prop_map(|(a, b)| WireFault::Cut(Endpoint::Nodes(a), Endpoint::Nodes(b))),
+            (nodes(), far()).prop_map(|(a, b)| WireFault::Split(Endpoint::Nodes(a), Endpoint::External(b))),
+            (far(), nodes()).prop_map(|(a, b)| WireFault::Cut(Endpoint::External(a), Endpoint::Nodes(b))),
             Just(WireFault::Heal),
             (0u32..=1000).prop_map(WireFault::Lose),
             (0u32..=1000).prop_map(WireFault::Double),
@@ -349,29 +349,29 @@
             any_duration().prop_map(WireFault::Delay),
         ];
         prop_oneof![
-            (nodes(), nodes_fault).prop_map(|(n, f)| Deed::Nodes(n, f)),
-            wire.prop_map(Deed::Wire),
-            (servers, fault).prop_map(|(s, f)| Deed::Servers(s, f)),
+            (nodes(), nodes_fault).prop_map(|(n, f)| Injection::Nodes(n, f)),
+            wire.prop_map(Injection::Wire),
+            (servers, fault).prop_map(|(s, f)| Injection::Servers(s, f)),
             (0usize..2, any::<bool>())
-                .prop_map(|(n, k)| Deed::Node(n, if k { NodeFault::Kill } else { NodeFault::Restart })),
-            any_duration().prop_map(Deed::RegistrySilent),
+                .prop_map(|(n, k)| Injection::Node(n, if k { NodeFault::Kill } else { NodeFault::Restart })),
+            any_duration().prop_map(Injection::RegistrySilent),
         ]
     }
 
     proptest! {
         #[test]
-        fn a_script_is_read_as_it_is_written(
+        fn printed_scripts_parse_to_the_same_script(
             seed: u64,
-            entries in prop::collection::vec((any_duration(), any_deed()), 0..20),
+            entries in prop::collection::vec((any_duration(), any_injection()), 0..20),
         ) {
-            let mut entries: Vec<_> = entries.into_iter().map(|(at, deed)| Entry { at, deed }).collect();
+            let mut entries: Vec<_> = entries.into_iter().map(|(at, injection)| Entry { at, injection }).collect();
             entries.sort_by_key(|e| e.at);
             let script = Script { seed, entries };
             prop_assert_eq!(Script::parse(&script.to_string(), 4, 2), Ok(script));
         }
 
         #[test]
-        fn no_text_is_too_odd(text: String) {
+        fn arbitrary_text_never_panics(text: String) {
             let _ = Script::parse(&text, 4, 1);
         }
     }
--- a/crates/standin/src/script/nodes.rs
+++ b/crates/standin/src/script/nodes.rs
@@ -1,6 +1,6 @@
 //! Faults of many processes and of the wire between them, for the [rig](crate::rig).
 
-use super::{duration, Written};
+use super::{duration, FormattedDuration};
 use std::fmt;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 
 /// Whom a node speaks with that is no node, over connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Far {
+pub enum External {
     /// All servers: `servers`.
     Servers,
     /// The registry: `discovery`.
@@ -30,16 +30,16 @@
 
 /// An end of a way on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Endpoint {
     /// Nodes.
     Nodes(Nodes),
     /// No nodes.
-    Far(Far),
+    External(External),
 }
 
 /// What may befall a node's process on the rig.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NodesFault {
+pub enum ProcessFault {
     /// SIGKILL, and nothing after it.
     Die,
     /// SIGTERM.
@@ -58,9 +58,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireFault {
     /// Nothing passes from the first to the second: datagrams are lost, what connections carry waits.
-    Cut(End, End),
+    Cut(Endpoint, Endpoint),
     /// Nothing passes between them.
-    Split(End, End),
+    Split(Endpoint, Endpoint),
     /// All that was cut passes again.
     Heal,
     /// So many are lost.
@@ -75,7 +75,7 @@
     Delay(Duration),
 }
 
-pub(super) fn nodes(text: &str, most: usize) -> Result<Nodes, String> {
+pub(super) fn target(text: &str, most: usize) -> Result<Nodes, String> {
     let number = |text: &str| {
         let n = text.strip_prefix('n').and_then(|n| n.parse::<usize>().ok());
         n.filter(|n| *n < most)
@@ -98,15 +98,15 @@
     }
 }
 
-fn ends(one: &str, other: &str, most: usize) -> Result<(End, End), String> {
+fn endpoints(one: &str, other: &str, most: usize) -> Result<(Endpoint, Endpoint), String> {
     let end = |text: &str| match text {
-        "servers" => Ok(End::Far(Far::Servers)),
-        "discovery" => Ok(End::Far(Far::Discovery)),
-        "clients" => Ok(End::Far(Far::Clients)),
-        _ => nodes(text, most).map(End::Nodes),
+        "servers" => Ok(Endpoint::External(External::Servers)),
+        "discovery" => Ok(Endpoint::External(External::Discovery)),
+        "clients" => Ok(Endpoint::External(External::Clients)),
+        _ => target(text, most).map(Endpoint::Nodes),
     };
     match (end(one)?, end(other)?) {
-        (End::Far(_), End::Far(_)) => Err(format!("between {one} and {other} is no node")),
+        (Endpoint::External(_), Endpoint::External(_)) => Err(format!("{one}, {other}: one must be a node")),
         ends => Ok(ends),
     }
 }
@@ -116,24 +116,24 @@
     thousandths.map(|p| p as u32).ok_or_else(|| format!("{text:?} is no part from 0 to 1"))
 }
 
-pub(super) fn fault(words: &[&str]) -> Option<Result<NodesFault, String>> {
+pub(super) fn process_fault(words: &[&str]) -> Option<Result<ProcessFault, String>> {
     Some(match words {
-        ["die"] => Ok(NodesFault::Die),
-        ["end"] => Ok(NodesFault::End),
-        ["start"] => Ok(NodesFault::Start),
-        ["twin"] => Ok(NodesFault::Twin),
-        ["pause", length] => duration(length).map(NodesFault::Pause),
+        ["die"] => Ok(ProcessFault::Die),
+        ["end"] => Ok(ProcessFault::End),
+        ["start"] => Ok(ProcessFault::Start),
+        ["twin"] => Ok(ProcessFault::Twin),
+        ["pause", length] => duration(length).map(ProcessFault::Pause),
         ["stutter", stopped, "for", length] => {
-            duration(stopped).and_then(|s| Ok(NodesFault::Stutter(s, duration(length)?)))
+            duration(stopped).and_then(|s| Ok(ProcessFault::Stutter(s, duration(length)?)))
         }
         _ => return None,
     })
 }
 
-pub(super) fn wire(words: &[&str], most: usize) -> Result<WireFault, String> {
+pub(super) fn wire_fault(words: &[&str], most: usize) -> Result<WireFault, String> {
     match words {
-        ["cut", from, to] => ends(from, to, most).map(|(from, to)| WireFault::Cut(from, to)),
-        ["split", one, other] => ends(one, other, most).map(|(one, other)| WireFault::Split(one, other)),
+        ["cut", from, to] => endpoints(from, to, most).map(|(from, to)| WireFault::Cut(from, to)),
+        ["split", one, other] => endpoints(one, other, most).map(|(one, other)| WireFault::Split(one, other)),
         ["heal"] => Ok(WireFault::Heal),
         ["lose", of] => part(of).map(WireFault::Lose),
         ["double", of] => part(of).map(WireFault::Double),
@@ -169,27 +169,27 @@
     }
 }
 
-impl fmt::Display for End {
+impl fmt::Display for Endpoint {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            End::Nodes(nodes) => nodes.fmt(f),
-            End::Far(Far::Servers) => f.write_str("servers"),
-            End::Far(Far::Discovery) => f.write_str("discovery"),
-            End::Far(Far::Clients) => f.write_str("clients"),
+            Endpoint::Nodes(nodes) => nodes.fmt(f),
+            Endpoint::External(External::Servers) => f.write_str("servers"),
+            Endpoint::External(External::Discovery) => f.write_str("discovery"),
+            Endpoint::External(External::Clients) => f.write_str("clients"),
         }
     }
 }
 
-impl fmt::Display for NodesFault {
+impl fmt::Display for ProcessFault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            NodesFault::Die => f.write_str("die"),
-            NodesFault::End => f.write_str("end"),
-            NodesFault::Start => f.write_str("start"),
-            NodesFault::Twin => f.write_str("twin"),
-            NodesFault::Pause(length) => write!(f, "pause {}", Written(*length)),
-            NodesFault::Stutter(stopped, length) => {
-                write!(f, "stutter {} for {}", Written(*stopped), Written(*length))
+            ProcessFault::Die => f.write_str("die"),
+            ProcessFault::End => f.write_str("end"),
+            ProcessFault::Start => f.write_str("start"),
+            ProcessFault::Twin => f.write_str("twin"),
+            ProcessFault::Pause(length) => write!(f, "pause {}", FormattedDuration(*length)),
+            ProcessFault::Stutter(stopped, length) => {
+                write!(f, "stutter {} for {}", FormattedDuration(*stopped), FormattedDuration(*length))
             }
         }
     }
@@ -205,7 +205,7 @@
             WireFault::Double(part) => write!(f, "double {}", Thousandths(*part)),
             WireFault::Spoil(part) => write!(f, "spoil {}", Thousandths(*part)),
             WireFault::Shorten(part) => write!(f, "shorten {}", Thousandths(*part)),
-            WireFault::Delay(most) => write!(f, "delay {}", Written(*most)),
+            WireFault::Delay(most) => write!(f, "delay {}", FormattedDuration(*most)),
         }
     }
 }
--- a/crates/standin/src/scripted/wire.rs
+++ b/crates/standin/src/scripted/connection.rs
@@ -1,6 +1,6 @@
 //! Plain sockets that a test scripts byte by byte.
 
-use crate::process::nothing_starts;
+use crate::process::lock_spawning;
 use serde_json::{json, Value};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -42,41 +42,41 @@
 }
 
 /// A socket, or what holds one, that is closed only while no process starts.
-struct Closing<T>(Option<T>);
+struct GuardedClose<T>(Option<T>);
 
-impl<T> Deref for Closing<T> {
+impl<T> Deref for GuardedClose<T> {
     type Target = T;
     fn deref(&self) -> &T {
         self.0.as_ref().expect("taken only when dropped")
     }
 }
 
-impl<T> DerefMut for Closing<T> {
+impl<T> DerefMut for GuardedClose<T> {
     fn deref_mut(&mut self) -> &mut T {
         self.0.as_mut().expect("taken only when dropped")
     }
 }
 
-impl<T> Closing<T> {
+impl<T> GuardedClose<T> {
     fn take(&mut self) -> T {
         self.0.take().expect("taken once")
     }
 }
 
-impl<T> Drop for Closing<T> {
+impl<T> Drop for GuardedClose<T> {
     fn drop(&mut self) {
-        let _guard = nothing_starts();
+        let _guard = lock_spawning();
         self.0 = None;
     }
 }
 
 /// One connection, either way.
-pub struct Connection(Closing<BufReader<TcpStream>>);
+pub struct Connection(GuardedClose<BufReader<TcpStream>>);
 
 impl Connection {
     /// A connection that was accepted elsewhere.
     pub fn new(stream: TcpStream) -> Self {
-        Connection(Closing(Some(BufReader::new(stream))))
+        Connection(GuardedClose(Some(BufReader::new(stream))))
     }
 
     /// Connects.
@@ -292,7 +292,7 @@
 }
 
 /// A listener that a test accepts from by hand.
-pub struct Peer(Closing<TcpListener>, SocketAddr);
+pub struct Peer(GuardedClose<TcpListener>, SocketAddr);
 
 impl Peer {
     /// Listens at an address of its own.
@@ -302,13 +302,13 @@
 
     fn listening(listener: TcpListener) -> Self {
         let address = listener.local_addr().expect("an address");
-        Peer(Closing(Some(listener)), address)
+        Peer(GuardedClose(Some(listener)), address)
     }
 
     /// One that nobody reaches: it has closed before anybody is told of it.
     pub async fn unreachable() -> Self {
         let mut peer = Peer::new().await;
-        let _guard = nothing_starts();
+        let _guard = lock_spawning();
         peer.0 .0 = None;
         peer
     }
@@ -345,8 +345,8 @@
             Err(_) => true,
             Ok(accepted) => {
                 let mut wire = Connection::new(accepted.expect("a connection").0);
-                let said = tokio::time::timeout(Duration::from_millis(50), wire.read_message()).await;
-                println!("touched by {said:?}");
+                let message = tokio::time::timeout(Duration::from_millis(50), wire.read_message()).await;
+                println!("unexpected connection: {message:?}");
                 false
             }
         }
@@ -375,17 +375,17 @@
     socket.bind(unique_address()).expect("a port");
     let listener = socket.listen(1).expect("a listener");
     let address = listener.local_addr().expect("an address");
-    let patience = Duration::from_millis(300);
-    let mut filling = Vec::new();
-    while let Ok(stream) = tokio::time::timeout(patience, TcpStream::connect(address)).await {
-        filling.push(stream.expect("a connection"));
+    let wait = Duration::from_millis(300);
+    let mut queued = Vec::new();
+    while let Ok(stream) = tokio::time::timeout(wait, TcpStream::connect(address)).await {
+        queued.push(stream.expect("a connection"));
     }
-    (listener, address, filling)
+    (listener, address, queued)
 }
 
 /// Takes the connections that fill such a listener's queue, so that those that wait come up.
-pub async fn accept_backlog(listener: &TcpListener, filling: &[TcpStream]) {
-    for _ in filling {
+pub async fn accept_backlog(listener: &TcpListener, queued: &[TcpStream]) {
+    for _ in queued {
         within("a connection", listener.accept()).await.expect("a connection");
     }
 }
--- a/crates/standin/src/scripted/mod.rs
+++ b/crates/standin/src/scripted/mod.rs
@@ -4,8 +4,8 @@
 //! Everything waits for events, ports are the system's choice, and what never comes ends the test with a panic that
 //! names it.
 
+mod connection;
 mod node;
-mod wire;
 
+pub use connection::*;
 pub use node::*;
-pub use wire::*;
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -24,9 +24,9 @@
 use tokio::time::{sleep_until, Instant};
 
 /// A repeat that meets its first in work looks again after this.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+const CLAIM_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Largest body that is read.
-const MOST_BODY: usize = 64 << 10;
+const MAX_BODY: usize = 64 << 10;
 
 /// What all servers of a fleet share: the books, and per cell the memory of keys.
 pub struct Shared {
@@ -37,7 +37,7 @@
     /// For how long a cell remembers a key.
     pub window: Duration,
     /// Whether answers tell what their servers hold.
-    pub tells: Cell<bool>,
+    pub reports_load: Cell<bool>,
     keys: RefCell<HashMap<(u16, String), Claim>>,
 }
 
@@ -47,22 +47,22 @@
     at: Instant,
     server: usize,
     job: Job,
-    state: Work,
+    state: WorkState,
 }
 
 /// How far it has come.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Work {
+enum WorkState {
     Waiting,
-    Begun,
-    Over,
+    Started,
+    Done,
 }
 
 impl Shared {
     /// With empty memories.
     pub fn new(results: Results, window: Duration) -> Rc<Self> {
-        let (origin, results, tells) = (Instant::now(), RefCell::new(results), Cell::new(false));
-        Rc::new(Shared { origin, results, window, tells, keys: RefCell::default() })
+        let (origin, results, reports_load) = (Instant::now(), RefCell::new(results), Cell::new(false));
+        Rc::new(Shared { origin, results, window, reports_load, keys: RefCell::default() })
     }
 
     fn now(&self) -> Duration {
@@ -85,16 +85,16 @@
 
 struct State {
     model: ServerModel,
-    chance: Rng,
+    rng: Rng,
     next_job: Job,
-    open: HashMap<Job, Open>,
+    open: HashMap<Job, OpenRequest>,
     progress: Vec<Progress>,
     /// The tasks of a process that runs.
     tasks: Vec<JoinHandle<()>>,
 }
 
 /// A request in hand.
-struct Open {
+struct OpenRequest {
     class: usize,
     order: u64,
     work: f64,
@@ -115,7 +115,7 @@
         let model = ServerModel::new(capacity.clone(), Duration::ZERO, false);
         let state = State {
             model,
-            chance: Rng::new(seed, 1000 + index as u64),
+            rng: Rng::new(seed, 1000 + index as u64),
             next_job: 0,
             open: HashMap::new(),
             progress: Vec::new(),
@@ -170,9 +170,9 @@
         let (tasks, _open) = {
             let mut state = self.state.borrow_mut();
             let open = std::mem::take(&mut state.open);
-            self.forget_waiting(&open);
+            self.release_unstarted_claims(&open);
             let results = &mut self.shared.results.borrow_mut().servers[self.index];
-            results.most_waiting = results.most_waiting.max(state.model.max_queued());
+            results.max_waiting = results.max_waiting.max(state.model.max_queued());
             (std::mem::take(&mut state.tasks), open)
         };
         for task in tasks {
@@ -182,7 +182,7 @@
     }
 
     /// A key whose work had not begun may be used again; one whose work had may not.
-    fn forget_waiting(&self, open: &HashMap<Job, Open>) {
+    fn release_unstarted_claims(&self, open: &HashMap<Job, OpenRequest>) {
         let mut keys = self.shared.keys.borrow_mut();
         for (job, open) in open {
             let Some(key) = &open.key else { continue };
@@ -190,10 +190,10 @@
                 continue;
             };
             match claim.state {
-                Work::Waiting => {
+                WorkState::Waiting => {
                     keys.remove(key);
                 }
-                Work::Begun | Work::Over => claim.state = Work::Over,
+                WorkState::Started | WorkState::Done => claim.state = WorkState::Done,
             }
         }
     }
@@ -221,12 +221,12 @@
         if state.model.collapsed() && !had_fallen {
             self.shared.results.borrow_mut().servers[self.index].fallen += 1;
         }
-        self.book_progress(state);
+        self.record_progress(state);
         self.changed.notify_one();
         value
     }
 
-    fn book_progress(&self, state: &mut State) {
+    fn record_progress(&self, state: &mut State) {
         for progress in state.progress.drain(..) {
             let (Progress::Started(job) | Progress::Completed(job)) = progress;
             let claim = |key: &Option<(u16, String)>, reached| {
@@ -240,13 +240,16 @@
             match progress {
                 Progress::Started(_) => {
                     if let Some(open) = state.open.get(&job) {
-                        claim(&open.key, Work::Begun);
-                        self.shared.results.borrow_mut().run(self.index, open.class, open.order, open.work);
+                        claim(&open.key, WorkState::Started);
+                        self.shared
+                            .results
+                            .borrow_mut()
+                            .record_run(self.index, open.class, open.order, open.work);
                     }
                 }
                 Progress::Completed(_) => {
                     if let Some(open) = state.open.remove(&job) {
-                        claim(&open.key, Work::Over);
+                        claim(&open.key, WorkState::Done);
                         let _ = open.done.send(()); // Whoever asked may have left.
                     }
                 }
@@ -265,7 +268,7 @@
                     let mut guard = self.state.borrow_mut();
                     let state = &mut *guard;
                     state.model.advance(self.shared.now(), &mut state.progress);
-                    self.book_progress(state);
+                    self.record_progress(state);
                 }
             }
         }
@@ -294,7 +297,7 @@
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
-    async fn thaw(&self) {
+    async fn wait_until_thawed(&self) {
         loop {
             let (frozen, until) = {
                 let model = &self.state.borrow().model;
@@ -308,7 +311,7 @@
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        self.thaw().await;
+        self.wait_until_thawed().await;
         match request.uri().path() {
             "/stats" | "/health/live" => {
                 let load = self.with_model(|model, now, out| model.load(now, out));
@@ -335,26 +338,26 @@
         let hint =
             header("x-cost").or(header("x-work")).and_then(|c| c.parse().ok()).unwrap_or(10_000.0) / 1e6;
         let key = header("idempotency-key").map(|k| (self.cell, k));
-        if Limited::new(request.into_body(), MOST_BODY).collect().await.is_err() {
+        if Limited::new(request.into_body(), MAX_BODY).collect().await.is_err() {
             return plain(StatusCode::BAD_REQUEST, "the body is not whole");
         }
-        self.thaw().await;
+        self.wait_until_thawed().await;
         if let Some(key) = &key {
-            if let Some(answer) = self.repeat(key).await {
+            if let Some(answer) = self.remembered_response(key).await {
                 return answer;
             }
         }
-        let (done, answered) = oneshot::channel();
+        let (done, completed) = oneshot::channel();
         let (job, work) = {
             let mut state = self.state.borrow_mut();
             state.next_job += 1;
-            (state.next_job, hint * (0.75 + 0.5 * state.chance.unit()))
+            (state.next_job, hint * (0.75 + 0.5 * state.rng.unit()))
         };
-        let claim = Claim { at: Instant::now(), server: self.index, job, state: Work::Waiting };
+        let claim = Claim { at: Instant::now(), server: self.index, job, state: WorkState::Waiting };
         if let Some(key) = &key {
             self.shared.keys.borrow_mut().insert(key.clone(), claim);
         }
-        let open = Open { class, order, work, key: key.clone(), done };
+        let open = OpenRequest { class, order, work, key: key.clone(), done };
         self.state.borrow_mut().open.insert(job, open);
         if self.with_model(|model, now, out| model.offer(now, job, work, out)) == Admission::Rejected {
             self.state.borrow_mut().open.remove(&job);
@@ -366,15 +369,15 @@
             answer.headers_mut().insert("x-not-processed", hyper::header::HeaderValue::from_static("1"));
             return answer;
         }
-        match answered.await {
-            Ok(()) => self.told(plain(StatusCode::OK, format!("{order:x}"))),
+        match completed.await {
+            Ok(()) => self.with_load_report(plain(StatusCode::OK, format!("{order:x}"))),
             Err(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "the server is ending"),
         }
     }
 
     /// An answer with what the server holds, where answers tell that.
-    fn told(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
-        if self.shared.tells.get() {
+    fn with_load_report(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
+        if self.shared.reports_load.get() {
             let load = self.with_model(|model, now, out| model.load(now, out));
             let text = serde_json::json!({"outstanding": load.held, "backlog": load.waiting}).to_string();
             if let Ok(value) = hyper::header::HeaderValue::from_str(&text) {
@@ -385,13 +388,13 @@
     }
 
     /// The answer to a key that the cell remembers, once its first request is over.
-    async fn repeat(&self, key: &(u16, String)) -> Option<Response<Full<Bytes>>> {
+    async fn remembered_response(&self, key: &(u16, String)) -> Option<Response<Full<Bytes>>> {
         loop {
             let claim = self.shared.keys.borrow().get(key).copied();
             match claim.filter(|c| c.at.elapsed() < self.shared.window) {
                 None => return None,
-                Some(claim) if claim.state == Work::Over => return Some(plain(StatusCode::OK, "known")),
-                Some(_) => tokio::time::sleep(LOOK_AGAIN).await,
+                Some(claim) if claim.state == WorkState::Done => return Some(plain(StatusCode::OK, "known")),
+                Some(_) => tokio::time::sleep(CLAIM_POLL_INTERVAL).await,
             }
         }
     }
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -1,12 +1,12 @@
 //! What the stand-ins serve: the shop, and a second site that shares nothing with it, so that nothing is fitted to one.
 
-use crate::client::{Class, Repeat};
+use crate::client::{Class, Idempotency};
 use crate::fleet::{capacity, Plan};
 use serde_json::{json, Value};
 use std::time::Duration;
 
 /// For how long a cell remembers a key.
-pub(crate) const WINDOW: Duration = Duration::from_secs(2);
+pub(crate) const REPEAT_WINDOW: Duration = Duration::from_secs(2);
 
 /// A site: its classes, tenants, and what it lets nodes know.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -28,26 +28,26 @@
     }
 
     /// The one of that name.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         [Site::Shop, Site::Clinic].into_iter().find(|site| site.name() == name)
     }
 
     /// Its classes.
     pub fn classes(self) -> Vec<Class> {
-        let class = |name, repeat, [promise, deadline]: [u64; 2], share| {
+        let class = |name, idempotency, [promise, deadline]: [u64; 2], share| {
             let [promise, deadline] = [promise, deadline].map(Duration::from_millis);
-            Class { name, repeat, deadline, promise, share }
+            Class { name, idempotency, deadline, promise, share }
         };
         match self {
             Site::Shop => vec![
-                class("browse", Repeat::Safe, [350, 900], 0.35),
-                class("gem-topup", Repeat::Keyed, [350, 900], 0.20),
-                class("item-buy", Repeat::Unsafe, [350, 900], 0.45),
+                class("browse", Idempotency::Safe, [350, 900], 0.35),
+                class("gem-topup", Idempotency::Keyed, [350, 900], 0.20),
+                class("item-buy", Idempotency::Unsafe, [350, 900], 0.45),
             ],
             Site::Clinic => vec![
-                class("lookup", Repeat::Safe, [200, 500], 0.55),
-                class("book-slot", Repeat::Keyed, [600, 1500], 0.30),
-                class("dispense", Repeat::Unsafe, [900, 1900], 0.15),
+                class("lookup", Idempotency::Safe, [200, 500], 0.55),
+                class("book-slot", Idempotency::Keyed, [600, 1500], 0.30),
+                class("dispense", Idempotency::Unsafe, [900, 1900], 0.15),
             ],
         }
     }
@@ -61,7 +61,7 @@
     }
 
     /// Whether clients say how much work an order is.
-    pub fn hinted(self) -> bool {
+    pub fn sends_cost_hints(self) -> bool {
         self == Site::Shop
     }
 
@@ -70,12 +70,12 @@
         let ns = |d: Duration| d.as_nanos() as u64;
         let shop = self == Site::Shop;
         let profile = |c: &Class| {
-            let effect = match c.repeat {
-                Repeat::Safe => "free",
-                Repeat::Keyed => "guarded",
-                Repeat::Unsafe => "single_shot",
+            let effect = match c.idempotency {
+                Idempotency::Safe => "free",
+                Idempotency::Keyed => "guarded",
+                Idempotency::Unsafe => "single_shot",
             };
-            json!({"name": c.name, "effect": effect, "key_scope": "cell", "repeat_window_ns": ns(WINDOW),
+            json!({"name": c.name, "effect": effect, "key_scope": "cell", "repeat_window_ns": ns(REPEAT_WINDOW),
                    "promise_ns": ns(c.promise), "deadline_ns": ns(c.deadline), "importance": 1.0})
         };
         let capacity = capacity(plan);
