--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of nodes: they place orders, wait no longer than their time, and come again only where that is harmless.
+//! HTTP clients of the nodes. They send orders, enforce a deadline and retry only where a repeated run is harmless.
 
 use crate::results::OrderOutcome;
 use bytes::Bytes;
@@ -14,51 +14,52 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Before an order is placed again where nobody said how long to wait.
+/// Delay per attempt before a retry when the response carries no `Retry-After`.
 const BACKOFF: Duration = Duration::from_millis(50);
 
-/// What may be done again with orders of a class.
+/// Which retries are safe for the orders of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Anything: they are safe, and sent as GET.
+    /// Idempotent: sent as GET and retried after any failure.
     Safe,
-    /// They carry a key. A client that can't tell which servers remember it comes again only after a refusal.
+    /// Carries an idempotency key. A client does not know which servers remember the key, so it retries only after a
+    /// refusal.
     Keyed,
-    /// Nothing, unless refused.
+    /// Retried only after a refusal.
     Unsafe,
 }
 
-/// A class as clients see it.
+/// A class of orders as clients see it.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name, the first part of the path.
+    /// Name of the class, the first segment of the path.
     pub name: &'static str,
-    /// How far orders may be repeated.
+    /// Which retries are safe.
     pub idempotency: Idempotency,
-    /// How long clients wait, all tries together.
+    /// Time limit of an order, over all attempts.
     pub deadline: Duration,
-    /// An answer within this counts in full.
+    /// A response within this time counts as in time.
     pub promise: Duration,
-    /// Its part of all orders.
+    /// Fraction of all orders that belong to this class.
     pub share: f64,
 }
 
-/// One order.
+/// An order: one logical request that may take several attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Order<'a> {
-    /// Its class.
+    /// Class of the order.
     pub class: &'a Class,
-    /// Its number, part of each try's id and its key.
+    /// Number of the order; it is part of each attempt's request id and is the idempotency key.
     pub number: u64,
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: &'a str,
     /// Expected work in seconds.
     pub work: f64,
-    /// Whether nodes are told it.
+    /// Whether the work is sent to nodes as a cost hint (`x-cost`).
     pub sends_cost_hints: bool,
 }
 
-/// The clients' side of a set of nodes, with the connections that rest.
+/// Clients of a set of nodes, with a pool of idle connections for each node.
 pub struct Clients {
     nodes: Vec<SocketAddr>,
     slack: Duration,
@@ -67,22 +68,23 @@
 
 pub(crate) type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// What came of one try.
+/// Result of one attempt.
 enum Reply {
     Answered(StatusCode, Option<Duration>),
-    /// Nothing was sent.
+    /// The request was not sent.
     Unsent,
     Broken,
 }
 
 impl Clients {
-    /// Clients that know these nodes and listen for an answer so much longer than they say.
+    /// Creates clients of these nodes. They wait for a response until `slack` after an order's deadline.
     pub fn new(nodes: Vec<SocketAddr>, slack: Duration) -> Self {
         let idle = nodes.iter().map(|_| RefCell::default()).collect();
         Clients { nodes, slack, idle }
     }
 
-    /// Places an order, first with the node of this number (counted round), and stays with it to its end.
+    /// Sends an order, first to node `first` modulo the number of nodes, and retries at the next node until it has an
+    /// outcome.
     pub async fn place(&self, order: Order<'_>, first: usize) -> OrderOutcome {
         let placed = Instant::now();
         let due = placed + order.class.deadline;
@@ -113,15 +115,15 @@
         }
     }
 
-    /// Whether a node says that it is ready.
+    /// Returns whether a node reports that it is ready.
     pub async fn ready(&self, node: usize) -> bool {
         let request = Request::get("/health/ready").header("host", "shop").body(Full::default());
         let reply = self.attempt(node, request.expect("a fixed request is valid")).await;
         matches!(reply, Reply::Answered(StatusCode::OK, _))
     }
 
-    /// One try. A connection that was kept may have been closed in the moment of its use; what hyper hands back unsent
-    /// goes out once more on a new one.
+    /// Makes one attempt. A pooled connection may be closed just as it is used: a request that hyper returns unsent is
+    /// sent once more on a new connection.
     async fn attempt(&self, node: usize, mut request: Request<Full<Bytes>>) -> Reply {
         loop {
             let kept = self.take_idle(node);
@@ -174,7 +176,7 @@
     }
 }
 
-/// A new connection, driven by a task of its own.
+/// Opens a connection and drives it in a task of its own.
 pub(crate) async fn connect(to: SocketAddr) -> Result<Sender, Box<dyn Error>> {
     let stream = TcpStream::connect(to).await?;
     let _ = stream.set_nodelay(true);
--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -1,7 +1,8 @@
-//! What a request costs a node: CPU time, latency and memory under a closed loop of clients, over HTTP/1.1 and over Thrift.
+//! Measures what a request costs a node: CPU time, latency and memory under a closed loop of clients, over HTTP/1.1 and
+//! Thrift.
 //!
-//! Servers answer at once and do nothing else, on a thread of their own; clients ask again as soon as they are answered.
-//! Figures depend on the machine; the ratios, taken in one run, less so.
+//! The servers answer at once and run on a thread of their own; each client sends its next request as soon as it has a
+//! response. Absolute figures depend on the machine, ratios taken within one run less so.
 
 use crate::fleet::{io, FleetError, NodeProcess};
 use crate::process::cpu_time;
@@ -15,12 +16,12 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How to ask.
+/// Protocol between clients, node and servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
     /// HTTP/1.1.
     Http,
-    /// Thrift, in frames.
+    /// Framed Thrift.
     Thrift(Protocol),
 }
 
@@ -33,37 +34,37 @@
     }
 }
 
-/// What to measure.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The node's program.
+    /// Path of the node's binary.
     pub binary: PathBuf,
-    /// How clients ask.
+    /// Protocol of the requests.
     pub transport: Transport,
-    /// Whether servers are probed for their load.
+    /// Whether the node probes the servers for their load.
     pub probes: bool,
-    /// Clients, each with one request at a time.
+    /// Number of clients, each with one request in flight.
     pub clients: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// For how long, after a short time that doesn't count.
+    /// Length of the measurement, which begins after a warm-up of 500 ms.
     pub length: Duration,
 }
 
-/// What came of it.
+/// Result of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// Requests served.
+    /// Number of successful responses.
     pub served: u64,
-    /// Other answers.
+    /// Number of other responses.
     pub other: u64,
-    /// The node's CPU time for each of both, in microseconds.
+    /// CPU time of the node per response of either kind, in microseconds.
     pub cpu_us: f64,
     /// Median latency.
     pub p50: Duration,
-    /// Latency of the slowest hundredth.
+    /// 99th percentile of the latency.
     pub p99: Duration,
-    /// The most memory that it held, in KiB.
+    /// Peak resident memory of the node in KiB.
     pub peak_kib: u64,
 }
 
@@ -83,10 +84,10 @@
     }
 }
 
-/// Bodies, and the strings in Thrift calls, hold so much.
+/// Length of bodies and of the strings in Thrift messages.
 const BODY_BYTES: usize = 128;
 
-/// A Thrift message with one string, in a frame.
+/// Builds a framed Thrift message with one string field.
 fn thrift_message(protocol: Protocol, kind: MessageType, seqid: i32) -> Vec<u8> {
     fn fill(writer: &mut impl Writer, kind: MessageType, seqid: i32) {
         writer.header(kind, "browse", seqid, true);
@@ -103,7 +104,7 @@
     bytes
 }
 
-/// A load report in the form that the settings below name.
+/// Builds a load report with the field ids that the operator's file in [`measure`] configures.
 fn thrift_load(protocol: Protocol, seqid: i32) -> Vec<u8> {
     fn fill(writer: &mut impl Writer, seqid: i32) {
         writer.header(MessageType::Reply, "load", seqid, true);
@@ -122,7 +123,8 @@
     bytes
 }
 
-/// A server that answers at once, on a runtime of its own thread's, until the process ends.
+/// Starts servers that answer at once, on a thread with its own runtime, until the process ends. Returns their
+/// addresses.
 fn serve(transport: Transport, servers: usize) -> std::io::Result<Vec<SocketAddr>> {
     let listeners: Vec<TcpListener> =
         (0..servers).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
@@ -162,7 +164,7 @@
     }
 }
 
-/// The answer to the first whole request, and that one's length.
+/// Returns the length of the first complete request in the buffer and the response to it.
 fn reply(transport: Transport, held: &[u8]) -> Option<(usize, Vec<u8>)> {
     match transport {
         Transport::Http => {
@@ -191,7 +193,8 @@
     }
 }
 
-/// One client: asks until the end, and returns the latencies of what counts and how many answers were no service.
+/// Runs one client until `to`. Returns the latencies in microseconds of successful requests sent after `from`, and the
+/// number of other responses to such requests.
 fn run_client(
     transport: Transport,
     address: SocketAddr,
@@ -254,14 +257,14 @@
     Ok((latencies, other))
 }
 
-/// The process's CPU time so far, by its only thread.
+/// Peak resident memory of a process in KiB.
 fn peak_kib(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let peak = text.lines().find_map(|l| l.strip_prefix("VmHWM:"));
     peak.and_then(|p| p.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0)
 }
 
-/// Starts servers and a node, plays the load, and ends the node. Has to run inside a `tokio::task::LocalSet`.
+/// Starts servers and a node, runs the load and ends the node. Must run inside a `tokio::task::LocalSet`.
 pub async fn measure(plan: &Plan) -> Result<Cost, FleetError> {
     let addresses = serve(plan.transport, plan.servers).map_err(io("the servers"))?;
     let registry = Registry::start().await.map_err(io("the registry"))?;
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback: modelled servers, a registry, real nodes and clients, with a fault script played on them.
+//! A fleet on loopback: modelled servers, a registry, real nodes and clients, with faults injected by a script.
 
 use crate::client::{Class, Clients, Idempotency, Order};
 use crate::process::{self, ConfigFile};
@@ -21,69 +21,69 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// For a node to start, to be ready, or to end.
+/// Time limit for a node to start, to become ready or to exit.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
-/// Before the address in the line by which a node tells where it listens.
+/// Text before the address in the log line that announces a listener.
 pub(crate) const LISTENING: &str = "listening on ";
-/// Between a death and the registry's word on it.
+/// Delay between the death of a server and its announcement by the registry.
 const DEATH_NOTICE_DELAY: Duration = Duration::from_millis(1500);
-/// Between any other change and the registry's word on it.
+/// Delay between any other change and its announcement by the registry.
 const NOTICE_DELAY: Duration = Duration::from_millis(100);
 
 /// What to build and how long to run it.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The node's program.
+    /// Path of the node's binary.
     pub binary: PathBuf,
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many servers, four to a cell.
+    /// Number of servers, four to a cell.
     pub servers: usize,
-    /// Cores of each.
+    /// Number of cores of each server.
     pub cores: usize,
     /// Mean work of an order, in seconds.
     pub work: f64,
-    /// Orders placed, as a part of what all servers can do.
+    /// Rate of orders as a fraction of the capacity of all servers.
     pub load: f64,
-    /// For how long orders are placed.
+    /// How long orders are sent.
     pub length: Duration,
-    /// How long a server that starts takes to be warm.
+    /// Warm-up time of a server that starts cold.
     pub warm_up: Duration,
-    /// An answer that comes no later than this after its time is not held against a node.
+    /// Clients still accept a response that comes this long after the deadline.
     pub slack: Duration,
-    /// What is served.
+    /// The site that is served.
     pub site: Site,
-    /// What goes wrong, and the seed.
+    /// The faults and the random seed.
     pub script: Script,
 }
 
-/// Why a fleet could not be run.
+/// Why a fleet could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A socket or a process could not be had.
+    /// A socket or a process could not be created.
     #[error("{what}: {source}")]
     Io {
-        /// What for.
+        /// What failed.
         what: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A node ended by itself.
+    /// A node exited without being told to.
     #[error("node n{node} ended with {status}; its last words: {log}")]
     Ended {
-        /// Which.
+        /// Number of the node.
         node: usize,
-        /// How.
+        /// Exit status of the node.
         status: ExitStatus,
-        /// The end of its log.
+        /// Last lines of the node's log.
         log: String,
     },
-    /// A node was not ready in time.
+    /// A node did not become ready in time.
     #[error("node n{node} was not ready within 20 s; its last words: {log}")]
     NotReady {
-        /// Which.
+        /// Number of the node.
         node: usize,
-        /// The end of its log.
+        /// Last lines of the node's log.
         log: String,
     },
 }
@@ -107,7 +107,7 @@
     }
 }
 
-/// A node's process with the end of its log.
+/// A node's process and the last lines of its log.
 pub(crate) struct NodeProcess {
     number: usize,
     child: Child,
@@ -118,7 +118,7 @@
 }
 
 impl NodeProcess {
-    /// Starts a node, with an operator's file if one is given.
+    /// Starts a node, with an operator's file if one is given, and waits until it listens.
     pub(crate) async fn start(
         binary: &Path,
         number: usize,
@@ -160,7 +160,7 @@
         Ok(NodeProcess { number, child, address, log, config, _files: [Some(file), operator] })
     }
 
-    /// Its HTTP listener, once it says that it is ready.
+    /// Waits until the node reports that it is ready, and returns the address of its HTTP listener.
     pub(crate) async fn ready(&self) -> Result<SocketAddr, FleetError> {
         let client = Clients::new(vec![self.address], Duration::ZERO);
         let ready = async {
@@ -172,7 +172,8 @@
         timeout(PROCESS_TIMEOUT, ready).await.map(|()| self.address).map_err(not_ready)
     }
 
-    /// The listener that it logged last, once its log holds a text as often as there are listeners.
+    /// Waits until the log holds `text` once for each listener, and returns the address of the listener that was logged
+    /// last.
     pub(crate) async fn last_address(&self, text: &str) -> Result<SocketAddr, FleetError> {
         let logged = async {
             loop {
@@ -191,22 +192,22 @@
         timeout(PROCESS_TIMEOUT, logged).await.map_err(not_ready)
     }
 
-    /// Its process's number.
+    /// Process id, or 0 after the process has exited.
     pub(crate) fn pid(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 }
 
-/// What is under way, once a second and whenever a fault is played.
+/// Progress of a run, reported once a second and for each fault.
 pub enum Report<'a> {
-    /// So much time has passed, and this is in the books.
+    /// Time since the start, and the results so far.
     Progress(Duration, &'a Results),
-    /// This is done now.
+    /// Time since the start, and the fault that is injected now.
     Injection(Duration, &'a Injection),
 }
 
-/// Builds the fleet, plays the script while clients place orders, waits for the last answer, and returns the books.
-/// Has to run inside a `tokio::task::LocalSet`.
+/// Builds the fleet, runs the script while clients send orders, waits for the last response and returns the results.
+/// Must run inside a `tokio::task::LocalSet`.
 pub async fn play(plan: Plan, mut report: impl FnMut(Report)) -> Result<Results, FleetError> {
     let classes = plan.site.classes();
     let results = Results::new(
@@ -265,7 +266,7 @@
         Ok::<_, FleetError>(fleet.nodes)
     };
     let mut nodes = faults.await?;
-    // No order waits for longer than its deadline.
+    // No order outlives its deadline.
     let _ = timeout(PROCESS_TIMEOUT, clients_task).await;
     for (n, node) in nodes.iter_mut().enumerate() {
         let what = || format!("ending node n{n}");
@@ -299,12 +300,12 @@
     registry: &'a Rc<Registry>,
     servers: &'a [Rc<Server>],
     nodes: Vec<NodeProcess>,
-    /// Those that take time.
+    /// Injections that take time to complete.
     pending: JoinSet<Result<(), FleetError>>,
 }
 
 impl Fleet<'_> {
-    /// A node that ended by itself ends the run.
+    /// Fails if a node has exited without being told to.
     fn check(&mut self) -> Result<(), FleetError> {
         for (node, process) in self.nodes.iter_mut().enumerate() {
             if let Ok(Some(status)) = process.child.try_wait() {
@@ -316,7 +317,7 @@
 
     async fn inject(&mut self, injection: &Injection, rng: &mut Rng) -> Result<(), FleetError> {
         match *injection {
-            // The rig's: whoever reads scripts for this fleet turns them down.
+            // Only the rig injects these; callers that parse scripts for this fleet reject them.
             Injection::Nodes(..) | Injection::Wire(_) => {}
             Injection::RegistrySilent(length) => self.registry.silence(length),
             Injection::Node(n, fault) => {
@@ -386,7 +387,7 @@
     Ok(())
 }
 
-/// Places orders at random times until the plan's end, and waits for all to end.
+/// Sends orders at random times until the end of the plan, and waits until all have an outcome.
 async fn place_orders(plan: Plan, classes: Vec<Class>, clients: Rc<Clients>, shared: Rc<Shared>) {
     let classes = Rc::new(classes);
     let rate = plan.load * (plan.servers * plan.cores) as f64 / plan.work;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,15 +1,16 @@
-//! Stand-ins for everything round a node, on loopback: what a newcomer sees run, and what tests break.
+//! Stand-ins for what surrounds a node, on loopback, for the demonstration and for tests that inject faults.
 //!
-//! Two ways to stand in:
+//! There are two kinds:
 //!
-//! - [`scripted`]: neighbours played byte by byte, for a test of one moment.
-//! - a modelled fleet: [`server`]s whose work, queue, cold start and freezes come from the laboratory's
-//!   [model](birchswitch_lab::model), a [`registry`] that
-//!   speaks the platform's discovery, [`client`]s with deadlines and retries, and a fault [`script`] that says what
-//!   goes wrong and when. [`fleet`] puts them round real nodes and keeps [`book`] of all that was asked, run and
-//!   answered.
+//! - [`scripted`]: peers that a test drives byte by byte.
+//! - a modelled fleet: [`server`]s whose work, queue, cold start and freezes follow the laboratory's
+//!   [model](birchswitch_lab::model), a [`registry`] that speaks the platform's discovery protocol, [`client`]s with
+//!   deadlines and retries, and a fault [`script`] that says what fails and when. [`fleet`] runs them with real nodes
+//!   and records in [`results`] what was requested, run and answered.
 //!
-//! A model takes time as an argument and does no I/O; the shells round it are thin. Randomness comes from one seed.
+//! [`rig`] runs many processes of the real node and injects faults into the processes and the network between them.
+//!
+//! The model takes time as an argument and does no I/O. All randomness is derived from one seed.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `birchswitch-standin`: plays the stand-ins round the real node, as a demonstration.
+//! `birchswitch-standin`: runs real nodes among stand-ins, as a demonstration and for fault and scale runs.
 
 #![forbid(unsafe_code)]
 
@@ -22,7 +22,7 @@
 use std::process::{Command, ExitCode};
 use std::time::Duration;
 
-/// Stand-in servers, registry and clients round the real node, on loopback.
+/// Stand-in servers, registry and clients for real nodes, on loopback.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -32,127 +32,129 @@
 
 #[derive(Subcommand)]
 enum Subcommands {
-    /// A launch minute: a freeze, a deploy with cold successors and a death, and a table of what came of it.
+    /// Run a site for a minute with a freeze, a rolling deploy, a server's death and its restart, and print a table of
+    /// the results
     Demo(DemoArguments),
-    /// Many processes with a wire in user space between them: the hard cases of membership, and a table of what came of them
+    /// Run membership and lease cases among many processes with faults on the network between them, and print a table
+    /// of the results
     Rig(RigArguments),
-    /// Leases among processes in figures: a next holder after the last one's end, and random faults for as long as wanted
+    /// Measure lease takeovers after a holder's end, and check leases under random faults
     Leases(LeaseArguments),
-    /// Limits, wallet, verdicts and weights of one fleet at once, under random faults for as long as wanted
+    /// Run limits, wallet, verdicts and weights of one fleet together under random faults
     Common(CommonArguments),
-    /// What a fleet with all its fleet-wide parts on costs as it grows, size by size, without clients
+    /// Measure what a fleet costs as it grows, with all fleet-wide functions enabled and without clients
     Scale(scale_command::Arguments),
-    /// What a request costs a node over HTTP and Thrift: CPU time, latency, memory, and their ratios
+    /// Measure the CPU time, latency and memory that a request costs a node over HTTP and Thrift
     Cost(CostArguments),
 }
 
 #[derive(Args)]
 struct RigArguments {
-    /// Cases to play, as `--list` names them; all where none is named
+    /// Cases to run, by the names that `--list` prints; all if none is given
     cases: Vec<String>,
-    /// Name the cases and their scripts, and play none
+    /// Print the names and scripts of the cases, and run none
     #[arg(long)]
     list: bool,
-    /// The seed
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Runs of each case, with seeds one after the other
+    /// Runs of each case, with consecutive seeds
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     runs: u64,
-    /// Play no case; measure what so many processes cost that have nothing to do
+    /// Run no case; measure what this many idle processes cost
     #[arg(long, value_parser = clap::value_parser!(u16).range(3..=100))]
     idle: Option<u16>,
-    /// Write each run's events, one JSON line each, to a file of its name in this folder
+    /// Write the events of each run to CASE-SEED.jsonl in this folder, one JSON line per event
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// A node's program to run in place of this workspace's own
+    /// Node binary to run in place of the one from this workspace
     #[arg(long)]
     node: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct LeaseArguments {
-    /// Holders' processes to kill, one after the other
+    /// Number of lease holders to kill, one after the other
     #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u16).range(0..=1000))]
     kills: u16,
-    /// Holders' processes to end by SIGTERM
+    /// Number of lease holders to end with SIGTERM
     #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u16).range(0..=1000))]
     ends: u16,
     /// Minutes of random faults
     #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u16).range(0..=1000))]
     minutes: u16,
-    /// The seed
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A node's program to run in place of this workspace's own
+    /// Node binary to run in place of the one from this workspace
     #[arg(long)]
     node: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct CommonArguments {
-    /// Nodes
+    /// Number of nodes
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u16).range(4..=40))]
     nodes: u16,
     /// Minutes of random faults
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u16).range(1..=1000))]
     minutes: u16,
-    /// The seed
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A node's program to run in place of this workspace's own
+    /// Node binary to run in place of the one from this workspace
     #[arg(long)]
     node: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct CostArguments {
-    /// Rounds; a figure is the median of them
+    /// Rounds; each figure is the median of all rounds
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u16).range(1..=50))]
     rounds: u16,
     /// Length of each measurement in seconds
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=60))]
     seconds: u16,
-    /// Clients, each with one request at a time
+    /// Number of clients, each with one request in flight
     #[arg(long, default_value_t = 32, value_parser = clap::value_parser!(u16).range(1..=256))]
     clients: u16,
-    /// A node's program to run in place of this workspace's own
+    /// Node binary to run in place of the one from this workspace
     #[arg(long)]
     node: Option<PathBuf>,
-    /// Another build of the node, to measure beside it over HTTP
+    /// Another node binary to measure for comparison over HTTP
     #[arg(long)]
     beside: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct DemoArguments {
-    /// Nodes
+    /// Number of nodes
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=64))]
     nodes: u16,
-    /// Servers, four to a cell
+    /// Number of servers, four to a cell
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u16).range(1..=200))]
     servers: u16,
-    /// Orders placed, as a part of what all servers can do
+    /// Rate of orders as a fraction of the capacity of all servers
     #[arg(long, default_value_t = 0.6, value_parser = part)]
     load: f64,
     /// Length in seconds
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u16).range(1..=600))]
     seconds: u16,
-    /// What is served: `shop`, or `clinic`, which shares nothing with it
+    /// Site to serve: `shop`, or `clinic`, whose classes and settings all differ
     #[arg(long, default_value = "shop", value_parser = site)]
     site: Site,
-    /// A fault script to play in place of the launch minute's own
+    /// Fault script to run in place of the default one
     #[arg(long)]
     script: Option<PathBuf>,
-    /// The seed, in place of the script's
+    /// Random seed, in place of the script's
     #[arg(long)]
     seed: Option<u64>,
-    /// A node's program to run in place of this workspace's own
+    /// Node binary to run in place of the one from this workspace
     #[arg(long)]
     node: Option<PathBuf>,
 }
 
-/// The launch minute, for the default fleet.
+/// Default fault script, for the default fleet.
 const LAUNCH_SCRIPT: &str = "\
 seed 7
 8s   s2      freeze 1500ms
@@ -411,7 +413,8 @@
     );
     for probes in [false, true] {
         println!("{}", if probes { "with probes" } else { "without probes" });
-        // The machine's speed changes by the second: each round asks all ways, and ratios are taken within it.
+        // The machine's speed varies from second to second: each round measures all transports, and ratios are taken
+        // within a round.
         let mut rounds = Vec::new();
         for _ in 0..arguments.rounds {
             let round = cases.iter().map(|(_, binary, transport)| one(binary, *transport, probes));
@@ -439,7 +442,7 @@
     }
 }
 
-/// Builds the node beside this program, where cargo started it, and says where it is.
+/// Builds the node if cargo started this program, and returns the path of its binary.
 fn build_node() -> Result<PathBuf, Box<dyn Error>> {
     let binary = process::node_binary()?;
     if let Some(cargo) = std::env::var_os("CARGO") {
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -1,4 +1,4 @@
-//! A node's process: its configuration in a file of its own, its log, signals.
+//! Processes of nodes: configuration files, logs, signals, and what `/proc` says of them.
 
 use command_fds::{CommandFdExt, FdMapping};
 use std::cell::RefCell;
@@ -15,16 +15,16 @@
 use tokio::signal::unix::{signal as unix_signal, SignalKind};
 use tokio::task::LocalSet;
 
-/// Held while a process starts and while a socket is closed. Between fork and exec a child holds copies of all sockets
-/// of the tests beside it, so that one closed meanwhile stays open for its peer: a closing would come late, and a
-/// connection that is to be refused would be taken.
+/// Held while a process is spawned and while a socket is closed. Between fork and exec a child holds copies of all
+/// sockets of tests that run in parallel, so a socket that is closed meanwhile stays open for its peer: the close would
+/// be seen late, and a connection that should be refused would be accepted.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 pub(crate) fn lock_spawning() -> MutexGuard<'static, ()> {
     SPAWN_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// The node's binary, which cargo puts beside every program and test of the workspace that it builds.
+/// Path of the node's binary, which cargo puts beside the programs and tests of the workspace.
 pub fn node_binary() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let folder = own.parent().unwrap_or(Path::new("."));
@@ -32,36 +32,36 @@
     Ok(folder.join("birchswitch"))
 }
 
-/// A configuration file in a folder that goes when this is dropped.
+/// A configuration file in a temporary folder that is removed on drop.
 #[derive(Debug)]
 pub struct ConfigFile(TempDir);
 
 impl ConfigFile {
-    /// Writes it.
+    /// Writes the file into a new folder.
     pub fn new(text: &str) -> io::Result<Self> {
         let file = ConfigFile(tempfile::tempdir()?);
         file.replace(text)?;
         Ok(file)
     }
 
-    /// Where it is.
+    /// Path of the file.
     pub fn path(&self) -> PathBuf {
         self.0.path().join("config.json")
     }
 
-    /// Writes it anew.
+    /// Overwrites the file.
     pub fn replace(&self, text: &str) -> io::Result<()> {
         std::fs::write(self.path(), text)
     }
 }
 
-/// Starts a node with nothing in its environment but its configuration and these variables. Its log is piped; it is
-/// killed when dropped.
+/// Starts a node whose environment holds only the path of its configuration and `variables`. Its standard error is
+/// piped; the process is killed on drop.
 pub fn start(binary: &Path, config: &ConfigFile, variables: &[(&str, &str)]) -> io::Result<Child> {
     start_inheriting(binary, config, variables, None)
 }
 
-/// The same, with a socket that the process inherits under a number of its own.
+/// Like [`start`], with a socket that the process inherits under the given descriptor.
 pub fn start_inheriting(
     binary: &Path,
     config: &ConfigFile,
@@ -79,8 +79,8 @@
     command.spawn()
 }
 
-/// Runs a future to its end on this thread, on a `LocalSet` as everything here wants one. What it left running goes with it, also when
-/// this process is told to end by SIGINT or SIGTERM: that is an error of the kind `Interrupted`.
+/// Runs a future to completion on this thread, inside a `LocalSet`. Tasks that it left running are dropped with it. On
+/// SIGINT or SIGTERM the future is dropped too, and the result is an error of kind `Interrupted`.
 pub fn block_on<T>(future: impl Future<Output = T>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -94,24 +94,24 @@
     })
 }
 
-/// Time that a process's first thread was given.
+/// CPU time of a process's first thread.
 pub fn cpu_time(pid: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).unwrap_or_default();
     Duration::from_nanos(text.split(' ').next().and_then(|n| n.parse().ok()).unwrap_or(0))
 }
 
-/// Whether a process is there, and not only left for its parent to ask after.
+/// Returns whether a process exists and is not a zombie.
 pub fn is_running(pid: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     status.contains(") ") && !status.contains(") Z")
 }
 
-/// The address that a line of a node's log tells after some words.
+/// Parses the address that follows `words` in a log line.
 pub(crate) fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
     line.split(words).nth(1)?.trim().parse().ok()
 }
 
-/// Keeps a line of a log, and of those before it no more than a screenful.
+/// Appends a line to a log and drops the oldest lines beyond 4096 bytes.
 pub(crate) fn append_log(log: &RefCell<String>, line: &str) {
     let mut log = log.borrow_mut();
     log.push_str(line);
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -1,4 +1,5 @@
-//! Discovery as the platform's protocol has it: the whole list, and a watch that brings changes line by line.
+//! A registry that speaks the platform's discovery protocol: complete lists, and a watch that sends changes line by
+//! line.
 
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -13,15 +14,15 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{timeout, Instant};
 
-/// An empty line comes this often while nothing changes.
+/// Interval of empty lines while nothing changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Longest head that is read.
+/// Longest request head that is read, in bytes.
 const MAX_HEAD: usize = 16 << 10;
 
-/// See the module's own words. Dropping it ends it.
+/// The registry's server. It stops accepting connections when it is dropped.
 pub struct Registry {
     address: SocketAddr,
-    /// Each member with the revision of its last change.
+    /// Members by id, each with the revision of its last change.
     members: RefCell<BTreeMap<String, (u64, Value)>>,
     revision: watch::Sender<u64>,
     silent_until: Cell<Option<Instant>>,
@@ -29,7 +30,7 @@
 }
 
 impl Registry {
-    /// Listens at a port that the system chooses.
+    /// Listens on a port that the system chooses.
     pub async fn start() -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let registry = Rc::new(Registry {
@@ -43,7 +44,7 @@
         let accepting = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let Some(registry) = weak.upgrade() else { return };
-                // A client that goes away or speaks no HTTP ends its own connection only.
+                // An error of one client ends only that client's connection.
                 spawn_local(async move { registry.serve(stream).await });
             }
         });
@@ -51,12 +52,12 @@
         Ok(registry)
     }
 
-    /// Where it listens.
+    /// Address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells a member's state from now on. One whose `phase` is `left` is gone from whole lists.
+    /// Publishes the state of a member. Complete lists omit a member whose `phase` is `left`.
     pub fn announce(&self, member: Value) {
         let id = member["id"].as_str().unwrap_or_default().to_owned();
         self.revision.send_modify(|revision| {
@@ -65,7 +66,7 @@
         });
     }
 
-    /// Neither speaks nor answers for so long. What is told meanwhile comes out afterwards.
+    /// Suspends all output for a time. Changes that are announced meanwhile are sent afterwards.
     pub fn silence(&self, length: Duration) {
         self.silent_until.set(Some(Instant::now() + length));
     }
@@ -76,7 +77,7 @@
         }
     }
 
-    /// What changed after a revision; all that is there for 0.
+    /// Members that changed after a revision; for revision 0, all that have not left.
     fn list(&self, since: u64) -> Value {
         let left = |member: &Value| member["phase"] == "left";
         let members = self.members.borrow();
@@ -120,7 +121,7 @@
     async fn watch(&self, mut stream: TcpStream, since: u64) -> io::Result<()> {
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         let mut revisions = self.revision.subscribe();
-        // A revision that was never given out comes from elsewhere: only the whole list helps.
+        // A revision that this registry never issued comes from another one: the client needs the complete list.
         let mut sent = if since > *revisions.borrow() { 0 } else { since };
         let mut first = true;
         loop {
--- a/crates/standin/src/results.rs
+++ b/crates/standin/src/results.rs
@@ -1,80 +1,80 @@
-//! The books: what was asked, what ran where, what was answered, and the tables made of that.
+//! Results of a run: what was requested, what ran where, what was answered, and the tables printed from that.
 
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
 
-/// How an order ended for the client that placed it.
+/// Outcome of an order for the client that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Served after so long, retries included.
+    /// Served after this time, retries included.
     Served(Duration),
-    /// Refused, with no time left to come again.
+    /// Refused, with no time left for another attempt.
     Refused,
-    /// Answered with no promise, or the connection broke.
+    /// Answered without a promise that nothing ran, or the connection broke.
     Failed,
-    /// No answer within the client's time: the node broke its word.
+    /// No answer within the client's time limit, which a node must never cause.
     Unanswered,
 }
 
-/// One class of orders.
+/// Results of one class of orders.
 #[derive(Clone, Debug)]
 pub struct ClassResults {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// An answer within this counts as in time.
+    /// An answer within this time counts as in time.
     pub promise: Duration,
-    /// Orders placed.
+    /// Orders sent.
     pub asked: u64,
-    /// Served late.
+    /// Orders served, but late.
     pub late: u64,
-    /// Refused in the end.
+    /// Orders refused at their last attempt.
     pub refused: u64,
-    /// Failed in the end.
+    /// Orders failed at their last attempt.
     pub failed: u64,
-    /// Never answered. Must be 0.
+    /// Orders never answered. Must be 0.
     pub unanswered: u64,
-    /// Latencies of what was served.
+    /// Latencies of the orders served.
     pub latencies: Vec<Duration>,
-    /// Runs beyond the first of each order. Must be 0 where requests may not all be repeated.
+    /// Runs beyond the first run of each order. Must be 0 unless the class is repeatable.
     pub run_twice: u64,
-    /// Whether orders may run more than once: what runs twice then is wasted work and no fault.
+    /// Whether orders may run more than once: further runs are then wasted work and no violation.
     pub repeatable: bool,
     runs: HashMap<u64, u32>,
 }
 
-/// One server.
+/// Results of one server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerResults {
-    /// Orders whose work it began.
+    /// Orders whose work began at this server.
     pub runs: u64,
-    /// Turned away unseen.
+    /// Orders turned away before any work.
     pub turned_away: u64,
     /// Probes answered.
     pub probes: u64,
-    /// The most that ever waited.
+    /// Longest queue.
     pub max_waiting: usize,
     /// Core-seconds of work begun.
     pub work: f64,
-    /// Times its process started.
+    /// Number of process starts.
     pub starts: u32,
-    /// Times it was pushed over while cold. Must be 0.
+    /// Times the server was overloaded until it collapsed while cold. Must be 0.
     pub fallen: u32,
 }
 
-/// All of it.
+/// Results of a whole run.
 #[derive(Clone, Debug, Default)]
 pub struct Results {
     /// By class.
     pub classes: Vec<ClassResults>,
     /// By server.
     pub servers: Vec<ServerResults>,
-    /// Seconds that it covers, and cores of each server: what the servers' load is a part of.
+    /// Length of the run in seconds and cores of each server, from which the servers' utilization is computed.
     pub span: (f64, usize),
 }
 
 impl Results {
-    /// Empty books for classes (name, promise, repeatable) and so many servers.
+    /// Creates empty results for classes (name, promise, repeatable) and servers.
     pub fn new(classes: impl IntoIterator<Item = (String, Duration, bool)>, servers: usize) -> Self {
         let class = |(name, promise, repeatable)| ClassResults {
             name,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// An order ended.
+    /// Records the outcome of an order.
     pub fn record_outcome(&mut self, class: usize, end: OrderOutcome) {
         let results = &mut self.classes[class];
         match end {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Work on an order has begun at a server.
+    /// Records that work on an order has begun at a server.
     pub fn record_run(&mut self, server: usize, class: usize, order: u64, work: f64) {
         self.servers[server].runs += 1;
         self.servers[server].work += work;
@@ -120,7 +120,8 @@
         results.run_twice += u64::from(*runs > 1);
     }
 
-    /// What must never be: orders without an answer, orders run twice that may not be, servers pushed over.
+    /// Violations of what must always hold: each order has exactly one outcome and an answer, orders that must not be
+    /// repeated ran once, and no cold server collapsed.
     pub fn violations(&self) -> Vec<String> {
         let mut faults = Vec::new();
         for class in &self.classes {
@@ -151,7 +152,7 @@
     }
 }
 
-/// The value below which this part of the sorted values lies.
+/// The quantile `part` of sorted values.
 fn quantile(sorted: &[Duration], part: f64) -> Duration {
     let at = (sorted.len() as f64 * part) as usize;
     sorted.get(at.min(sorted.len().saturating_sub(1))).copied().unwrap_or_default()
@@ -203,7 +204,7 @@
 mod tests {
     use super::*;
 
-    /// Books that find no fault whatever happens would make every test on them worthless.
+    /// Guards against checks that never report anything, which would void every test that asserts on them.
     #[test]
     fn each_violation_is_reported() {
         let fresh = || Results::new([("buy".into(), Duration::from_millis(9), false)], 2);
--- a/crates/standin/src/rig/bounds.rs
+++ b/crates/standin/src/rig/bounds.rs
@@ -1,19 +1,20 @@
-//! What servers' books say of a bound: counted there, over every window, with no margin.
+//! Checks of rate and concurrency bounds against what servers recorded: every window counts, and there is no margin.
 
 use super::history::Nanos;
 use birchswitch_quota::bound;
 
-/// By how many requests the worst window W holds more than `per_s`·W + `burst`, of these in order; nothing or less: none does.
+/// Over all windows W, the most requests beyond `per_s`·W + `burst`. `at` is sorted; a result of 0 or less means that
+/// the bound holds.
 pub fn max_rate_excess(at: &[Nanos], per_s: f64, burst: f64) -> f64 {
     let Some(first) = at.first() else { return f64::NEG_INFINITY };
     bound::max_excess(at.iter().map(|at| (at - first) as f64 / 1e9), per_s, burst)
 }
 
-/// The most that overlap; what has no end goes on.
+/// The largest number of overlapping spans. A span without an end never ends.
 pub fn max_concurrent(spans: impl Iterator<Item = (Nanos, Option<Nanos>)>) -> usize {
     let mut marks: Vec<(Nanos, i64)> =
         spans.flat_map(|(from, to)| [Some((from, 1)), to.map(|to| (to, -1))]).flatten().collect();
-    // What ends at the moment in which another begins is over.
+    // At equal times ends sort before beginnings, so a span that ends as another begins does not overlap it.
     marks.sort_unstable();
     let mut sum = 0;
     marks
@@ -33,7 +34,7 @@
     #[test]
     fn bursts_within_a_window_exceed_the_rate() {
         let ms = |all: &[u64]| all.iter().map(|ms| ms * 1_000_000).collect::<Vec<_>>();
-        // One a tenth of a second.
+        // One request each tenth of a second.
         let even: Vec<Nanos> = (0..100).map(|n| n * 100_000_000).collect();
         assert!(max_rate_excess(&even, 10.0, 1.0).abs() < 1e-9);
         assert!(max_rate_excess(&even, 9.0, 1.0) > 8.0);
--- a/crates/standin/src/rig/cases.rs
+++ b/crates/standin/src/rig/cases.rs
@@ -1,4 +1,4 @@
-//! The hard cases of membership, each a script for the rig and what must hold of its history.
+//! Difficult cases of membership. Each is a script for the rig with expectations on the recorded history.
 
 use super::checker::Checker;
 use super::history::{now, History};
@@ -9,45 +9,46 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Within which all know of a death. In virtual time it is 5.1 s at 20% loss; processes share their cores with others.
+/// Time within which all survivors know of a death. In virtual time it is 5.1 s at 20% loss; here processes share their
+/// cores with others.
 const DETECTION_BOUND: Duration = Duration::from_secs(12);
-/// Within which there is one membership again. Asserted at 5 s in virtual time.
+/// Time within which all processes agree on one membership again. In virtual time 5 s are asserted.
 const AGREEMENT_BOUND: Duration = Duration::from_secs(20);
 
-/// What more must hold than every case's claims.
+/// An expectation beyond those that hold for every case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expectation {
-    /// Nobody is declared dead by anyone.
+    /// No member is declared dead.
     NoVerdict,
-    /// Nobody but these places, in a row.
+    /// Only members in this range of places are declared dead.
     VerdictsOnlyOn(usize, usize),
-    /// These places, in a row, declare nobody dead.
+    /// Members in this range of places declare nobody dead.
     NoVerdictBy(usize, usize),
-    /// The process at that place wrote a line of this kind.
+    /// The process at this place logged an event of this kind.
     Logged(usize, &'static str),
-    /// All of the case's nodes wrote no line of this kind.
+    /// No node of the case logged an event of this kind.
     NeverLogged(&'static str),
-    /// No process declared one member dead more often than this.
+    /// No process declared any one member dead more often than this.
     VerdictsAtMost(usize),
-    /// Places on the ring are even, within so many per cent of the mean, once they have settled.
+    /// The widest gap on the ring is at most this many percent above the mean, once positions have settled.
     EvenRing(u32),
 }
 
-/// A case.
+/// A case of membership.
 pub struct Case {
-    /// How it is called.
+    /// Name of the case.
     pub name: &'static str,
-    /// Nodes, and places beside them.
+    /// Number of nodes, and of further places for second processes.
     pub nodes: [usize; 2],
-    /// Its script; the seed is the run's.
+    /// Script of the case; the run's seed replaces the script's.
     pub script: &'static str,
-    /// What more must hold.
+    /// Expectations beyond those of every case.
     pub expectations: &'static [Expectation],
 }
 
 use Expectation::*;
 
-/// All cases. The short ones run in CI.
+/// All cases. CI runs the short ones.
 pub const CASES: &[Case] = &[
     Case { name: "kill", nodes: [12, 0], script: "1s n5 die\n14s n5 start", expectations: &[VerdictsOnlyOn(5, 5), EvenRing(15)] },
     Case { name: "kill-lossy", nodes: [12, 0], script: "0s wire lose 0.2\n1s n5 die\n15s wire lose 0", expectations: &[VerdictsOnlyOn(5, 5)] },
@@ -100,31 +101,31 @@
     },
     Case { name: "spoilt", nodes: [12, 0], script: "0s wire spoil 0.1\n0s wire shorten 0.1\n20s wire spoil 0\n20s wire shorten 0", expectations: &[NoVerdict] },
     Case { name: "seven-in-ten", nodes: [20, 0], script: "1s nodes:0.7 die\n25s wire lose 0", expectations: &[EvenRing(15)] },
-    // Sixty are there, and forty join at once.
+    // Forty nodes join sixty at the same time.
     Case { name: "forty-join", nodes: [100, 0], script: "1s n60-n99 end\n2s n60-n99 start", expectations: &[NoVerdict, EvenRing(15)] },
     Case { name: "tenth-at-a-time", nodes: [20, 0], script: "1s n0-n1 end\n1s n0-n1 start\n4s n2-n3 end\n4s n2-n3 start\n7s n4-n5 end\n7s n4-n5 start\n10s n6-n7 end\n10s n6-n7 start", expectations: &[NoVerdict, EvenRing(15)] },
 ];
 
-/// What a case came to.
+/// Result of a case.
 pub struct Outcome {
     /// What did not hold.
     pub violations: Vec<String>,
-    /// From the script's end until there was one membership.
+    /// Time from the end of the script until all processes agreed on one membership.
     pub agreed: Option<Duration>,
-    /// From deaths to each survivor's knowledge of them.
+    /// Time from each death until each survivor knew of it.
     pub detections: Vec<Duration>,
-    /// Verdicts reached.
+    /// Number of verdicts.
     pub verdicts: usize,
-    /// Datagrams a second that a node sent.
+    /// Datagrams that a node sent per second, on average.
     pub datagrams: f64,
-    /// All of it.
+    /// Events of the whole run.
     pub history: History,
 }
 
-/// Why a case could not be judged.
+/// Why a case could not be evaluated.
 #[derive(Debug, thiserror::Error)]
 pub enum CaseError {
-    /// Its script can't be read.
+    /// The script is not valid.
     #[error("script, {0}")]
     Script(#[from] ScriptError),
     /// The rig failed.
@@ -149,7 +150,7 @@
     }
 }
 
-/// Plays a case to its end and judges it.
+/// Runs a case and checks its history.
 pub async fn play(
     case: &Case,
     binary: PathBuf,
@@ -227,17 +228,17 @@
     })
 }
 
-/// What a quiet fleet costs each of its processes.
+/// What an idle fleet costs each of its processes.
 pub struct Idle {
-    /// Until all knew each other.
+    /// Time until all processes knew each other.
     pub agreed: Duration,
-    /// Parts of a core that a node's thread took: the mean and the most of all.
+    /// Fraction of a core used by a node's thread: mean and maximum over all nodes.
     pub cpu: [f64; 2],
-    /// Datagrams and bytes a second that a node sent.
+    /// Datagrams and bytes that a node sent per second.
     pub sent: [f64; 2],
 }
 
-/// Starts so many processes, lets them find each other and watches them for so long.
+/// Starts processes, waits until they agree on one membership, and measures them while idle.
 pub async fn idle(nodes: usize, binary: PathBuf, length: Duration) -> Result<Idle, RigError> {
     let plan = Plan { zones: 4, ..Plan::new(binary, nodes, Script::default()) };
     let mut rig = Rig::start(plan).await?;
--- a/crates/standin/src/rig/checker.rs
+++ b/crates/standin/src/rig/checker.rs
@@ -1,26 +1,26 @@
-//! Judges a [`History`] by what membership claims. It knows what the rig did and what processes wrote, and takes no process's
-//! word on another for true.
+//! Checks a [`History`] against what membership guarantees. Evidence is what the rig did and what each process logged
+//! of itself; what a process logs of another one is never taken as true.
 
 use super::history::{History, Line, Nanos, RigAction};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Nobody is to be declared dead who was out of reach for less than this.
+/// A member must not be declared dead after being unreachable for less than this.
 const TOLERATED_OUTAGE: Duration = Duration::from_secs(2);
-/// How finely spans are looked through.
+/// Interval at which spans are sampled, in nanoseconds.
 const SAMPLE_INTERVAL: u64 = 50_000_000;
 
-/// One process of a history.
+/// A process of a history.
 #[derive(Clone, Debug)]
 struct Process {
     place: usize,
     name: String,
     started: Nanos,
-    /// When it went; without a word if it was killed.
+    /// When the process ended, and whether it was killed, that is without announcing that it leaves.
     ended: Option<(Nanos, bool)>,
-    /// From when to when it was stopped.
+    /// Spans in which the process was stopped.
     stopped: Vec<(Nanos, Nanos)>,
-    /// How its lives are told apart, by its own first line.
+    /// Random number that identifies this incarnation of the member, from the process's first event.
     draw: Option<u64>,
 }
 
@@ -30,7 +30,7 @@
         at >= self.started && !ended && !self.stopped.iter().any(|(from, to)| (*from..*to).contains(&at))
     }
 
-    /// Runs all that time, never stopped.
+    /// Whether the process ran during the whole span, never stopped.
     fn ran_throughout(&self, from: Nanos, to: Nanos) -> bool {
         self.started <= from
             && self.ended.is_none_or(|(e, _)| e > to)
@@ -38,7 +38,7 @@
     }
 }
 
-/// A history, read.
+/// A history, prepared for checks.
 pub struct Checker<'a> {
     history: &'a History,
     processes: Vec<Process>,
@@ -47,7 +47,7 @@
 }
 
 impl<'a> Checker<'a> {
-    /// Reads a history up to its end.
+    /// Prepares a history that ends at `end`.
     pub fn new(history: &'a History, end: Nanos) -> Self {
         let mut processes: Vec<Process> = Vec::new();
         let mut cuts = vec![(0, BTreeSet::new())];
@@ -97,7 +97,8 @@
         &self.cuts[n].1
     }
 
-    /// Whether a question from one place and its answer can pass at that time, at once or through a third that runs.
+    /// Whether a probe and its answer can pass between two places at this time, directly or through a third process
+    /// that runs.
     fn reachable(&self, from: usize, to: usize, at: Nanos) -> bool {
         let cut = self.cut(at);
         let passes = |a, b| !cut.contains(&(a, b));
@@ -108,19 +109,19 @@
         both(from, to) || self.processes.iter().any(third)
     }
 
-    /// The process that wrote a line.
+    /// The process that logged a line.
     fn writer(&self, line: &Line) -> Option<&Process> {
         self.processes.iter().filter(|p| p.place == line.place).nth(line.start)
     }
 
-    /// What a process wrote.
+    /// The lines that a process logged.
     fn lines_of<'b>(&'b self, p: &'b Process) -> impl Iterator<Item = &'b Line> + 'b {
         let here = self.processes.iter().filter(|o| o.place == p.place);
         let start = here.take_while(|o| !std::ptr::eq(*o, p)).count();
         self.history.lines.iter().filter(move |l| (l.place, l.start) == (p.place, start))
     }
 
-    /// Verdicts on members that ran and could be reached within the last 2 s.
+    /// Verdicts on members that were running and reachable at some time within the last 2 s.
     pub fn false_verdicts(&self) -> Vec<String> {
         let mut found = Vec::new();
         for line in self.history.lines.iter().filter(|l| l.kind == "verdict") {
@@ -132,7 +133,7 @@
             };
             let reached = |at: Nanos| on.is_running(at) && self.reachable(by.place, on.place, at);
             let span = TOLERATED_OUTAGE.as_nanos() as u64;
-            // The last moment is left out: a fault that ended just now was there.
+            // The last 200 ms before the verdict are not sampled, since a fault may have ended just then.
             let mut at = line.at.saturating_sub(span);
             while at + 4 * SAMPLE_INTERVAL < line.at {
                 if reached(at) {
@@ -149,7 +150,8 @@
         found
     }
 
-    /// Deaths without a word that some did not know of within the bound, though they ran all the while and nothing was cut.
+    /// Deaths by kill that some process did not learn of within the bound, although it ran all the time and no link was
+    /// cut.
     pub fn missed_deaths(&self, bound: Duration) -> Vec<String> {
         let mut found = Vec::new();
         for (dead, killed, until, by, took) in self.deaths() {
@@ -165,13 +167,13 @@
         found
     }
 
-    /// Times from each death to each survivor's knowledge of it.
+    /// Time from each death until each survivor knew of it.
     pub fn detections(&self) -> Vec<Duration> {
         self.deaths().into_iter().filter_map(|d| d.4).collect()
     }
 
-    /// Each death, with each that ran from then on for 30 s, to the end or to the next start under that name, and how long it
-    /// took to know.
+    /// Each death by kill, paired with each process that ran for the next 30 s, or to the end or the next start under
+    /// the dead member's name, and how long that process took to learn of it.
     fn deaths(&self) -> Vec<(usize, Nanos, Nanos, usize, Option<Duration>)> {
         let mut all = Vec::new();
         for (n, dead) in self.processes.iter().enumerate() {
@@ -198,7 +200,8 @@
         all
     }
 
-    /// Whether every process that runs holds just the others that run, by its own lines; else who holds what.
+    /// Running processes whose logged view differs from the set of running processes, one text per difference. Empty if
+    /// all agree.
     pub fn disagreements(&self) -> Vec<String> {
         let yielded = |p: &Process| self.lines_of(p).any(|l| l.kind == "yielded");
         let running: Vec<&Process> =
@@ -231,12 +234,12 @@
         found
     }
 
-    /// Lines of this kind that processes at that place wrote.
+    /// Number of events of this kind that processes at a place logged.
     pub fn count_events(&self, place: usize, kind: &str) -> usize {
         self.history.lines.iter().filter(|l| l.place == place && l.kind == kind).count()
     }
 
-    /// Lines in which a process went back behind an incarnation that it had told.
+    /// Events in which a process announced a lower incarnation than before.
     pub fn incarnation_regressions(&self) -> Vec<String> {
         let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
         let mut found = Vec::new();
@@ -250,7 +253,7 @@
         found
     }
 
-    /// Most verdicts that one process reached on one member.
+    /// The most verdicts that one process reached on one member.
     pub fn max_verdicts_per_member(&self) -> usize {
         let mut counts: BTreeMap<(usize, &str), usize> = BTreeMap::new();
         for l in self.history.lines.iter().filter(|l| l.kind == "verdict") {
@@ -259,8 +262,8 @@
         counts.into_values().max().unwrap_or(0)
     }
 
-    /// How unevenly the places of those that run lie on the ring: the widest gap between neighbours over the mean. None: a
-    /// process has no place yet.
+    /// How unevenly the running processes are placed on the ring: the widest gap between neighbours relative to the
+    /// mean gap. None if a process has not logged its position.
     pub fn ring_unevenness(&self) -> Option<f64> {
         let running = self.processes.iter().filter(|p| p.is_running(self.end));
         let last =
@@ -318,10 +321,10 @@
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 1);
         h.actions.push((17 * S, RigAction::Ended(1, true)));
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 0);
-        // Dead for half a second only.
+        // Dead for only half a second.
         h.actions[4].0 = 19 * S + S / 2;
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 1);
-        // Of nobody.
+        // On a member that never existed.
         h.lines.push(line(20 * S, 0, "verdict", &[("draw", 9)]));
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 2);
     }
--- a/crates/standin/src/rig/common.rs
+++ b/crates/standin/src/rig/common.rs
@@ -1,4 +1,4 @@
-//! All that a fleet holds in common at once, under random faults: limits, wallet, verdicts and weights, judged together.
+//! All fleet-wide functions together under random faults: limits, wallet, verdicts and weights.
 
 use super::bounds::max_rate_excess;
 use super::cases::CaseError;
@@ -13,35 +13,36 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Requests a second and at once of the tenant that has a limit; of the burst `transit` takes half a second's.
+/// Rate and burst of the tenant with a limit, in requests per second and requests; `transit` uses half a second's worth
+/// of the burst.
 const PER_S: f64 = 60.0;
 const BURST: f64 = 80.0;
-/// Requests a second that each node gets.
+/// Requests per second at each node.
 const EACH: f64 = 12.0;
-/// Units that are paid in when less than twice as many are left.
+/// Units of a top-up, which is made when less than twice as many are left.
 const PAID: u64 = 2000;
 
 const TABLES: &str = "[quota]\nrenew = \"200ms\"\nttl = \"3s\"\ntransit = \"500ms\"\n\
     [[limits]]\nname = \"two\"\ntenant = \"two\"\nper_s = 60.0\nburst = 80.0\nwhen_cut = \"strict\"\n\
     [verdicts]\nrenew = \"300ms\"\nttl = \"2s\"\n[tuner]\nlook = \"1s\"\nttl = \"4s\"\npercentile = 95.0\n";
 
-/// What a run came to.
+/// Result of a run.
 pub struct Outcome {
     /// What did not hold.
     pub violations: Vec<String>,
-    /// Faults, by their kind.
+    /// Number of faults of each kind.
     pub faults: BTreeMap<&'static str, usize>,
-    /// The ledger at the end.
+    /// State of the account at the end.
     pub shown: Shown,
-    /// Requests: all, served, refused, failed, without an answer.
+    /// Number of requests: all, served, refused, failed, without an answer.
     pub ended: [usize; 5],
-    /// By how many requests the worst window was over the limit; nothing or less: none was.
+    /// Requests beyond the limit in the worst window; 0 or less means that the limit held.
     pub rate_excess: f64,
-    /// Memory in kB and descriptors of the largest process, minute by minute.
+    /// For each minute, the largest memory in kB and the largest number of descriptors of any process.
     pub sizes: Vec<(u64, usize)>,
 }
 
-/// Some seconds of faults on so many nodes, healed at their end.
+/// Generates a few seconds of faults, healed at the end, and names their kind.
 fn fault(rng: &mut Rng, nodes: usize) -> (&'static str, String) {
     let node = |rng: &mut Rng| rng.below(nodes);
     match rng.below(6) {
@@ -72,7 +73,7 @@
     }
 }
 
-/// Plays so many minutes.
+/// Runs random faults for a number of minutes.
 pub async fn play(
     nodes: usize,
     minutes: u64,
@@ -142,7 +143,7 @@
     Ok(Outcome { violations, faults, shown, ended, rate_excess, sizes })
 }
 
-/// Memory in kB and descriptors of the process that has most.
+/// The largest memory in kB and the largest number of descriptors of any process.
 fn largest(wallet: &WalletRig) -> (u64, usize) {
     let mut most = (0, 0);
     for pid in wallet.rig.places().into_iter().filter_map(|place| wallet.rig.pid(place)) {
--- a/crates/standin/src/rig/environment.rs
+++ b/crates/standin/src/rig/environment.rs
@@ -1,4 +1,5 @@
-//! What a place speaks with beside the members' socket: discovery, servers, clients, and other nodes' meshes.
+//! Endpoints that a place connects to besides the membership socket: discovery, servers, clients, and other nodes'
+//! meshes.
 
 use super::plan::Plan;
 use super::proxies::{Source, TcpProxies};
@@ -9,28 +10,28 @@
 use tempfile::TempDir;
 use tokio::sync::watch;
 
-/// What a place speaks with that is no node.
+/// External endpoints of a place.
 pub(super) struct Environment {
     pub registry: Rc<Registry>,
     pub discovery: SocketAddr,
-    /// Where each server is for this place.
+    /// Address of each server as this place sees it.
     pub servers: Vec<SocketAddr>,
-    /// Where clients reach it, if they pass the rig, and where that leads.
+    /// Address at which clients reach the node if their connections are proxied, and the proxy's target.
     pub clients: Option<SocketAddr>,
     pub listens: watch::Sender<Option<SocketAddr>>,
-    /// Where other nodes reach its mesh, if nodes have one, and where that leads.
+    /// Address at which other nodes reach the mesh listener, if nodes have a mesh, and the proxy's target.
     pub mesh: Option<SocketAddr>,
     pub meshes: watch::Sender<Option<SocketAddr>>,
-    /// What its processes keep, one after the other.
+    /// Folder that outlives the place's processes.
     pub folder: Option<TempDir>,
 }
 
-/// A number like a place's for what is no node.
+/// Pseudo place number of an external endpoint, above those of all nodes.
 pub(super) fn external_place(far: External) -> usize {
     usize::MAX - far as usize
 }
 
-/// Opens all ways of a place.
+/// Opens the proxies of a place and starts its registry if it has one of its own.
 pub(super) async fn create_environment(
     plan: &Plan,
     n: usize,
--- a/crates/standin/src/rig/faults.rs
+++ b/crates/standin/src/rig/faults.rs
@@ -1,4 +1,4 @@
-//! What a script does to processes and to what lies between them.
+//! Injects a script's faults into processes and into the network between them.
 
 use super::environment::external_place;
 use super::history::{now, RigAction};
@@ -29,12 +29,12 @@
         }
     }
 
-    /// All that was cut passes again.
+    /// Removes all cuts.
     pub fn heal(&mut self) {
         self.apply_wire_fault(WireFault::Heal);
     }
 
-    /// The places of an end. What is no node has one beyond all nodes'.
+    /// Place numbers of an endpoint; external endpoints have pseudo places above those of all nodes.
     fn endpoint_places(&mut self, end: Endpoint) -> Vec<usize> {
         match end {
             Endpoint::Nodes(nodes) => self.select_nodes(nodes),
@@ -47,7 +47,7 @@
             Injection::Wire(fault) => self.apply_wire_fault(fault),
             Injection::Nodes(who, fault) => {
                 let chosen = self.select_nodes(who);
-                // All at once: whoever can only be waited for is waited for after.
+                // Signal all of them first, so that they die at the same time, and wait for their exits afterwards.
                 if fault == ProcessFault::Die {
                     chosen.iter().for_each(|n| self.signal(*n, Signal::KILL));
                 }
@@ -55,7 +55,7 @@
                     self.inject_process_fault(n, fault).await?;
                 }
             }
-            // Servers are not the rig's.
+            // The rig has no modelled servers.
             Injection::Servers(..) => {}
             Injection::Node(n, _) => {
                 self.end_process(n, false).await?;
@@ -70,7 +70,7 @@
         match fault {
             ProcessFault::Die => self.end_process(n, true).await?,
             ProcessFault::End => self.end_process(n, false).await?,
-            // One that runs has been started already.
+            // The process is already running.
             ProcessFault::Start if self.processes[n].is_some() => {}
             ProcessFault::Start => self.spawn(n, n).await?,
             ProcessFault::Twin => {
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// Stops a process from those times on, for so long each.
+    /// Stops a process at the given offsets from now, each time for the given length.
     fn pause_process(&mut self, place: usize, turns: Vec<(Duration, Duration)>) {
         let Some(pid) = self.pid(place).and_then(|p| Pid::from_raw(p as i32)) else { return };
         let (recorder, began) = (self.recorder.clone(), Instant::now());
@@ -100,7 +100,7 @@
         self.pending.spawn_local(async move {
             for (from, length) in turns {
                 sleep_until(began + from).await;
-                // The record's span lies within the real one: it excuses.
+                // The recorded span lies within the real one, because recorded stops excuse verdicts.
                 let _ = kill_process(pid, Signal::STOP);
                 record(RigAction::Stopped(place));
                 sleep(length).await;
--- a/crates/standin/src/rig/fenced_resource.rs
+++ b/crates/standin/src/rig/fenced_resource.rs
@@ -1,4 +1,5 @@
-//! What holders of a lease act upon: it records each act's begin and end with its token, and refuses tokens lower than the highest it saw.
+//! A resource that lease holders act on. It records the begin, end and token of each act and rejects tokens lower than
+//! the highest it has seen.
 
 use super::history::{now, Nanos};
 use std::cell::{Cell, RefCell};
@@ -9,18 +10,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// An act that was taken.
+/// An act that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptedAct {
-    /// With which token.
+    /// Fencing token of the act.
     pub token: u64,
-    /// When.
+    /// When the act was accepted.
     pub begin: Nanos,
-    /// When its connection ended; not yet, where there is none.
+    /// When its connection ended; none while it is open.
     pub end: Option<Nanos>,
 }
 
-/// See the module's words.
+/// A resource protected by fencing tokens.
 pub struct FencedResource {
     address: SocketAddr,
     fenced: bool,
@@ -30,8 +31,8 @@
 }
 
 impl FencedResource {
-    /// Takes acts on loopback: a line `BEGIN token` is answered by `GO` or `LOWER`, and the connection's end is the act's. One that is
-    /// not fenced takes any token.
+    /// Listens on loopback. A line `BEGIN token` is answered with `GO` or `LOWER`, and the act ends with its
+    /// connection. An unfenced resource accepts any token.
     pub async fn start(fenced: bool) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind(crate::scripted::unique_address()).await?;
         let receiver = Rc::new(FencedResource {
@@ -66,28 +67,28 @@
         self.accepted.borrow_mut().push(AcceptedAct { token, begin: now(), end: None });
         stream.write_all(b"GO\n").await?;
         let mut rest = Vec::new();
-        // A process that is killed resets its connection.
+        // A killed process resets its connection.
         let _ = stream.read_to_end(&mut rest).await;
         self.accepted.borrow_mut()[n].end = Some(now());
         Ok(())
     }
 
-    /// Where it listens.
+    /// Address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Acts that it took, by their begins.
+    /// Accepted acts, by their begin.
     pub fn accepted(&self) -> Vec<AcceptedAct> {
         self.accepted.borrow().clone()
     }
 
-    /// Tokens that it refused.
+    /// Rejected tokens.
     pub fn rejected_tokens(&self) -> Vec<u64> {
         self.rejected.borrow().clone()
     }
 
-    /// Acts of different tokens that overlap, and tokens that fell.
+    /// Overlapping acts with different tokens, and tokens lower than an earlier one.
     pub fn violations(&self) -> Vec<String> {
         let (accepted, mut violations) = (self.accepted.borrow(), Vec::new());
         for (n, act) in accepted.iter().enumerate() {
--- a/crates/standin/src/rig/history.rs
+++ b/crates/standin/src/rig/history.rs
@@ -1,4 +1,4 @@
-//! What happened, on one clock: what the rig did, by its own record, and what each process wrote.
+//! Events of a run on one clock: the rig's own actions, and what each process logged.
 
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
@@ -6,29 +6,29 @@
 /// Nanoseconds of the system's monotonic clock, which all processes of a machine share.
 pub type Nanos = u64;
 
-/// Now, on that clock.
+/// Current time of that clock.
 pub fn now() -> Nanos {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000_000 + now.tv_nsec as u64
 }
 
-/// A structured line that a process wrote.
+/// An event that a process logged as a JSON line.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// When the process wrote it.
+    /// When the process logged it.
     pub at: Nanos,
-    /// At which place of the rig it runs.
+    /// Place of the process on the rig.
     pub place: usize,
-    /// How many processes ran there before it.
+    /// Number of processes that ran at the place before.
     pub start: usize,
-    /// What it is about.
+    /// Kind of the event.
     pub kind: String,
-    /// The rest.
+    /// All fields of the line.
     pub fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Reads a line of JSON; none: it is no event of the cluster.
+    /// Parses a JSON line. None if it is not an event with a timestamp and a kind.
     pub fn parse(text: &str, place: usize, start: usize) -> Option<Self> {
         let Value::Object(fields) = serde_json::from_str(text).ok()? else { return None };
         let at = fields.get("timestamp")?.as_str()?.parse().ok()?;
@@ -36,37 +36,37 @@
         Some(Line { at, place, start, kind, fields })
     }
 
-    /// A text among the fields, or nothing.
+    /// A text field, or an empty text.
     pub fn text(&self, key: &str) -> &str {
         self.fields.get(key).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// A whole number among the fields, or 0.
+    /// An integer field, or 0.
     pub fn number(&self, key: &str) -> u64 {
         self.fields.get(key).and_then(Value::as_u64).unwrap_or_default()
     }
 }
 
-/// What the rig did, as it was done.
+/// An action of the rig.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RigAction {
-    /// A process was started at a place, under a name.
+    /// Started a process at a place, under a name.
     Started(usize, String),
-    /// It is gone; true: without a word.
+    /// A process is gone; true if it was killed.
     Ended(usize, bool),
-    /// It does not run ...
+    /// Stopped a process.
     Stopped(usize),
-    /// ... and runs again.
+    /// Let a stopped process continue.
     Resumed(usize),
-    /// From now on nothing passes for these ordered pairs of places.
+    /// Replaced the set of ordered pairs of places between which nothing passes.
     Cut(BTreeSet<(usize, usize)>),
 }
 
-/// All of it, each part in the order of time.
+/// All events of a run, each list in order of time.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// The rig's own record.
+    /// Actions of the rig.
     pub actions: Vec<(Nanos, RigAction)>,
-    /// What processes wrote.
+    /// Events logged by processes.
     pub lines: Vec<Line>,
 }
--- a/crates/standin/src/rig/leases.rs
+++ b/crates/standin/src/rig/leases.rs
@@ -1,4 +1,4 @@
-//! Leases on the rig: a contender at each node that acts for as long as it may, and what must hold of all acts and holders.
+//! Lease cases on the rig. A contender at each node acts while it holds the lease; acts and holders must never overlap.
 
 use super::history::{now, History, Nanos, RigAction};
 use super::{LeasePlan, Plan, Rig};
@@ -14,47 +14,47 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// What all contenders want.
+/// Name of the lease that all contenders request.
 const NAME: &str = "task";
-/// Between a contender's questions.
+/// Interval at which a contender polls its node.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// For an answer: shorter than a lease, so that a paused node is noticed.
+/// Time limit for an answer; shorter than a lease, so that a paused node is noticed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What one contender did under one grant.
+/// An act of a contender under one grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Activity {
-    /// At which node.
+    /// Place of the contender's node.
     pub place: usize,
-    /// With which token, the newest that it was told.
+    /// Newest fencing token that the contender was given.
     pub token: u64,
-    /// From when ...
+    /// Begin of the act.
     pub begin: Nanos,
-    /// ... to when.
+    /// End of the act.
     pub end: Nanos,
 }
 
-/// A run.
+/// A lease case.
 pub struct Case<'a> {
-    /// How it is called.
+    /// Name of the case.
     pub name: &'a str,
-    /// Nodes, of which the first so many vote.
+    /// Number of nodes, and of voters, which are the first nodes.
     pub nodes: [usize; 2],
-    /// What goes wrong.
+    /// Fault script.
     pub script: &'a str,
-    /// Rates of nodes' lease clocks, in turn.
+    /// Rates of the nodes' lease clocks, assigned in rotation.
     pub rates: &'static [f64],
-    /// Safeguards to go without.
+    /// Safeguards to disable.
     pub without: &'static [&'static str],
-    /// Nodes with a contender; all where none is named.
+    /// Nodes with a contender; all if empty.
     pub contenders: &'static [usize],
-    /// For how long a contender acts that is not told otherwise.
+    /// How long a contender acts before it releases the lease.
     pub hold_time: Duration,
-    /// Contenders that find it busy ask anew at once, so that one is there in the moment in which it comes free.
+    /// Contenders that find the lease busy ask again at once, so that one is asking at the moment it is released.
     pub retry_at_once: bool,
 }
 
-/// Seven contenders that take turns, five of their nodes vote, nothing goes wrong.
+/// Seven nodes of which five vote, a contender at each node, and no faults.
 pub const BASELINE: Case<'static> = Case {
     name: "",
     nodes: [7, 5],
@@ -66,7 +66,7 @@
     retry_at_once: false,
 };
 
-/// What must hold: no two act at once, whatever the script does. Leases live for 2 s.
+/// No two contenders may act at once in any of these. Leases live for 2 s.
 pub const CASES: &[Case<'static>] = &[
     Case { name: "lease-calm", script: "8s wire lose 0", ..BASELINE },
     Case { name: "lease-pauses", script: "1s n0 pause 6s\n3s n5 pause 6s\n5s n1-n2 pause 3s\n9s n6 pause 6s\n12s nodes pause 3s\n18s wire lose 0", ..BASELINE },
@@ -81,13 +81,13 @@
                  12s wire cut n0-n4 n6\n15s wire heal\n15s wire split n0-n1 n2-n6\n18s wire heal\n20s wire lose 0",
         ..BASELINE
     },
-    // Grants are on the wire when all voters die.
+    // Grants are in transit when all voters die.
     Case {
         name: "lease-late-grants",
         script: "0s wire delay 60ms\n2s n0-n4 die\n2s n0-n4 start\n6s n0-n4 die\n6s n0-n4 start\n11s wire delay 0s\n12s wire lose 0",
         ..BASELINE
     },
-    // Voters hear every candidate and none of the others.
+    // Voters hear every candidate, but no other voter.
     Case {
         name: "lease-deaf-voters",
         nodes: [5, 3],
@@ -103,23 +103,23 @@
     },
 ];
 
-/// What a run came to.
+/// Result of a case.
 pub struct Outcome {
     /// What did not hold.
     pub violations: Vec<String>,
     /// All acts, by their begin.
     pub activities: Vec<Activity>,
-    /// Grants and losses that nodes wrote down.
+    /// Number of grants that nodes logged.
     pub grants: usize,
-    /// See there.
+    /// Number of losses that nodes logged.
     pub lost: usize,
     /// The longest time in which nobody acted.
     pub gap: Duration,
-    /// All of it.
+    /// Events of the whole run.
     pub history: History,
 }
 
-/// Plays a case.
+/// Runs a case and checks it.
 pub async fn play(case: &Case<'_>, binary: PathBuf, seed: u64) -> Result<Outcome, super::cases::CaseError> {
     let [nodes, voters] = case.nodes;
     let mut script = Script::parse(case.script, 0, nodes)?;
@@ -145,7 +145,7 @@
     rig.wait_until("a first grant", Duration::from_secs(20), first, |_| "none".to_owned()).await?;
     rig.play(|_| {}).await?;
     let before = granted(&rig.history());
-    // Whoever takes turns goes on doing so.
+    // Contenders that release the lease after a while must be granted it again.
     let again = |h: &History| granted(h) > before || case.hold_time > Duration::from_secs(5);
     rig.wait_until("a grant after all faults", Duration::from_secs(20), again, |_| "none".to_owned()).await?;
     contenders.shutdown().await;
@@ -164,18 +164,19 @@
     Ok(Outcome { violations, activities, grants, lost, gap, history })
 }
 
-/// How a contender uses what it is granted.
+/// How a contender uses a grant.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ContenderBehavior {
-    /// For how long it acts that is not told otherwise.
+    /// How long it acts before it releases the lease.
     pub hold_time: Duration,
-    /// Told that it is over it ends at once and gives the lease back; else it uses all the time that it was allowed.
+    /// When told that the lease is lost, it stops at once and releases it; otherwise it uses up the time it was
+    /// granted.
     pub releases_on_loss: bool,
-    /// It asks anew at once where another has it.
+    /// It asks again at once when another one holds the lease.
     pub retry_at_once: bool,
 }
 
-/// Asks for the lease at one node, acts for as long as it may, gives it back after a while, and begins again.
+/// Requests the lease at one node, acts while it is granted, releases it after a while, and starts over.
 pub(super) async fn contend(
     place: usize,
     operators: &super::SharedAddresses,
@@ -200,7 +201,7 @@
     let Ok(Ok(stream)) = timeout(REPLY_TIMEOUT, TcpStream::connect(address)).await else { return };
     let mut stream = BufReader::new(stream);
     let mut question = format!("LEASE {NAME} 1\n");
-    // The act under way, by its number, and by when it has to be over.
+    // Index of the current act, and when the grant for it expires.
     let mut activity: Option<(usize, Nanos)> = None;
     loop {
         let asked = now();
@@ -232,10 +233,10 @@
                 let _ = timeout(REPLY_TIMEOUT, stream.write_all(b"RELEASE\n")).await;
                 return;
             }
-            // Nothing more is heard: all the time that was allowed is used.
+            // No further answer: the act goes on until the grant expires.
             if let Some((n, valid_until)) = activity {
                 sleep(Duration::from_nanos(valid_until.saturating_sub(now()))).await;
-                // What was allowed is what counts, not when this task woke.
+                // The granted time counts, not when this task woke up.
                 activities.borrow_mut()[n].end = valid_until;
             }
             return;
@@ -257,7 +258,7 @@
         if let Some((n, _)) = activity {
             let begin = activities.borrow()[n].begin;
             if at > begin + behavior.hold_time.as_nanos() as u64 {
-                // The act is over before the lease is given back.
+                // The act ends before the lease is released.
                 activities.borrow_mut()[n].end = now();
                 let _ = timeout(REPLY_TIMEOUT, stream.write_all(b"RELEASE\n")).await;
                 return;
@@ -267,7 +268,7 @@
     }
 }
 
-/// Acts that overlap, and tokens that do not rise. Acts are sorted by their begins.
+/// Overlapping acts, and tokens that do not increase. Acts are sorted by their begin.
 pub fn overlaps(activities: &[Activity]) -> Vec<String> {
     let mut violations = Vec::new();
     for (n, activity) in activities.iter().enumerate() {
@@ -289,9 +290,10 @@
     violations
 }
 
-/// Processes that hold leases of names that begin so at once, by their own lines and the rig's record.
+/// Processes that hold a lease whose name starts with `name` at the same time, by their own events and the rig's
+/// actions.
 pub fn concurrent_holders(history: &History, lease: &LeasePlan, name: &str) -> Vec<String> {
-    // Of each grant: from when to when.
+    // Begin, end and place of each grant.
     let mut spans: Vec<(Nanos, Nanos, usize)> = Vec::new();
     let mut open: BTreeMap<(usize, usize), usize> = BTreeMap::new();
     for line in history.lines.iter().filter(|l| l.text("lease").starts_with(name)) {
@@ -307,7 +309,7 @@
             _ => {}
         }
     }
-    // Who was killed holds nothing more.
+    // A process that ended holds nothing.
     for (at, action) in &history.actions {
         if let RigAction::Ended(place, _) = action {
             let theirs = spans.iter_mut().filter(|s| s.2 == *place && s.0 <= *at);
@@ -318,7 +320,7 @@
     let mut violations = Vec::new();
     for pair in spans.windows(2) {
         let ((_, until, one), (from, _, other)) = (pair[0], pair[1]);
-        // Lines are written a moment after the fact, and tell whole milliseconds.
+        // Events are logged slightly late, and their times are whole milliseconds.
         if from + 5_000_000 < until {
             let ms = (until - from) / 1_000_000;
             violations.push(format!("n{other} holds while n{one} does for {ms} ms more"));
