--- a/crates/standin/src/rig/limits.rs
+++ b/crates/standin/src/rig/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of the whole fleet on the rig: nodes under load from their own clients, faults between them, and what servers saw.
+//! Fleet-wide limits on the rig: nodes under load from their own clients, faults between the nodes, and checks of what
+//! servers received.
 
 use super::bounds::{max_concurrent, max_rate_excess};
 use super::cases::CaseError;
@@ -14,37 +15,38 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Requests a second that the whole fleet may let in of one tenant.
+/// Fleet-wide rate limit of tenant `one`, in requests per second.
 pub const PER_S: f64 = 120.0;
-/// At once, of which `transit` takes half a second's.
+/// Burst of that limit; `transit` uses half a second's worth of it.
 pub const BURST: f64 = 120.0;
-/// The other tenant's, in flight.
+/// Fleet-wide limit of tenant `two` on requests in flight.
 pub const IN_FLIGHT: usize = 24;
 
-/// A run.
+/// A case of fleet-wide limits.
 #[derive(Clone, Debug)]
 pub struct Case<'a> {
-    /// How it is called.
+    /// Name of the case.
     pub name: &'a str,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// What holds without a grant.
+    /// The `when_cut` setting: what a node without a grant lets in.
     pub when_cut: &'a str,
-    /// What goes wrong, from the first grants on; `{keeper}` stands for the node that keeps the limits then.
+    /// Fault script, which starts after the first grants; `{keeper}` is replaced by the node that keeps the limits
+    /// then.
     pub script: &'a str,
-    /// All nodes get the same.
+    /// Whether all nodes get the same load.
     pub uniform_load: bool,
-    /// How long grants hold.
+    /// Lifetime of grants.
     pub ttl: &'a str,
-    /// Rates of nodes' clocks, in turn.
+    /// Rates of the nodes' clocks, assigned in rotation.
     pub rates: &'static [f64],
-    /// Safeguards to go without.
+    /// Safeguards to disable.
     pub without: &'static [&'static str],
-    /// How long it goes on beyond the script.
+    /// How long the load continues after the script.
     pub extra_time: Duration,
 }
 
-/// Twelve nodes of which some get a hundred times what others do, nothing goes wrong.
+/// Twelve nodes, some with a hundred times the load of others, and no faults.
 pub const BASELINE: Case<'static> = Case {
     name: "limits-calm",
     nodes: 12,
@@ -57,12 +59,13 @@
     extra_time: Duration::from_secs(4),
 };
 
-/// What must hold, whatever the script does.
+/// The limits must hold in all of these.
 pub const CASES: &[Case<'static>] = &[
     BASELINE,
     Case {
         name: "limits-keepers",
-        // The keeper is whichever has the lease: each place that can have it is paused beyond its grants, killed, or cut off.
+        // The keeper may be any node that can hold the lease, so each of them is paused for longer than its grants
+        // live.
         script: "1s n0-n3 pause 5s\n8s n4-n7 pause 5s\n15s n8-n11 pause 5s\n21s wire lose 0",
         ..BASELINE
     },
@@ -90,27 +93,28 @@
     },
 ];
 
-/// What a run came to.
+/// Result of a case.
 pub struct Outcome {
     /// What did not hold.
     pub violations: Vec<String>,
-    /// By how many requests the worst window was over the rate; nothing or less: none was.
+    /// Requests beyond the rate limit in the worst window; 0 or less means that the limit held.
     pub rate_excess: f64,
-    /// The most in flight at servers.
+    /// The most requests in flight at servers.
     pub max_in_flight: usize,
-    /// The part of the rate that was used in each second after the faults.
+    /// Used fraction of the rate limit in each second after the faults.
     pub utilization: Vec<f64>,
-    /// After a shift of demand, at the end: how long until 0.9 of the rate was used in the 3 s that followed; none: not within 30 s.
+    /// After the load has moved to other nodes at the end of the run: time until at least 0.9 of the rate limit was
+    /// used over the following 3 s. None if that took longer than the run waits.
     pub settling_time: Option<Duration>,
-    /// Who kept them, in seconds from the first grants on.
+    /// Events of the limits' keeper and its lease, with seconds since the first grants.
     pub keeper_events: Vec<String>,
-    /// How requests ended.
+    /// Outcomes of all requests.
     pub ended: Vec<RequestOutcome>,
-    /// What servers saw.
+    /// Requests that reached servers.
     pub received: Vec<ReceivedRequest>,
 }
 
-/// The site's settings: two tenants, no probes, as many attempts as one.
+/// Settings of the site: two tenants, no probes, deadlines of 2 s.
 pub fn settings() -> Value {
     let mut settings = crate::scripted::settings();
     settings["tenants"] = json!([
@@ -131,7 +135,8 @@
     )
 }
 
-/// Requests a second at each node of `nodes`: twice the limit together, the first third a hundred times what the last third gets.
+/// Requests per second at each node, twice the limit in total. Unless the load is uniform, the first third of the nodes
+/// gets a hundred times the load of the last third, or the reverse.
 fn demand(case: &Case, reversed: bool) -> Vec<f64> {
     let nodes = case.nodes;
     let weight = |n: usize| match n * 3 / nodes {
@@ -145,10 +150,11 @@
     weights.iter().map(|w| 2.0 * PER_S * w / sum).collect()
 }
 
-/// Ends a run whose limit is never used after demand has moved. How soon it is used is told, and not bounded by this.
+/// Ends a run that never uses its limit again after the load has moved. It does not bound the settling time, which the
+/// run only reports.
 const SETTLING_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Plays a case.
+/// Runs a case and checks it.
 pub async fn play(case: &Case<'_>, binary: PathBuf, seed: u64) -> Result<Outcome, CaseError> {
     let parse = |keeper: usize| {
         let script = Script::parse(&case.script.replace("{keeper}", &format!("n{keeper}")), 0, case.nodes);
@@ -195,7 +201,7 @@
     rig.play(|_| ()).await?;
     let faults_end = now();
     sleep(case.extra_time).await;
-    // Demand moves to the other end of the fleet.
+    // Move the load to the other end of the fleet.
     for (node_rate, per_s) in node_rates.iter().zip(demand(case, true)) {
         node_rate.set(per_s * 1.5);
     }
@@ -259,7 +265,7 @@
     }
 }
 
-/// The part of the rate that servers saw used of it between two times.
+/// Fraction of the rate limit used between two times, by the requests that servers received.
 fn utilization(received: &[ReceivedRequest], from: Nanos, to: Nanos) -> f64 {
     let count = received.iter().filter(|s| s.tenant == "one" && (from..to).contains(&s.at)).count();
     count as f64 / ((to - from) as f64 / 1e9) / PER_S
--- a/crates/standin/src/rig/load.rs
+++ b/crates/standin/src/rig/load.rs
@@ -1,4 +1,4 @@
-//! Clients of a rig's nodes: at each node so many requests a second, whatever becomes of them.
+//! Open-loop clients of the rig's nodes: each node gets requests at a given rate, whatever their outcome.
 
 use super::SharedAddresses;
 use crate::client::{connect, Sender};
@@ -12,53 +12,53 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// A client waits so long for an answer.
+/// Time limit for a response.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A client uses a connection again that has rested for less than this: well before a node closes it, since a request that
-/// crosses the close goes unanswered.
+/// Idle time within which a connection is used again. It is well below the time after which a node closes idle
+/// connections, since a request that crosses the close goes unanswered.
 const KEEP_ALIVE: Duration = Duration::from_millis(1500);
 
-/// What a client asks for.
+/// Template of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestSpec {
-    /// The class.
+    /// Class of the request.
     pub class: String,
-    /// The tenant.
+    /// Tenant of the request.
     pub tenant: String,
-    /// The key, where the class wants one; each request of a rate gets one of its own.
+    /// Idempotency key, if the class needs one; generated load gives each request a key of its own.
     pub key: Option<String>,
-    /// Work told in microseconds.
+    /// Cost hint in microseconds.
     pub cost: Option<u64>,
 }
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestOutcome {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// At which node.
+    /// Node that it was sent to.
     pub node: usize,
-    /// The answer's status; none: there was none.
+    /// Status of the response, if there was one.
     pub status: Option<u16>,
-    /// Whether the answer said when to come again.
+    /// Whether the response has a `Retry-After` header.
     pub retry_after: bool,
-    /// What the answer said, or why there was none.
+    /// Body of the response, or why there was none.
     pub text: String,
-    /// After how long.
+    /// Time until the outcome.
     pub took: Duration,
 }
 
-/// What a node gets.
+/// Load of one node.
 #[derive(Clone, Debug)]
 pub struct NodeLoad {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: Rc<Cell<f64>>,
-    /// Of these orders, in turn.
+    /// Templates of the requests, used in rotation.
     pub requests: Vec<RequestSpec>,
 }
 
-/// A connection that waits for its next request.
+/// An idle connection.
 struct IdleConnection {
     to: SocketAddr,
     since: Instant,
@@ -67,14 +67,14 @@
 
 type Idle = RefCell<Vec<IdleConnection>>;
 
-/// An answer as its client read it.
+/// A response as read by the client.
 struct Answer {
     status: u16,
     retry_after: bool,
     text: String,
 }
 
-/// See the module's words. Runs on a `LocalSet`, as long as it is held.
+/// Clients that are sending requests. They run on a `LocalSet` until this is dropped.
 pub struct Load {
     ended: Rc<RefCell<Vec<RequestOutcome>>>,
     sent: Rc<Cell<u64>>,
@@ -82,7 +82,7 @@
 }
 
 impl Load {
-    /// Begins at once: `rates` are the nodes', `addresses` says where each of them is reached now.
+    /// Starts the clients. `rates` holds the load of each node, `addresses` where clients reach each node now.
     pub fn start(rates: Vec<NodeLoad>, addresses: SharedAddresses) -> Load {
         let (ended, sent, mut tasks): (Rc<RefCell<Vec<RequestOutcome>>>, Rc<Cell<u64>>, _) =
             (Rc::default(), Rc::default(), JoinSet::new());
@@ -92,17 +92,17 @@
         Load { ended, sent, tasks }
     }
 
-    /// How requests ended so far.
+    /// Outcomes of requests so far.
     pub fn outcomes(&self) -> Vec<RequestOutcome> {
         self.ended.borrow().clone()
     }
 
-    /// Requests sent so far.
+    /// Number of requests sent so far.
     pub fn sent(&self) -> u64 {
         self.sent.get()
     }
 
-    /// Sends no more, and waits until all that were sent have ended.
+    /// Stops sending and waits until all requests have an outcome.
     pub async fn stop(mut self) -> Vec<RequestOutcome> {
         self.tasks.shutdown().await;
         let all = async {
@@ -110,7 +110,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        // Those that are given up have ended too.
+        // Requests that time out have an outcome too.
         let _ = timeout(REPLY_TIMEOUT * 2, all).await;
         self.ended.take()
     }
@@ -134,11 +134,11 @@
         }
         next += Duration::from_secs_f64(1.0 / per_s);
         sleep_until(next).await;
-        // Whoever was held up does not make up for it in one burst.
+        // After a delay of this task, at most 200 ms of missed requests are made up for.
         next = next.max(Instant::now() - Duration::from_millis(200));
         let Some(address) = addresses.borrow()[node] else { continue };
         let mut order = rate.requests[n as usize % rate.requests.len()].clone();
-        // A key of its own for each that wants one.
+        // Each request that needs a key gets one of its own.
         order.key = order.key.map(|_| format!("{node}-{n}"));
         let (id, idle, ended) = (format!("{node}-{n}"), idle.clone(), ended.clone());
         sent.set(sent.get() + 1);
@@ -149,7 +149,7 @@
     }
 }
 
-/// Places one order at a node.
+/// Sends one request to a node.
 pub async fn send_request(node: usize, address: SocketAddr, id: &str, order: &RequestSpec) -> RequestOutcome {
     timed_request(node, address, id.to_owned(), order, &Idle::default()).await
 }
@@ -173,7 +173,7 @@
     }
 }
 
-/// Sends an order and reads its answer, or says why there is none.
+/// Sends a request and reads its response, or says why there is none.
 async fn exchange(address: SocketAddr, id: &str, order: &RequestSpec, idle: &Idle) -> Result<Answer, String> {
     let (mut sender, idle_for) = match take_idle(address, idle) {
         Some(kept) => (kept.sender, Some(kept.since.elapsed())),
--- a/crates/standin/src/rig/mod.rs
+++ b/crates/standin/src/rig/mod.rs
@@ -1,8 +1,10 @@
-//! A rig of many processes of the real node, with a [`wire`] in user space between them and faults on both.
+//! A rig that runs many processes of the real node, with a [`wire`] in user space between them, and injects faults into
+//! both.
 //!
-//! Each process runs on an address of its own within 127.0.0.0/8 and writes its events as JSON lines with the monotonic clock
-//! that all processes of a machine share. The rig keeps a record of what it did on the same clock; the [`checker`] judges
-//! by the two alone. What the rig started is gone when it is dropped, also after a panic: every process is killed by its id.
+//! Each process has an address of its own within 127.0.0.0/8 and logs its events as JSON lines, with times of the
+//! monotonic clock that all processes of a machine share. The rig records its own actions on the same clock, and the
+//! [`checker`] uses nothing but these two. Dropping the rig kills every process it started by its id, also after a
+//! panic.
 
 pub mod bounds;
 pub mod cases;
@@ -46,38 +48,38 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use wire::Wire;
 
-/// For a process to start or to end.
+/// Time limit for a process to start or to exit.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a rig can't go on. What a run was is in `History`; this is trouble with the rig itself.
+/// Why a rig can't continue. Results of a run are in [`History`]; these are failures of the rig itself.
 #[derive(Debug, thiserror::Error)]
 pub enum RigError {
-    /// A socket or process could not be had.
+    /// A socket or process could not be created.
     #[error("{what}: {source}")]
     Io {
-        /// What for.
+        /// What failed.
         what: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A process ended by itself or did not come up.
+    /// A process exited without being told to, or did not start.
     #[error("the process at place {place} {what}; its last words: {log}")]
     Ended {
-        /// Where.
+        /// Place of the process.
         place: usize,
-        /// What it did.
+        /// What happened to it.
         what: String,
-        /// The end of its log.
+        /// Last lines of its log.
         log: String,
     },
-    /// What was waited for did not come.
+    /// An awaited condition did not hold in time.
     #[error("{what} did not come within {timeout_after:?}: {last}")]
     Timeout {
-        /// What.
+        /// The condition.
         what: String,
-        /// How long it was waited for.
+        /// Time limit of the wait.
         timeout_after: Duration,
-        /// What was there instead.
+        /// The state at the end of the wait.
         last: String,
     },
 }
@@ -87,7 +89,7 @@
     move |source| RigError::Io { what, source }
 }
 
-/// Lines as they come.
+/// The history so far, and a notification of new events.
 #[derive(Default)]
 struct Recorder {
     history: RefCell<History>,
@@ -102,28 +104,28 @@
     _files: [ConfigFile; 2],
 }
 
-/// Where a process's addresses stand in its log.
+/// Addresses that a process has logged.
 #[derive(Default)]
 struct LoggedAddresses {
     listen: Option<SocketAddr>,
     operators: Option<SocketAddr>,
 }
 
-/// Where operators call each place's process now.
+/// Current address of each place's process, if it runs.
 pub type SharedAddresses = Rc<RefCell<Vec<Option<SocketAddr>>>>;
 
-/// What a node sent to other nodes.
+/// Traffic of a node to other nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sent {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Bytes in them.
+    /// Bytes in datagrams.
     pub datagram_bytes: u64,
-    /// Bytes over the mesh's connections, whichever side made them.
+    /// Bytes over mesh connections, whichever side opened them.
     pub stream_bytes: u64,
 }
 
-/// A rig that runs. Has to live on a `LocalSet`.
+/// A running rig. Must be used inside a `LocalSet`.
 pub struct Rig {
     plan: Plan,
     wire: Rc<Wire>,
@@ -139,7 +141,7 @@
 }
 
 impl Rig {
-    /// Starts all nodes; the first three are the seeds.
+    /// Starts all nodes. The first three are the seeds of the cluster.
     pub async fn start(plan: Plan) -> Result<Self, RigError> {
         let places = plan.nodes + plan.spare;
         let wire = Rc::new(Wire::new(places, plan.script.seed).await.map_err(io("the wire"))?);
@@ -180,9 +182,9 @@
         Ok(rig)
     }
 
-    /// Discovery tells a server's phase.
+    /// Announces a server's phase through discovery.
     pub fn announce(&self, server: usize, phase: &str) {
-        // Places without ways of their own share one registry.
+        // Without proxied connections all places share one registry.
         let own = if self.plan.streams { &self.environment[..] } else { &self.environment[..1] };
         for environment in own {
             let mut logged = member(&format!("s{server}"), environment.servers[server], phase);
@@ -195,7 +197,7 @@
         self.recorder.history.borrow_mut().actions.push((now(), action));
     }
 
-    /// Starts a process at a place, under the name of a node.
+    /// Starts a process at a place, under the name of a node, and waits until it listens.
     pub async fn spawn(&mut self, place: usize, node: usize) -> Result<(), RigError> {
         let name = format!("n{node}");
         let config = json!({
@@ -263,14 +265,15 @@
                 if condition() {
                     return;
                 }
-                // Lines tell when to look; the clock does where none comes.
+                // Some conditions also become true without a new event.
                 let _ = timeout(Duration::from_millis(100), changed).await;
             }
         };
         timeout(timeout_after, wait).await.is_ok()
     }
 
-    /// Waits until the history is so. How long that took; an error says what came instead, as `last` tells it.
+    /// Waits until a condition on the history holds, and returns how long that took. On a timeout `last` describes the
+    /// state for the error.
     pub async fn wait_until(
         &self,
         what: &str,
@@ -286,7 +289,7 @@
         Err(RigError::Timeout { what: what.to_owned(), timeout_after, last })
     }
 
-    /// Waits until all that run hold just each other.
+    /// Waits until the views of all running processes agree.
     pub async fn wait_for_agreement(&self, timeout_after: Duration) -> Result<Duration, RigError> {
         let violations = |h: &History| checker::Checker::new(h, now()).disagreements();
         let last = |h: &History| violations(h).into_iter().take(5).collect::<Vec<_>>().join("; ");
@@ -298,65 +301,65 @@
         self.end_process(place, true).await
     }
 
-    /// Ends the process at a place by SIGTERM, and waits until it is gone.
+    /// Ends the process at a place with SIGTERM and waits until it has exited.
     pub async fn stop(&mut self, place: usize) -> Result<(), RigError> {
         self.end_process(place, false).await
     }
 
-    /// What happened so far.
+    /// History so far.
     pub fn history(&self) -> History {
         self.recorder.history.borrow().clone()
     }
 
-    /// The wire.
+    /// The network between the nodes.
     pub fn wire(&self) -> &Wire {
         &self.wire
     }
 
-    /// What the processes at a place sent to others so far.
+    /// Traffic that the processes at a place have sent to other nodes so far.
     pub fn sent(&self, place: usize) -> Sent {
         let [datagrams, datagram_bytes] = self.wire.sent_by(place);
         Sent { datagrams, datagram_bytes, stream_bytes: self.proxies.sent_by(place) }
     }
 
-    /// Where clients reach the node at a place.
+    /// Address at which clients reach the node at a place.
     pub fn listen(&self, place: usize) -> Option<SocketAddr> {
         self.processes[place].as_ref().map(|p| self.environment[place].clients.unwrap_or(p.listen))
     }
 
-    /// Where operators call the node at a place.
+    /// Address of the operators' listener of the node at a place.
     pub fn ops_address(&self, place: usize) -> Option<SocketAddr> {
         self.processes[place].as_ref().and_then(|p| p.operators)
     }
 
-    /// Where clients reach each place's process, as it changes.
+    /// Current addresses at which clients reach each place's process.
     pub fn client_addresses(&self) -> SharedAddresses {
         self.client_addresses.clone()
     }
 
-    /// What a place's processes keep.
+    /// Folder that outlives the processes of a place.
     pub fn folder(&self, place: usize) -> Option<&std::path::Path> {
         self.environment[place].folder.as_ref().map(|f| f.path())
     }
 
-    /// Where operators call each place's process, as it changes.
+    /// Current addresses of the operators' listeners of all places.
     pub fn operator_addresses(&self) -> SharedAddresses {
         self.operator_addresses.clone()
     }
 
-    /// The id of the process at a place.
+    /// Process id of the process at a place.
     pub fn pid(&self, place: usize) -> Option<u32> {
         self.processes[place].as_ref().and_then(|p| p.child.id())
     }
 
-    /// Places whose processes were started and not ended by the rig.
+    /// Places whose process was started and not ended by the rig.
     pub fn places(&self) -> Vec<usize> {
         (0..self.processes.len()).filter(|n| self.processes[*n].is_some()).collect()
     }
 
     fn signal(&self, place: usize, signal: Signal) {
         let pid = self.pid(place).and_then(|p| Pid::from_raw(p as i32));
-        // One that is gone already needs none.
+        // A process that has exited needs no signal.
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
@@ -388,12 +391,12 @@
         }
     }
 
-    /// Another script takes the place of the plan's.
+    /// Replaces the script of the plan.
     pub fn set_script(&mut self, script: Script) {
         self.plan.script = script;
     }
 
-    /// Plays the script from its beginning to its end.
+    /// Runs the script to its end, and waits until all its faults are over.
     pub async fn play(&mut self, mut report: impl FnMut(&Entry)) -> Result<(), RigError> {
         let began = Instant::now();
         for entry in self.plan.script.entries.clone() {
@@ -406,7 +409,7 @@
         self.check()
     }
 
-    /// A process that ended by itself ends the run.
+    /// Fails if a process has exited without being told to.
     fn check(&mut self) -> Result<(), RigError> {
         for (place, process) in self.processes.iter_mut().enumerate() {
             if let Some(Ok(Some(status))) = process.as_mut().map(|p| p.child.try_wait()) {
@@ -417,7 +420,7 @@
         Ok(())
     }
 
-    /// Kills all processes and waits until they are gone.
+    /// Kills all processes and waits until they have exited.
     pub async fn abort(mut self) -> Result<(), RigError> {
         for place in self.places() {
             self.signal(place, Signal::KILL);
@@ -428,7 +431,7 @@
         Ok(())
     }
 
-    /// Ends all processes, those that are stopped too, and hands out the history.
+    /// Ends all processes, including stopped ones, and returns the history.
     pub async fn close(mut self) -> Result<History, RigError> {
         for place in self.places() {
             self.signal(place, Signal::CONT);
--- a/crates/standin/src/rig/plan.rs
+++ b/crates/standin/src/rig/plan.rs
@@ -1,4 +1,4 @@
-//! What a rig is to be built of.
+//! Configuration of a rig.
 
 use super::environment::Environment;
 use super::wire;
@@ -10,36 +10,36 @@
 /// What to build.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The node's program.
+    /// Path of the node's binary.
     pub binary: PathBuf,
-    /// Nodes that are started at once.
+    /// Number of nodes that are started.
     pub nodes: usize,
-    /// Places beside them, for second processes under a name.
+    /// Number of further places, for second processes under a name.
     pub spare: usize,
-    /// Zones, each of nodes in a row.
+    /// Number of zones; each is a range of nodes.
     pub zones: usize,
-    /// Leases, if nodes take part in them.
+    /// Leases, if the nodes take part in them.
     pub lease: Option<LeasePlan>,
-    /// Servers that discovery tells of. None: twenty at addresses where nobody listens.
+    /// Servers that discovery lists. If empty, twenty addresses where nothing listens.
     pub servers: Vec<SocketAddr>,
-    /// Connections pass the rig too: only then can a script cut `servers`, `discovery` and `clients`.
+    /// Proxies connections too, without which a script can't cut `servers`, `discovery` and `clients`.
     pub streams: bool,
-    /// Nodes have a mesh among them, which passes the rig: what a script cuts between nodes is cut for it too.
+    /// Gives the nodes a mesh, which is proxied: what a script cuts between nodes is cut for the mesh too.
     pub mesh: bool,
-    /// Descriptors that each process may hold; a quarter of them are for its mesh.
+    /// Descriptor limit of each process; a quarter is for its mesh.
     pub sockets: usize,
-    /// Each place has a folder that lasts longer than its processes.
+    /// Gives each place a folder that outlives its processes.
     pub folders: bool,
-    /// The site's settings.
+    /// Settings of the site.
     pub settings: Value,
-    /// Further lines of the operator's file, after all tables; `{folder}` stands for the place's folder.
+    /// Text appended to the operator's file; `{folder}` is replaced by the place's folder.
     pub operator: String,
-    /// Faults and the seed.
+    /// The faults and the random seed.
     pub script: Script,
 }
 
 impl Plan {
-    /// Nodes of one zone, without leases, whose servers nobody is.
+    /// Nodes in one zone, without leases, whose servers do not exist.
     pub fn new(binary: PathBuf, nodes: usize, script: Script) -> Self {
         Plan {
             binary,
@@ -59,27 +59,27 @@
     }
 }
 
-/// What nodes are told of leases.
+/// Lease configuration of the nodes.
 #[derive(Clone, Debug)]
 pub struct LeasePlan {
-    /// The first so many nodes vote.
+    /// Number of voters, which are the first nodes.
     pub voters: usize,
     /// Further lines of the `[lease]` table.
     pub lines: String,
-    /// Rates of nodes' lease clocks, in turn; true time where there is none.
+    /// Rates of the nodes' lease clocks, assigned in rotation; 1 if empty.
     pub rates: Vec<f64>,
-    /// Safeguards to go without, as `drill.without` names them.
+    /// Safeguards to disable, as named by `drill.without`.
     pub without: Vec<&'static str>,
 }
 
 impl LeasePlan {
-    /// Leases that live for 2 s, by true clocks and with all safeguards.
+    /// Leases that live for 2 s, with accurate clocks and all safeguards.
     pub fn new(voters: usize) -> Self {
         let lines = "ttl = \"2s\"\nround = \"200ms\"".to_owned();
         LeasePlan { voters, lines, rates: Vec::new(), without: Vec::new() }
     }
 
-    /// The rate of a node's lease clock.
+    /// Rate of a node's lease clock.
     pub fn rate(&self, node: usize) -> f64 {
         match self.rates.len() {
             0 => 1.0,
@@ -89,7 +89,8 @@
 }
 
 impl Plan {
-    /// The operator's file of a node at a place: what it listens on, where others see it, and all that is the same everywhere.
+    /// Returns the operator's file of a node at a place: its own addresses, and the tables that are the same for all
+    /// nodes.
     pub(super) fn operator_file(
         &self,
         (place, node): (usize, usize),
--- a/crates/standin/src/rig/proxies.rs
+++ b/crates/standin/src/rig/proxies.rs
@@ -1,8 +1,8 @@
-//! Ways for connections between a node and whom it speaks with that is no node: servers, discovery, clients.
+//! TCP proxies between a node and external endpoints (servers, discovery, clients) and between the meshes of nodes.
 //!
-//! Each way belongs to one place of the rig, so that a cut can be that node's alone, and one-sided. What a cut connection
-//! carries waits, as it does in a network that drops packets; nothing is lost or changed. A connection that is begun while its
-//! way is cut is taken, and led on once it passes.
+//! Each proxy belongs to one place of the rig, so that a cut can affect a single node and a single direction. Data on a
+//! cut connection waits, as it does in a network that drops packets; nothing is lost or changed. A connection opened
+//! during a cut is accepted, and connected to its target once the cut is over.
 
 use super::wire;
 use birchswitch_lab::rng::Rng;
@@ -20,32 +20,32 @@
 /// Ordered pairs of places.
 pub type Pairs = BTreeSet<(usize, usize)>;
 
-/// What was lost on the way comes so much later: a sender's first timer.
+/// Delay of data that was lost, like a sender's initial retransmission timeout.
 const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
-/// Who comes on a way.
+/// Which place connects to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// One place, or what is no node.
+    /// One place, or an external endpoint.
     Place(usize),
-    /// Whichever node it is, by the address that it comes from.
+    /// Any node, identified by its source address.
     AnyNode,
 }
 
-/// What befalls all ways.
+/// Faults of all proxies.
 #[derive(Clone, Debug, Default)]
 struct Faults {
     cut: Pairs,
-    /// Pieces that are lost and come again later, in thousandths.
+    /// Probability in thousandths that a read is delayed as if it had been lost.
     lose: u32,
 }
 
-/// All ways of a rig. Runs on a `LocalSet`, as long as it is held.
+/// All TCP proxies of a rig. They run on a `LocalSet` until this is dropped.
 pub struct TcpProxies {
     faults: watch::Sender<Faults>,
     tasks: JoinSet<()>,
     opened: u64,
-    /// Bytes that each place sent.
+    /// Bytes sent by each place.
     sent: Rc<RefCell<BTreeMap<usize, u64>>>,
 }
 
@@ -57,22 +57,22 @@
 }
 
 impl TcpProxies {
-    /// Bytes that a place sent so far.
+    /// Bytes that a place has sent so far.
     pub fn sent_by(&self, place: usize) -> u64 {
         self.sent.borrow().get(&place).copied().unwrap_or_default()
     }
 
-    /// From now on nothing passes for these.
+    /// Replaces the set of cut pairs.
     pub fn cut(&self, pairs: Pairs) {
         self.faults.send_modify(|f| f.cut = pairs);
     }
 
-    /// From now on so many thousandths of the pieces are lost, and come again later.
+    /// Sets the loss probability in thousandths; lost data arrives after a delay.
     pub fn lose(&self, thousandths: u32) {
         self.faults.send_modify(|f| f.lose = thousandths);
     }
 
-    /// Opens a way from one place to another; whoever connects to the address that this returns reaches `real`. Connections are
+    /// Opens a proxy from one place to another and returns its address. Connections to it are forwarded to `real`, or
     /// closed at once while that is none.
     pub async fn open(
         &mut self,
@@ -102,7 +102,7 @@
                                 Direction { faults, pair, rng: Rng::new(seed, 18), sent }
                             };
                             let (forward, backward) = (direction((from, to)), direction((to, from)));
-                            // Its end is either side's; neither has anything more to say of it.
+                            // An end or error on either side ends the connection; there is nothing to report.
                             open.spawn_local(async move { drop(relay(near, real, forward, backward).await) });
                         }
                     }
@@ -114,7 +114,7 @@
     }
 }
 
-/// One direction.
+/// One direction of a proxied connection.
 struct Direction {
     faults: watch::Receiver<Faults>,
     pair: (usize, usize),
@@ -164,6 +164,6 @@
     near.set_nodelay(true)?;
     far.set_nodelay(true)?;
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-    // A reset on either side ends both.
+    // An error in one direction, such as a reset, ends both.
     tokio::try_join!(forward.copy(near_in, far_out), backward.copy(far_in, near_out)).map(drop)
 }
--- a/crates/standin/src/rig/scale/fit.rs
+++ b/crates/standin/src/rig/scale/fit.rs
@@ -1,21 +1,21 @@
-//! Straight lines through what was measured.
+//! Linear fits of measured costs.
 
-/// Fewer sizes than this show no slope.
+/// Fewer distinct sizes than this give no reliable slope.
 const MIN_SIZES: usize = 4;
 
 /// A line `at_zero + slope * size`, fitted by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
-    /// Its value at size 0.
+    /// Cost at size 0.
     pub at_zero: f64,
-    /// What each further unit of size costs.
+    /// Cost of each further unit of size.
     pub slope: f64,
-    /// By how much the worst point is off it.
+    /// Largest distance of a point from the line.
     pub worst_residual: f64,
 }
 
 impl LinearFit {
-    /// Through points of size and cost; none: they are of fewer than four sizes.
+    /// Fits points of size and cost. None for fewer than four distinct sizes.
     pub fn fit(points: &[(f64, f64)]) -> Option<LinearFit> {
         let mut sizes: Vec<f64> = points.iter().map(|p| p.0).collect();
         sizes.sort_by(f64::total_cmp);
@@ -34,7 +34,7 @@
         Some(LinearFit { at_zero, slope, worst_residual: residuals.fold(0.0, f64::max) })
     }
 
-    /// Its value at a size.
+    /// Cost at a size, by the fit.
     pub fn at(&self, size: f64) -> f64 {
         self.at_zero + self.slope * size
     }
--- a/crates/standin/src/rig/scale/measure.rs
+++ b/crates/standin/src/rig/scale/measure.rs
@@ -1,19 +1,19 @@
-//! What the operating system knows of a process and of the machine.
+//! Resource usage of a process and of the machine, read from `/proc`.
 
 use std::time::Duration;
 
-/// What a process has taken.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Processor time of all its threads.
+    /// CPU time of all threads.
     pub cpu: Duration,
-    /// Memory that it holds.
+    /// Resident memory.
     pub memory_kb: u64,
-    /// Descriptors that it has open.
+    /// Number of open descriptors.
     pub descriptors: usize,
 }
 
-/// What a process has taken by now; nothing, if it is gone.
+/// Usage of a process so far; all zero if it has exited.
 pub fn usage(pid: u32) -> Usage {
     let threads = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let on_cpu = |path: std::path::PathBuf| {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Memory of the machine.
+/// Total memory of the machine.
 pub fn machine_memory_kb() -> u64 {
     kilobytes("/proc/meminfo", "MemTotal:")
 }
@@ -38,7 +38,7 @@
     line.split_ascii_whitespace().next().and_then(|kb| kb.parse().ok()).unwrap_or(0)
 }
 
-/// Time that all processors together spent busy, and in all, in ticks.
+/// Busy and total time of all processors, in ticks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Processors {
     busy: u64,
@@ -46,18 +46,18 @@
 }
 
 impl Processors {
-    /// By now.
+    /// Time since the machine started.
     pub fn now() -> Self {
         let text = std::fs::read_to_string("/proc/stat").unwrap_or_default();
         let first = text.lines().next().unwrap_or_default();
         let ticks: Vec<u64> = first.split_ascii_whitespace().skip(1).filter_map(|t| t.parse().ok()).collect();
         let all = ticks.iter().take(8).sum();
-        // Idle, and waiting for disks.
+        // The `idle` and `iowait` columns.
         let idle: u64 = ticks.iter().skip(3).take(2).sum();
         Processors { busy: all - idle, all }
     }
 
-    /// The busy part since then.
+    /// Busy fraction of the time since an earlier reading.
     pub fn busy_since(self, then: Processors) -> f64 {
         (self.busy - then.busy) as f64 / (self.all - then.all).max(1) as f64
     }
--- a/crates/standin/src/rig/scale/mod.rs
+++ b/crates/standin/src/rig/scale/mod.rs
@@ -1,7 +1,9 @@
-//! What a fleet costs as it grows: real processes with every fleet-wide part on, size by size, without clients.
+//! What a fleet costs as it grows: real processes with all fleet-wide functions enabled, at several sizes, without
+//! clients.
 //!
-//! Each size is a fleet of its own, started, left to agree, and watched. What its processes took is told by role: those that hold
-//! a lease by its task, those that vote, and all others. Lines through the sizes ([`LinearFit`]) tell what each role's cost grows by.
+//! For each size a new fleet is started and measured once it has settled. Costs are reported by role: lease holders by
+//! their task, voters, and all other nodes. Linear fits over the sizes ([`LinearFit`]) give the growth of each role's
+//! cost.
 
 mod fit;
 pub(super) mod measure;
@@ -19,41 +21,42 @@
 pub use table::{head, row, METRICS};
 use tokio::time::{sleep, Instant};
 
-/// Processes that may run at once.
+/// The most processes of a fleet.
 pub const MAX_PROCESSES: usize = 200;
-/// Memory that a process is taken to need before it is started.
+/// Memory reserved for each process when a size is checked.
 const PROCESS_KB: u64 = 32 << 10;
-/// Nodes that vote on leases.
+/// Number of voters on leases.
 const VOTERS: usize = 5;
-/// Fewest nodes of a fleet: those that vote and one that does not.
+/// The fewest nodes of a fleet: the voters and one other node.
 const MIN_NODES: usize = VOTERS + 1;
-/// For a fleet to agree on its members and its leases.
+/// Time limit for a fleet to agree on its members and leases.
 const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(120);
-/// Between looks at whether it has.
+/// Interval at which agreement is checked.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// From then until it is watched.
+/// Time between agreement and the measurement.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
-/// With the processors busier than this, processes wait for each other: what is measured shows the machine.
+/// Busy fraction of the processors above which processes wait for each other, so that the figures describe the machine
+/// and not the fleet.
 const MAX_BUSY: f64 = 0.85;
-/// Tasks of which a fleet with all parts on runs one each.
+/// Tasks that run on one node each in every fleet.
 const TASKS: [&str; 3] = ["limits", "tuner", "verdict"];
-/// The one that accounts want beside them.
+/// The further task of fleets with accounts.
 const ACCOUNTS_TASK: &str = "wallet";
 
-/// What a fleet is made of.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Nodes, each a process.
+    /// Number of nodes, each a process.
     pub nodes: usize,
-    /// Servers that discovery lists; nobody listens there.
+    /// Number of servers that discovery lists; nothing listens there.
     pub servers: usize,
-    /// Limits of the whole fleet, each of a tenant of its own.
+    /// Number of fleet-wide limits, each for a tenant of its own.
     pub limits: usize,
-    /// Prepaid accounts, each of a tenant of its own.
+    /// Number of prepaid accounts, each of a tenant of its own.
     pub accounts: usize,
 }
 
-/// Why a run was refused or could not go on.
+/// Why a run was refused or could not continue.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
     /// Too few nodes.
@@ -65,19 +68,19 @@
     /// Too much memory.
     #[error("{nodes} nodes may need {wanted_mb} MB, and a run may take half of the machine's memory, {most_mb} MB")]
     TooMuchMemory {
-        /// Nodes.
+        /// Number of nodes.
         nodes: usize,
-        /// What they may need.
+        /// Memory that the nodes may need.
         wanted_mb: u64,
-        /// What a run may take.
+        /// Memory that a run may use.
         most_mb: u64,
     },
-    /// Trouble with the processes.
+    /// The rig failed.
     #[error(transparent)]
     Rig(#[from] RigError),
 }
 
-/// Whether sizes may be played on this machine. To be asked before anything is started.
+/// Checks whether this machine can run these sizes. Call it before anything is started.
 pub fn check(sizes: &[Size]) -> Result<(), ScaleError> {
     check_against(sizes, measure::machine_memory_kb())
 }
@@ -98,8 +101,8 @@
     Ok(())
 }
 
-/// The base size, then each list's further values with all others at the base, then all lists' last values together where more than
-/// one list has several.
+/// Returns the base size, then each list's further values with the others at the base, then the last values of all
+/// lists together if more than one list has several.
 pub fn sizes(nodes: &[usize], servers: &[usize], limits: &[usize], accounts: &[usize]) -> Vec<Size> {
     let pick = |of: fn(&[usize]) -> Option<&usize>| {
         let [nodes, servers, limits, accounts] =
@@ -119,37 +122,37 @@
     all
 }
 
-/// What one process took a second, and holds.
+/// Resources that a process used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Parts of a core, in hundredths.
+    /// CPU time in percent of a core.
     pub cpu_percent: f64,
-    /// Memory.
+    /// Resident memory.
     pub memory_kb: f64,
-    /// Descriptors.
+    /// Number of open descriptors.
     pub descriptors: f64,
-    /// Datagrams a second that it sent.
+    /// Datagrams sent per second.
     pub datagrams: f64,
-    /// Bytes a second in them.
+    /// Bytes sent per second in datagrams.
     pub datagram_bytes: f64,
-    /// Bytes a second that it sent over the mesh.
+    /// Bytes sent per second over the mesh.
     pub stream_bytes: f64,
 }
 
-/// What a size came to.
+/// Result of one size.
 #[derive(Clone, Debug)]
 pub struct SizeResult {
-    /// The size.
+    /// Size of the fleet.
     pub size: Size,
-    /// Until all knew each other and each task was somebody's.
+    /// Time until all nodes knew each other and each task had a holder.
     pub agreed: Duration,
-    /// By role: processes, and the mean of their costs.
+    /// By role: the number of processes and the mean of their costs.
     pub roles: BTreeMap<String, (usize, Cost)>,
-    /// Why it is no evidence, if it is none.
+    /// Why the figures must not be used, if so.
     pub void: Option<String>,
 }
 
-/// Plays one size.
+/// Runs a fleet of one size and measures it.
 pub async fn play(
     size: Size,
     binary: PathBuf,
@@ -201,7 +204,7 @@
         mesh: true,
         folders: size.accounts > 0,
         servers: (0..size.servers).map(|_| crate::scripted::unique_address()).collect(),
-        // Whoever serves a task hears every other node.
+        // The node that runs a task receives from every other node.
         sockets: 8 * (size.nodes + 32),
         settings: settings(size.limits.max(size.accounts).max(1)),
         operator,
@@ -217,7 +220,7 @@
     settings
 }
 
-/// Waits for one membership, and for a holder of each task.
+/// Waits until the views of all nodes agree and each task has a holder.
 async fn agreed(rig: &Rig, size: Size) -> Result<Duration, ScaleError> {
     let began = Instant::now();
     let accounts = (size.accounts > 0).then_some(&ACCOUNTS_TASK);
@@ -242,15 +245,15 @@
     history.lines.iter().filter(|line| line.kind == "verdict").count()
 }
 
-/// The task of a lease's key, which ends with its slot and may name a zone.
+/// The task of a lease name, which may also contain a zone and a slot (`TASK/...`).
 fn task_of(lease: &str) -> &str {
     lease.split('/').next().unwrap_or(lease)
 }
 
-/// Who holds each lease.
+/// Place of each lease's holder.
 fn holders(history: &History) -> BTreeMap<String, usize> {
     let mut holders = BTreeMap::new();
-    // Lines of different processes come in any order.
+    // Lines of different processes are not in order of time.
     let mut lines: Vec<_> = history.lines.iter().filter(|line| !line.text("lease").is_empty()).collect();
     lines.sort_by_key(|line| line.at);
     for line in lines {
@@ -264,7 +267,7 @@
     holders
 }
 
-/// Each place's roles: the tasks that it holds, else that it votes, else none.
+/// Roles of each place: the tasks it holds; else voter or plain node.
 fn roles(history: &History, nodes: usize) -> Vec<Vec<String>> {
     let mut roles = vec![Vec::new(); nodes];
     for (lease, place) in holders(history) {
--- a/crates/standin/src/rig/scale/table.rs
+++ b/crates/standin/src/rig/scale/table.rs
@@ -1,17 +1,17 @@
-//! Costs as lines of CSV.
+//! CSV output of costs.
 
 use super::{Cost, SizeResult};
 
-/// One figure of a cost.
+/// One figure of a [`Cost`].
 pub struct Metric {
-    /// Its name, with its unit.
+    /// Column name, with the unit.
     pub name: &'static str,
-    /// Reads it.
+    /// Reads the figure.
     pub of: fn(&Cost) -> f64,
     place: fn(&mut Cost) -> &mut f64,
 }
 
-/// All of them.
+/// All figures, in order of the columns.
 pub const METRICS: [Metric; 6] = [
     Metric { name: "cpu_percent", of: |c| c.cpu_percent, place: |c| &mut c.cpu_percent },
     Metric { name: "memory_kb", of: |c| c.memory_kb, place: |c| &mut c.memory_kb },
@@ -22,26 +22,26 @@
 ];
 
 impl Metric {
-    /// This figure of `sum` with that of `cost` added.
+    /// Returns `sum` with this figure of `cost` added.
     pub(super) fn add(&self, mut sum: Cost, cost: &Cost) -> Cost {
         *(self.place)(&mut sum) += (self.of)(cost);
         sum
     }
 
-    /// This figure of `sum` divided.
+    /// Returns `sum` with this figure divided.
     pub(super) fn divide(&self, mut sum: Cost, by: f64) -> Cost {
         *(self.place)(&mut sum) /= by;
         sum
     }
 }
 
-/// The first line.
+/// The header line.
 pub fn head() -> String {
     let metrics: Vec<&str> = METRICS.iter().map(|metric| metric.name).collect();
     format!("seed,nodes,servers,limits,accounts,agreed_s,role,processes,{},void\n", metrics.join(","))
 }
 
-/// The lines of a step, one a role.
+/// The lines of one size, one per role.
 pub fn row(seed: u64, step: &SizeResult) -> String {
     let size = step.size;
     let mut text = String::new();
--- a/crates/standin/src/rig/site.rs
+++ b/crates/standin/src/rig/site.rs
@@ -1,4 +1,4 @@
-//! Servers of a rig's site: they answer after a while, as they are told, and write down every request that reaches them.
+//! Servers of the rig's site. They answer after a configured time, with configured errors, and record every request.
 
 use super::history::{now, Nanos};
 use bytes::Bytes;
@@ -17,35 +17,35 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, JoinSet};
 
-/// A request as it reached a server.
+/// A request that reached a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// When all of it was there.
+    /// When it was received completely.
     pub at: Nanos,
-    /// When it was answered; not yet, where there is none.
+    /// When its processing ended, or none while it is in progress.
     pub ended: Option<Nanos>,
-    /// By which server.
+    /// Server that received it.
     pub server: usize,
-    /// Its class.
+    /// Class of the request.
     pub class: String,
-    /// Its tenant.
+    /// Tenant of the request.
     pub tenant: String,
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Its key, or nothing.
+    /// Idempotency key, or empty.
     pub key: String,
 }
 
-/// How a server behaves.
+/// Behavior of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerBehavior {
-    /// How long each request takes.
+    /// Processing time of a request.
     pub service_time: Duration,
-    /// The part that is answered by an error, in thousandths.
+    /// Thousandths of requests answered with an error.
     pub error_permille: u32,
-    /// The part that takes ten times as long, likewise.
+    /// Thousandths of requests that take ten times as long.
     pub slow_permille: u32,
-    /// What it says of its load.
+    /// Load that a report would state; responses carry no load reports at present.
     pub reported_load: f64,
 }
 
@@ -55,7 +55,7 @@
     count: Cell<u64>,
 }
 
-/// See the module's words. Runs on a `LocalSet`, as long as it is held.
+/// The servers of a site. They run on a `LocalSet` until this is dropped.
 pub struct Site {
     servers: Vec<Rc<Server>>,
     addresses: Vec<SocketAddr>,
@@ -64,7 +64,7 @@
 }
 
 impl Site {
-    /// So many servers that all behave so.
+    /// Starts servers with the same behavior.
     pub async fn start(servers: usize, habits: ServerBehavior) -> io::Result<Site> {
         let (mut all, mut addresses, mut tasks) = (Vec::new(), Vec::new(), JoinSet::new());
         let book: Rc<RefCell<Vec<ReceivedRequest>>> = Rc::default();
@@ -83,22 +83,22 @@
         Ok(Site { servers: all, addresses, book, _tasks: tasks })
     }
 
-    /// Where they are.
+    /// Addresses of the servers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.addresses.clone()
     }
 
-    /// How one behaves from now on.
+    /// Changes the behavior of a server.
     pub fn set_behavior(&self, server: usize, habits: ServerBehavior) {
         self.servers[server].habits.set(habits);
     }
 
-    /// All that reached them, in order.
+    /// All requests that reached the servers, in order.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         self.book.borrow().clone()
     }
 
-    /// How much that is.
+    /// Number of requests that reached the servers.
     pub fn count(&self) -> usize {
         self.book.borrow().len()
     }
@@ -110,11 +110,11 @@
         let (server, book) = (server.clone(), book.clone());
         async move { Ok::<_, Infallible>(answer(n, &server, &book, request).await) }
     });
-    // Its end is the node's affair.
+    // The node reports errors of a connection; the server ignores them.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// Writes down when work on a request ended, also where its connection closed.
+/// Records the end of a request's processing, also if its connection closes before.
 struct Working<'a> {
     book: &'a RefCell<Vec<ReceivedRequest>>,
     at: usize,
@@ -151,7 +151,7 @@
     };
     let working = Working { book, at };
     let (habits, count) = (server.habits.get(), server.count.replace(server.count.get() + 1));
-    // Spread evenly, so that the same part errs whatever the number.
+    // Affected requests are spread evenly, so that any number of requests has about the same fraction of them.
     let hits = |part: u32| count * u64::from(part) % 1000 < u64::from(part);
     let service_time =
         if hits(habits.slow_permille) { habits.service_time * 10 } else { habits.service_time };
--- a/crates/standin/src/rig/takeovers.rs
+++ b/crates/standin/src/rig/takeovers.rs
@@ -1,4 +1,5 @@
-//! Leases among processes in figures: how soon another holds after a holder's end, and scripts of random faults for as long as wanted.
+//! Lease takeovers among processes: the time until another node holds the lease after its holder's end, and scripts of
+//! random faults.
 
 use super::history::{now, History};
 use super::leases::{concurrent_holders, contend, overlaps, Activity, ContenderBehavior};
@@ -13,17 +14,17 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Nodes, and how many of them vote.
+/// Number of nodes, and of voters among them.
 const NODES: [usize; 2] = [7, 5];
-/// For a next holder, or the first.
+/// Time limit for the first or the next holder.
 const HOLDER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What came of holders' ends.
+/// Result of a series of takeovers.
 #[derive(Debug, Default)]
 pub struct Takeovers {
-    /// Seconds from each end, as the signal was sent, until another process was granted the lease.
+    /// Seconds from each signal until another process was granted the lease.
     pub delays: Vec<f64>,
-    /// Grants in all, the first one included.
+    /// Number of all grants, including the first.
     pub grants: usize,
     /// What did not hold.
     pub violations: Vec<String>,
@@ -33,7 +34,7 @@
     h.lines.iter().filter(|l| l.kind == "granted").count()
 }
 
-/// What nodes wrote of leases around a moment, to find out by.
+/// Lease events around a time, for error messages.
 fn lease_events(history: &History, holder: usize, at: u64) -> String {
     let of_leases = history.lines.iter().filter(|l| !l.text("lease").is_empty() || l.kind == "votes");
     let events: Vec<String> = of_leases
@@ -43,7 +44,7 @@
     format!("n{holder} had it; {}", events.join(", "))
 }
 
-/// Ends the holder's process so many times, killed or by SIGTERM, with contenders at all nodes that keep the lease for good.
+/// Ends the holder's process `ends` times, with SIGKILL or SIGTERM. Contenders at all nodes never release the lease.
 pub async fn takeovers(binary: PathBuf, ends: usize, killed: bool, seed: u64) -> Result<Takeovers, RigError> {
     let [nodes, voters] = NODES;
     let lease = LeasePlan::new(voters);
@@ -65,7 +66,7 @@
     }
     let mut found = Takeovers::default();
     for _ in 0..ends {
-        // Whoever was granted it last holds it, once voters that started have abstained and nobody changes.
+        // Wait until voters that have just started no longer abstain and the holder is stable.
         rig.wait_until("a holder", HOLDER_TIMEOUT, |h| granted(h) > 0, |_| "none".to_owned()).await?;
         let settled = Duration::from_secs_f64(3.5);
         sleep(settled).await;
@@ -116,8 +117,8 @@
     Ok(found)
 }
 
-/// A script of random faults for so long: deaths, pauses, cuts, loss, delay and doubling, one or two at a time, each healed before the
-/// next but one.
+/// Generates a script of random faults: deaths, pauses, cuts, loss, delay and duplication. One or two are active at a
+/// time, and each is healed before the next but one.
 pub fn random_script(seconds: u64, seed: u64) -> String {
     let [nodes, voters] = NODES;
     let mut rng = Rng::new(seed, 91);
--- a/crates/standin/src/rig/wallet.rs
+++ b/crates/standin/src/rig/wallet.rs
@@ -1,4 +1,5 @@
-//! A prepaid account on the rig: nodes under load, top-ups by operators' calls, and what the servers' own books come to at its prices.
+//! Prepaid accounts on the rig: nodes under load, top-ups through operators' calls, and a comparison of the ledger with
+//! the price of what servers received.
 
 use super::cases::CaseError;
 use super::load::{Load, NodeLoad, RequestOutcome, RequestSpec};
@@ -16,37 +17,37 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The prepaid tenant; another one is not.
+/// Tenant with a prepaid account.
 pub const ACCOUNT: &str = "one";
-/// What a request of each class costs.
+/// Price of a request of each class.
 pub const PRICES: [(&str, u64); 3] = [("safe", 1), ("keyed", 2), ("unsafe", 5)];
-/// Nodes that keep the ledger.
+/// Nodes that store the ledger.
 pub const LEDGER: [&str; 3] = ["n0", "n1", "n2"];
-/// For an operator's call.
+/// Time limit of an operator's call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What is to be played.
+/// A wallet case.
 #[derive(Clone, Debug)]
 pub struct Case<'a> {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Safeguards to go without.
+    /// Safeguards to disable.
     pub without: &'a [&'a str],
-    /// Further lines of `[ledger]`.
+    /// Further lines of the `[ledger]` table.
     pub ledger: &'a str,
-    /// Units that may be spent beyond what was prepaid.
+    /// Units that may be spent beyond the prepaid balance.
     pub overdraft: u64,
-    /// Thousandths of answers that are errors.
+    /// Thousandths of requests that servers answer with an error.
     pub error_permille: u32,
-    /// For how long servers work on a request.
+    /// Processing time of a request at a server.
     pub service_time: Duration,
     /// Further tables of the operator's file.
     pub extra_tables: &'a str,
-    /// The seed.
+    /// Random seed.
     pub seed: u64,
 }
 
-/// Twelve nodes, nothing wrong.
+/// Twelve nodes without faults.
 pub const BASELINE: Case<'static> = Case {
     nodes: 12,
     without: &[],
@@ -58,28 +59,28 @@
     seed: 1,
 };
 
-/// What the ledger says of the account.
+/// State of the account as the ledger reports it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shown {
-    /// All paid in.
+    /// Total of all top-ups.
     pub topped: i64,
-    /// Not held by any part.
+    /// Units not held by any part.
     pub balance: i64,
-    /// Held by parts.
+    /// Units held by parts.
     pub outstanding: i64,
-    /// Debited.
+    /// Units debited.
     pub spent: i64,
-    /// Held by parts of processes that are gone.
+    /// Units in doubt: held by parts of processes that are gone.
     pub doubt: i64,
-    /// Debited a second time for a key, and given back.
+    /// Units debited a second time for the same key, and given back.
     pub twice: i64,
     /// `open`, `low`, `paused` or `frozen`.
     pub state: String,
 }
 
-/// See the module's words.
+/// A rig with a prepaid account, its servers and the load on its nodes.
 pub struct WalletRig {
-    /// The processes.
+    /// The nodes.
     pub rig: Rig,
     /// The servers.
     pub site: Site,
@@ -89,7 +90,7 @@
 }
 
 impl WalletRig {
-    /// Starts all of it; nobody asks for anything yet.
+    /// Starts the nodes and servers, without load, and waits until a node keeps the wallet.
     pub async fn open(case: &Case<'_>, binary: PathBuf) -> Result<WalletRig, CaseError> {
         let mut script = Script::parse("0s wire lose 0", 0, case.nodes)?;
         script.seed = case.seed;
@@ -128,7 +129,7 @@
         Ok(WalletRig { rig, site, load: None, node_rates: Vec::new(), paid: BTreeMap::new() })
     }
 
-    /// From now on each node gets so many requests a second, of these classes in turn.
+    /// Starts requests of the account's tenant at each node, with these classes in rotation.
     pub fn load(&mut self, per_s: f64, classes: &[&str]) {
         let order = |class: &&str| RequestSpec {
             class: (*class).into(),
@@ -140,7 +141,7 @@
         self.start_load(per_s, &orders);
     }
 
-    /// The same of these orders.
+    /// Starts requests at each node, with these templates in rotation.
     pub fn start_load(&mut self, per_s: f64, orders: &[RequestSpec]) {
         let nodes = self.rig.client_addresses().borrow().len();
         let rates: Vec<NodeLoad> = (0..nodes)
@@ -150,12 +151,12 @@
         self.load = Some(Load::start(rates, self.rig.client_addresses()));
     }
 
-    /// A node gets so many from now on.
+    /// Changes the request rate at a node.
     pub fn set_rate(&self, node: usize, per_s: f64) {
         self.node_rates[node].set(per_s);
     }
 
-    /// Nobody asks for anything any more. How all requests ended.
+    /// Stops the load and returns the outcomes of all requests.
     pub async fn stop_load(&mut self) -> Vec<RequestOutcome> {
         match self.load.take() {
             Some(load) => load.stop().await,
@@ -163,12 +164,12 @@
         }
     }
 
-    /// How requests ended so far.
+    /// Outcomes of requests so far.
     pub fn outcomes(&self) -> Vec<RequestOutcome> {
         self.load.as_ref().map(Load::outcomes).unwrap_or_default()
     }
 
-    /// An operator's call at a node; none: there was no answer.
+    /// Makes an operator's call at a node. None if there is no answer in time.
     pub async fn call(&self, node: usize, line: &str) -> Option<String> {
         let desk: SocketAddr = self.rig.ops_address(node)?;
         let exchange = async {
@@ -181,7 +182,7 @@
         timeout(CALL_TIMEOUT, exchange).await.ok().flatten()
     }
 
-    /// Pays, at one of these nodes after the other until one says that it was taken.
+    /// Tops the account up, trying these nodes in rotation until one confirms.
     pub async fn top_up(&mut self, nodes: &[usize], id: &str, units: u64) {
         self.paid.insert(id.to_owned(), units);
         let began = Instant::now();
@@ -197,12 +198,12 @@
         panic!("a payment was never taken");
     }
 
-    /// All that was ever paid.
+    /// Total of all top-ups that were requested.
     pub fn total_topped_up(&self) -> u64 {
         self.paid.values().sum()
     }
 
-    /// What the ledger says, by any of the nodes that answers.
+    /// State of the account, from the first node that answers.
     pub async fn shown(&self) -> Shown {
         let began = Instant::now();
         while began.elapsed() < Duration::from_secs(60) {
@@ -228,7 +229,7 @@
         panic!("the wallet was never shown");
     }
 
-    /// Waits until the ledger shows that.
+    /// Waits until a condition on the account holds.
     pub async fn wait_until(&self, what: &str, condition: impl Fn(&Shown) -> bool) -> Shown {
         let began = Instant::now();
         loop {
@@ -241,7 +242,7 @@
         }
     }
 
-    /// What requests that reached servers cost: each once, and those of one key once.
+    /// Price of the requests that reached servers, counting each request id or key once.
     pub fn cost_at_servers(&self) -> u64 {
         let seen = self.site.received();
         let own = seen.iter().filter(|s| s.tenant == ACCOUNT);
@@ -252,7 +253,8 @@
         each.values().sum()
     }
 
-    /// What does not hold now: at any moment, then once all is quiet and settled.
+    /// What does not hold: the spending bound at any time, and also the account's balance equations if the load has
+    /// stopped and settled (`quiet`).
     pub async fn violations(&self, case: &Case<'_>, quiet: bool) -> Vec<String> {
         let (at_servers, most) = (self.cost_at_servers(), self.total_topped_up() + case.overdraft);
         let mut violations = Vec::new();
--- a/crates/standin/src/rig/wire.rs
+++ b/crates/standin/src/rig/wire.rs
@@ -1,7 +1,8 @@
-//! The wire between nodes, in user space: every datagram passes here, and what befalls it is chosen for its ordered pair.
+//! The network between nodes, in user space: every datagram passes through it, with faults chosen by its ordered pair
+//! of places.
 //!
-//! Each place has a socket that stands for it: others are told that address, and what a node sends leaves from its own place's.
-//! So a node sees its peers at one address each, whatever process runs there.
+//! Each place has a proxy socket. Other nodes are given that socket's address, and datagrams of a node leave from the
+//! socket of its own place, so that every node sees each peer at one address, whatever process runs there.
 
 use birchswitch_lab::rng::Rng;
 use std::cell::{Cell, RefCell};
@@ -13,45 +14,45 @@
 use tokio::net::UdpSocket;
 use tokio::task::{spawn_local, JoinSet};
 
-/// What befalls datagrams now. Parts are thousandths.
+/// Faults of datagrams. Probabilities are in thousandths.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Ordered pairs of places for which nothing passes.
+    /// Ordered pairs of places between which nothing passes.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Lost.
+    /// Probability that a datagram is lost.
     pub lose: u32,
-    /// Come twice.
+    /// Probability that a datagram is duplicated.
     pub double: u32,
-    /// Have a bit changed.
+    /// Probability that a bit is flipped.
     pub spoil: u32,
-    /// Are cut short.
+    /// Probability that a datagram is truncated.
     pub shorten: u32,
-    /// Most by which each is held back.
+    /// Upper bound of the random delay of each datagram.
     pub delay: Duration,
 }
 
-/// What passed, and what was done to it.
+/// Counts of datagrams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Datagrams and bytes that nodes sent.
     pub sent: [u64; 2],
-    /// Of these, lost or cut.
+    /// Datagrams lost or cut.
     pub lost: u64,
-    /// Changed or cut short.
+    /// Datagrams changed or truncated.
     pub corrupted: u64,
-    /// From addresses of nobody.
+    /// Datagrams from unknown addresses.
     pub unknown_sources: u64,
 }
 
 struct Place {
     socket: UdpSocket,
-    /// Where its process listens, if one does.
+    /// Address of the process, if one runs.
     real: Cell<Option<SocketAddr>>,
-    /// Datagrams and bytes that its processes sent.
+    /// Datagrams and bytes that the place's processes sent.
     sent: Cell<[u64; 2]>,
 }
 
-/// The wire. Runs on a `LocalSet`, as long as it is held.
+/// The network between nodes. It runs on a `LocalSet` until this is dropped.
 pub struct Wire {
     shared: Rc<Shared>,
     _tasks: JoinSet<()>,
@@ -64,14 +65,14 @@
     rng: RefCell<Rng>,
 }
 
-/// The address of a place within 127.0.0.0/8, for its process and for its stand-in on the wire.
+/// Address of a place within 127.0.0.0/8, for its process or for its proxy socket.
 pub fn host(place: usize, standing_in: bool) -> Ipv4Addr {
     let n = place as u16 + 1;
     let [high, low] = n.to_be_bytes();
     Ipv4Addr::new(127, if standing_in { 77 } else { 76 }, high, low)
 }
 
-/// The place whose process has that address.
+/// The place whose process has this address.
 pub fn place(address: std::net::IpAddr) -> Option<usize> {
     match address {
         std::net::IpAddr::V4(v4) if v4.octets()[..2] == [127, 76] => {
@@ -83,7 +84,7 @@
 }
 
 impl Wire {
-    /// A wire between so many places, on ports that the system chooses.
+    /// Creates a network between a number of places, on ports that the system chooses.
     pub async fn new(places: usize, seed: u64) -> io::Result<Self> {
         let mut all = Vec::new();
         for n in 0..places {
@@ -104,37 +105,37 @@
         Ok(Wire { shared, _tasks: tasks })
     }
 
-    /// Where others send to reach a place.
+    /// Address of a place's proxy socket, as other nodes know it.
     pub fn address(&self, place: usize) -> io::Result<SocketAddr> {
         self.shared.places[place].socket.local_addr()
     }
 
-    /// Where the process at a place listens now.
+    /// Sets the address of the process at a place.
     pub fn set_process_address(&self, place: usize, real: Option<SocketAddr>) {
         self.shared.places[place].real.set(real);
     }
 
-    /// Where the process at a place listens, if one does.
+    /// Address of the process at a place, if one runs.
     pub fn real(&self, place: usize) -> Option<SocketAddr> {
         self.shared.places[place].real.get()
     }
 
-    /// Changes what befalls datagrams.
+    /// Changes the faults.
     pub fn change(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.faults.borrow_mut());
     }
 
-    /// The ordered pairs that are cut.
+    /// Ordered pairs of places that are cut.
     pub fn cut(&self) -> BTreeSet<(usize, usize)> {
         self.shared.faults.borrow().cut.clone()
     }
 
-    /// Datagrams and bytes that the processes at a place sent.
+    /// Datagrams and bytes that the processes at a place have sent.
     pub fn sent_by(&self, place: usize) -> [u64; 2] {
         self.shared.places[place].sent.get()
     }
 
-    /// What passed.
+    /// Counts of datagrams so far.
     pub fn traffic(&self) -> Traffic {
         *self.shared.traffic.borrow()
     }
@@ -164,7 +165,7 @@
         }
     }
 
-    /// What arrives of a datagram, and how much later.
+    /// The copies of a datagram that arrive, each with its delay.
     fn apply_faults(&self, from: usize, to: usize, bytes: &[u8]) -> Vec<(Vec<u8>, Duration)> {
         let (faults, mut rng) = (self.faults.borrow(), self.rng.borrow_mut());
         let mut traffic = self.traffic.borrow_mut();
@@ -198,7 +199,7 @@
 
     fn deliver(&self, from: usize, to: usize, bytes: &[u8]) {
         if let Some(real) = self.places[to].real.get() {
-            // A full socket loses it, as a wire may.
+            // A full socket buffer drops the datagram, as a real network may.
             let _ = self.places[from].socket.try_send_to(bytes, real);
         }
     }
--- a/crates/standin/src/scale_command.rs
+++ b/crates/standin/src/scale_command.rs
@@ -1,4 +1,4 @@
-//! `birchswitch-standin scale`: what a fleet costs as it grows, as a table, a CSV file and lines through the sizes.
+//! `birchswitch-standin scale`: what a fleet costs as it grows, as a table, a CSV file and linear fits.
 
 use birchswitch_standin::process::block_on;
 use birchswitch_standin::rig::scale::{self, LinearFit, Size, SizeResult, METRICS};
@@ -11,36 +11,37 @@
 
 #[derive(Args)]
 pub(crate) struct Arguments {
-    /// Nodes, each a process: the first value is the base, each further one is played with all else at its base
+    /// Nodes, each a process. Here and below the first value is the base; each further value is run with all others at
+    /// their base
     #[arg(long, value_delimiter = ',', default_value = "25,50,100,200")]
     nodes: Vec<usize>,
     /// Servers that discovery lists
     #[arg(long, value_delimiter = ',', default_value = "20")]
     servers: Vec<usize>,
-    /// Limits of the whole fleet
+    /// Fleet-wide limits
     #[arg(long, value_delimiter = ',', default_value = "2")]
     limits: Vec<usize>,
     /// Prepaid accounts
     #[arg(long, value_delimiter = ',', default_value = "0")]
     accounts: Vec<usize>,
-    /// For how long each size is watched, in seconds
+    /// Length of each measurement in seconds
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u16).range(1..=3600))]
     seconds: u16,
-    /// The seed
+    /// Random seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Lines through the sizes are drawn on to so many nodes
+    /// Number of nodes to which the fits are extrapolated
     #[arg(long, default_value_t = 390)]
     planned: usize,
-    /// A file for the figures; it holds whole lines also after a run that was ended
+    /// CSV file for the figures; it holds only complete lines even after an interrupted run
     #[arg(long)]
     csv: Option<PathBuf>,
-    /// A node's program to run in place of this workspace's own
+    /// Node binary to run in place of the one from this workspace
     #[arg(long)]
     node: Option<PathBuf>,
 }
 
-/// Plays all sizes. False: a step is no evidence.
+/// Runs all sizes. Returns false if the figures of a size must not be used.
 pub(crate) fn run(
     arguments: &Arguments,
     build: impl FnOnce() -> Result<PathBuf, Box<dyn Error>>,
@@ -102,7 +103,7 @@
     }
 }
 
-/// Lines through the sizes in which only the number of nodes differs.
+/// Prints linear fits over the sizes that differ only in the number of nodes.
 fn print_lines(steps: &[SizeResult], planned: usize) {
     let Some(base) = steps.first().map(|step| step.size) else { return };
     let comparable =
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -27,91 +27,91 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A whole script, in the order of time.
+/// A script, sorted by time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Script {
-    /// For all that is random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// What happens.
+    /// Faults and their times.
     pub entries: Vec<Entry>,
 }
 
-/// One line.
+/// A line of a script.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When, from the start.
+    /// Time since the start.
     pub at: Duration,
-    /// To whom, with what.
+    /// The fault and its target.
     pub injection: Injection,
 }
 
-/// A fault and those that it befalls.
+/// A fault and its target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Injection {
-    /// To servers.
+    /// A fault of servers.
     Servers(Servers, Fault),
-    /// To a node.
+    /// A fault of one node.
     Node(usize, NodeFault),
-    /// To nodes' processes, on the rig.
+    /// A fault of nodes' processes, on the rig only.
     Nodes(Nodes, ProcessFault),
-    /// To the wire between nodes, on the rig.
+    /// A fault of the network between nodes, on the rig only.
     Wire(WireFault),
-    /// The registry neither speaks nor takes calls for so long.
+    /// The registry sends nothing and answers nothing for a time.
     RegistrySilent(Duration),
 }
 
-/// Some of the servers.
+/// Servers as a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Servers {
-    /// From the first to the last, both included.
+    /// A range, both ends included.
     Range(usize, usize),
-    /// Each of them.
+    /// All servers.
     All,
-    /// One, by chance.
+    /// A random server.
     Any,
 }
 
-/// What may befall a server. Parts of a factor are thousandths, so that a script prints as it was read.
+/// Faults of a server. Factors are in thousandths, so that a printed script parses to the same value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It neither works nor speaks for so long; its connections stay.
+    /// Stops working and answering for a time; connections stay open.
     Freeze(Duration),
-    /// It works at so many thousandths of its speed for so long.
+    /// Works at this many thousandths of its speed for a time.
     Slow(u32, Duration),
-    /// The process dies: its connections are reset, new ones refused. The registry notices some time later.
+    /// The process dies: connections are reset, and new ones are refused. The registry notices after a delay.
     Die,
-    /// A process that died starts again, cold.
+    /// Starts a dead process again, cold.
     Start,
-    /// Each in turn, with so long between the beginnings: told as draining, ended after the drain, started cold.
+    /// Rolling deploy of the targets: each is announced as draining, ended after the drain, and started cold.
     Deploy {
-        /// From the word to the end.
+        /// Time from the announcement to the end.
         drain: Duration,
-        /// From one server's word to the next one's.
+        /// Time from one server's announcement to the next one's.
         every: Duration,
     },
 }
 
-/// What may befall a node.
+/// Faults of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeFault {
-    /// SIGTERM, and a new process at the same address once it has ended.
+    /// SIGTERM, and a new process at the same address after the exit.
     Restart,
     /// SIGKILL, and a new process at the same address.
     Kill,
 }
 
-/// Why a script can't be read.
+/// Why a script is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {problem}")]
 pub struct ScriptError {
-    /// Counted from 1.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// What is wrong, and what is wanted.
+    /// What is wrong, and what was expected.
     pub problem: String,
 }
 
 impl Script {
-    /// Reads a script for so many servers and nodes.
+    /// Parses a script for this number of servers and nodes.
     pub fn parse(text: &str, servers: usize, nodes: usize) -> Result<Self, ScriptError> {
         let mut script = Script::default();
         for (number, line) in text.lines().enumerate() {
@@ -218,7 +218,7 @@
     }
 }
 
-/// A time as scripts write it.
+/// Formats a duration in the script's syntax.
 struct FormattedDuration(Duration);
 
 impl fmt::Display for FormattedDuration {
--- a/crates/standin/src/script/nodes.rs
+++ b/crates/standin/src/script/nodes.rs
@@ -1,77 +1,77 @@
-//! Faults of many processes and of the wire between them, for the [rig](crate::rig).
+//! Faults of many processes and of the network between them, for the [rig](crate::rig).
 
 use super::{duration, FormattedDuration};
 use std::fmt;
 use std::time::Duration;
 
-/// Some of the nodes.
+/// Nodes as a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Nodes {
-    /// From the first to the last, both included: `n2`, `n2-n5`.
+    /// A range, both ends included: `n2`, `n2-n5`.
     Range(usize, usize),
-    /// Each of them: `nodes`.
+    /// All nodes: `nodes`.
     All,
-    /// So many thousandths of them, by chance: `nodes:0.7`.
+    /// A random subset of this many thousandths: `nodes:0.7`.
     Part(u32),
-    /// Those of one zone, counted from 0: `zone:1`.
+    /// The nodes of one zone, counted from 0: `zone:1`.
     Zone(usize),
 }
 
-/// Whom a node speaks with that is no node, over connections.
+/// External endpoints that nodes are connected to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum External {
     /// All servers: `servers`.
     Servers,
     /// The registry: `discovery`.
     Discovery,
-    /// Whoever asks: `clients`.
+    /// All clients: `clients`.
     Clients,
 }
 
-/// An end of a way on the wire.
+/// An endpoint of a network path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
     /// Nodes.
     Nodes(Nodes),
-    /// No nodes.
+    /// An external endpoint.
     External(External),
 }
 
-/// What may befall a node's process on the rig.
+/// Faults of a node's process on the rig.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessFault {
-    /// SIGKILL, and nothing after it.
+    /// SIGKILL without a restart.
     Die,
-    /// SIGTERM.
+    /// SIGTERM without a restart.
     End,
-    /// A process under the same name and address, in place of one that is gone.
+    /// Starts a process under the same name and address if none runs.
     Start,
-    /// SIGSTOP, and SIGCONT after so long.
+    /// SIGSTOP, and SIGCONT after a time.
     Pause(Duration),
-    /// Stopped for so much of each second, for so long.
+    /// Stopped for the first duration in each second, over the second duration.
     Stutter(Duration, Duration),
-    /// A second process under the same name, at an address of its own.
+    /// Starts a second process under the same name, at another address.
     Twin,
 }
 
-/// What the wire does from now on. Parts are thousandths.
+/// Faults of the network, in effect from now on. Probabilities are in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireFault {
-    /// Nothing passes from the first to the second: datagrams are lost, what connections carry waits.
+    /// Nothing passes from the first to the second: datagrams are lost, data on connections waits.
     Cut(Endpoint, Endpoint),
-    /// Nothing passes between them.
+    /// Nothing passes in either direction.
     Split(Endpoint, Endpoint),
-    /// All that was cut passes again.
+    /// Removes all cuts.
     Heal,
-    /// So many are lost.
+    /// Probability that a datagram is lost; on connections, that data is delayed.
     Lose(u32),
-    /// So many come twice.
+    /// Probability that a datagram is duplicated.
     Double(u32),
-    /// In so many a bit is changed.
+    /// Probability that a bit is flipped.
     Spoil(u32),
-    /// So many are cut short.
+    /// Probability that a datagram is truncated.
     Shorten(u32),
-    /// Each is held back by a time up to this, drawn anew for each.
+    /// Upper bound of a random delay, drawn for each datagram.
     Delay(Duration),
 }
 
--- a/crates/standin/src/scripted/connection.rs
+++ b/crates/standin/src/scripted/connection.rs
@@ -1,4 +1,4 @@
-//! Plain sockets that a test scripts byte by byte.
+//! Sockets that a test reads and writes byte by byte.
 
 use crate::process::lock_spawning;
 use serde_json::{json, Value};
@@ -11,7 +11,8 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Ends a test that waits for something that never comes; nothing is measured by it.
+/// Panics if a future does not complete within 30 s. The limit only ends a stuck test; it asserts nothing about
+/// latency.
 pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
     match tokio::time::timeout(Duration::from_secs(30), future).await {
         Ok(value) => value,
@@ -19,29 +20,29 @@
     }
 }
 
-/// An HTTP message as it came.
+/// An HTTP message as received.
 #[derive(Debug)]
 pub struct Message {
-    /// Request or status line.
+    /// Request line or status line.
     pub start: String,
     headers: Vec<(String, String)>,
-    /// Its body.
+    /// Body of the message.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The first header of this name, in any case.
+    /// The first header of this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
     }
 
-    /// An answer's status.
+    /// Status of a response.
     pub fn status(&self) -> u16 {
         self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
     }
 }
 
-/// A socket, or what holds one, that is closed only while no process starts.
+/// A socket, or an object that owns one, that is closed only while no process is being spawned.
 struct GuardedClose<T>(Option<T>);
 
 impl<T> Deref for GuardedClose<T> {
@@ -70,53 +71,53 @@
     }
 }
 
-/// One connection, either way.
+/// A connection that a test drives, accepted or opened.
 pub struct Connection(GuardedClose<BufReader<TcpStream>>);
 
 impl Connection {
-    /// A connection that was accepted elsewhere.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         Connection(GuardedClose(Some(BufReader::new(stream))))
     }
 
-    /// Connects.
+    /// Opens a connection.
     pub async fn connect(address: SocketAddr) -> Self {
         Connection::new(within("a connection", TcpStream::connect(address)).await.expect("a connection"))
     }
 
-    /// Closes it, and waits until the other side has seen that and closed as well, without another word.
+    /// Closes the connection and waits until the peer has closed it too; the peer must not send anything more.
     pub async fn close(mut self) {
         self.shutdown_write().await;
         self.expect_closed().await;
     }
 
-    /// Ends its sending, and waits until the other side has closed as well. What that still said.
+    /// Shuts down the write side, waits until the peer closes, and returns what it sent until then.
     pub async fn shutdown_and_read(mut self) -> String {
         self.shutdown_write().await;
         String::from_utf8_lossy(&self.read_to_end().await).into_owned()
     }
 
-    /// Ends its sending and goes on reading.
+    /// Shuts down the write side; reading continues.
     pub async fn shutdown_write(&mut self) {
         self.0.get_mut().shutdown().await.expect("the sending's end");
     }
 
-    /// Closes it with a reset, whatever is under way.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         self.0.get_ref().set_zero_linger().expect("an option");
     }
 
-    /// Writes text as it is.
+    /// Writes text.
     pub async fn write(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).await.expect("writing");
     }
 
-    /// The next message; None if the connection ends first.
+    /// Reads the next message. None if the connection ends first.
     pub async fn read(&mut self) -> Option<Message> {
         within("a message", self.read_message()).await
     }
 
-    /// Both halves, for a peer that writes and reads at the same time.
+    /// Splits the connection, for a peer that reads and writes at the same time.
     pub fn split(mut self) -> (ConnectionReader, ConnectionWriter) {
         let buffered = self.0.take();
         assert!(buffered.buffer().is_empty(), "nothing has been read yet");
@@ -124,22 +125,22 @@
         (ConnectionReader(BufReader::new(reading)), ConnectionWriter(writing))
     }
 
-    /// Writes bytes as they are.
+    /// Writes bytes.
     pub async fn write_bytes(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).await.expect("writing");
     }
 
-    /// The content of the next frame with a length of four bytes before it; None if the connection ends first.
+    /// Reads the content of the next frame with a length prefix of four bytes. None if the connection ends first.
     pub async fn frame(&mut self) -> Option<Vec<u8>> {
         within("a frame", read_frame(&mut *self.0)).await
     }
 
-    /// Waits for the first byte of what comes, and takes it.
+    /// Waits for the next byte and reads it.
     pub async fn first_byte(&mut self) -> u8 {
         within("a byte", self.0.read_u8()).await.expect("a byte")
     }
 
-    /// The next line without its end; None if the connection ends first.
+    /// Reads the next line and strips its end. None if the connection ends first.
     pub async fn line(&mut self) -> Option<String> {
         let mut line = String::new();
         let read = within("a line", self.0.read_line(&mut line)).await;
@@ -168,7 +169,7 @@
         Some(message)
     }
 
-    /// The next message, whose body may come in chunks; None if the connection ends before it is whole.
+    /// Reads the next message, whose body may be chunked. None if the connection ends before it is complete.
     pub async fn read_chunked(&mut self) -> Option<Message> {
         let mut message = self.read().await?;
         if message.header("transfer-encoding") != Some("chunked") {
@@ -185,24 +186,24 @@
         }
     }
 
-    /// Waits for the other side to close.
+    /// Waits until the peer closes the connection, without sending anything more.
     pub async fn expect_closed(&mut self) {
         let mut rest = Vec::new();
         let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
         assert!(rest.is_empty(), "closed only after {:?}", String::from_utf8_lossy(&rest));
     }
 
-    /// Writes as much as the other side takes before it closes.
+    /// Writes text until all of it is written or the peer closes.
     pub async fn write_until_closed(&mut self, text: &str) {
         let _ = within("writing", self.0.get_mut().write_all(text.as_bytes())).await;
     }
 
-    /// Waits for the other side to close, whatever it still says.
+    /// Waits until the peer closes the connection and discards what it still sends.
     pub async fn wait_closed(&mut self) {
         self.read_to_end().await;
     }
 
-    /// What the other side says up to this text, which it has to come to.
+    /// Reads up to and including this text, which must arrive.
     pub async fn read_until(&mut self, end: &str) -> String {
         let mut text = Vec::new();
         while !text.ends_with(end.as_bytes()) {
@@ -211,32 +212,32 @@
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// What the other side still says before it closes.
+    /// Reads what the peer sends until it closes.
     pub async fn read_to_end(&mut self) -> Vec<u8> {
         let mut rest = Vec::new();
         let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
         rest
     }
 
-    /// Answers with further header lines, each ended, and a body.
+    /// Writes a response with further header lines, each with its line end, and a body.
     pub async fn answer(&mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
         self.write(&format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")).await;
     }
 
-    /// Sends a request of a class and returns its answer.
+    /// Sends a request of a class and reads the response.
     pub async fn round_trip(&mut self, class: &str) -> Option<Message> {
         self.send(class, "20000m").await;
         self.read().await
     }
 
-    /// Sends a request of a class under an id of its own, with this wait (`20000m`).
+    /// Sends a request of a class with a unique id and this `X-Timeout` (such as `20000m`).
     pub async fn send(&mut self, class: &str, wait: &str) {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         self.send_with_id(&format!("r{}", NEXT.fetch_add(1, Ordering::Relaxed)), class, wait).await;
     }
 
-    /// The same under a given id.
+    /// Like [`Connection::send`], with a given id.
     pub async fn send_with_id(&mut self, id: &str, class: &str, wait: &str) {
         let method = if class == "safe" { "GET" } else { "POST" };
         let key = if class == "keyed" { "Idempotency-Key: k\r\n" } else { "" };
@@ -247,7 +248,7 @@
     }
 }
 
-/// The reading half of a connection.
+/// The read half of a connection.
 pub struct ConnectionReader(BufReader<OwnedReadHalf>);
 
 impl ConnectionReader {
@@ -264,11 +265,11 @@
     }
 }
 
-/// The writing half of a connection.
+/// The write half of a connection.
 pub struct ConnectionWriter(OwnedWriteHalf);
 
 impl ConnectionWriter {
-    /// Writes bytes as they are.
+    /// Writes bytes.
     pub async fn write_bytes(&mut self, bytes: &[u8]) {
         within("writing", self.0.write_all(bytes)).await.expect("writing");
     }
@@ -281,8 +282,8 @@
     Some(content)
 }
 
-/// A loopback address for one use, with the port left to the system. A port is soon given out again: on a shared address,
-/// what is meant for a server that has ended could reach another test's.
+/// Returns a loopback address that this process has not used before, with port 0. The system soon gives a port out
+/// again: on a shared address, a connection meant for a server that has ended could reach another test's server.
 pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let process = std::process::id();
@@ -291,11 +292,11 @@
     ([127, octet(process / 254), octet(process), octet(last)], 0).into()
 }
 
-/// A listener that a test accepts from by hand.
+/// A listener whose connections a test accepts one by one.
 pub struct Peer(GuardedClose<TcpListener>, SocketAddr);
 
 impl Peer {
-    /// Listens at an address of its own.
+    /// Listens on a unique address.
     pub async fn new() -> Self {
         Peer::listening(TcpListener::bind(unique_address()).await.expect("a port"))
     }
@@ -305,7 +306,7 @@
         Peer(GuardedClose(Some(listener)), address)
     }
 
-    /// One that nobody reaches: it has closed before anybody is told of it.
+    /// A peer that has stopped listening before its address is known to anyone.
     pub async fn unreachable() -> Self {
         let mut peer = Peer::new().await;
         let _guard = lock_spawning();
@@ -313,7 +314,7 @@
         peer
     }
 
-    /// Listens so that the system takes next to nothing for it that it doesn't read.
+    /// Listens with a receive buffer so small that the kernel accepts almost nothing that the test does not read.
     pub fn with_small_buffer() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4096).expect("a small buffer");
@@ -321,25 +322,25 @@
         Peer::listening(socket.listen(64).expect("a port"))
     }
 
-    /// Where it listens.
+    /// Address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.1
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     pub async fn accept(&self) -> Connection {
         let accepted = within("a connection to be accepted", self.0.accept()).await;
         Connection::new(accepted.expect("a connection").0)
     }
 
-    /// A new connection and the first request on it.
+    /// Accepts a connection and reads its first request.
     pub async fn request(&self) -> (Connection, Message) {
         let mut wire = self.accept().await;
         let request = wire.read().await.expect("a request");
         (wire, request)
     }
 
-    /// Whether no connection waits to be accepted.
+    /// Returns whether no connection is waiting to be accepted, within 50 ms.
     pub async fn has_no_connection(&self) -> bool {
         match tokio::time::timeout(Duration::from_millis(50), self.0.accept()).await {
             Err(_) => true,
@@ -352,7 +353,7 @@
         }
     }
 
-    /// Whether no request comes, be there a connection or not.
+    /// Returns whether no request arrives within 100 ms; a connection without a request is ignored.
     pub async fn has_no_request(&self) -> bool {
         let asked = async {
             let stream = self.0.accept().await.expect("a connection").0;
@@ -361,7 +362,7 @@
         !matches!(tokio::time::timeout(Duration::from_millis(100), asked).await, Ok(Some(_)))
     }
 
-    /// For discovery: takes in a watch and begins its answer.
+    /// As the registry: accepts a watch and starts the response to it.
     pub async fn watch(&self) -> (Watch, String) {
         let (mut wire, request) = self.request().await;
         wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
@@ -369,7 +370,8 @@
     }
 }
 
-/// A listener whose queue of connections is full, which lets a further one wait until the kernel asks again.
+/// Returns a listener whose accept queue is full, so that a further connection waits until the kernel retries its
+/// handshake.
 pub async fn full_listener() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(unique_address()).expect("a port");
@@ -383,14 +385,14 @@
     (listener, address, queued)
 }
 
-/// Takes the connections that fill such a listener's queue, so that those that wait come up.
+/// Accepts the connections that fill the queue, so that waiting ones can complete.
 pub async fn accept_backlog(listener: &TcpListener, queued: &[TcpStream]) {
     for _ in queued {
         within("a connection", listener.accept()).await.expect("a connection");
     }
 }
 
-/// All that the other side sends over a connection until it closes.
+/// Reads all that the peer sends until it closes.
 pub async fn read_all(mut stream: TcpStream) -> String {
     let mut sent = Vec::new();
     let _ = within("its end", stream.read_to_end(&mut sent)).await;
@@ -401,12 +403,12 @@
 pub struct Watch(pub Connection);
 
 impl Watch {
-    /// Writes one line as a chunk.
+    /// Writes a line as one chunk.
     pub async fn line(&mut self, line: &str) {
         self.0.write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1)).await;
     }
 
-    /// Sends a list; [`Node::wait_for_list`] tells when it has been taken.
+    /// Sends a list; [`Node::wait_for_list`] waits until the node has applied it.
     pub async fn list(&mut self, revision: u64, complete: bool, members: &[Value]) {
         let list = json!({"revision": revision, "complete": complete, "members": members});
         self.line(&list.to_string()).await;
@@ -419,7 +421,7 @@
            "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// Settings with a class of each kind: `safe`, `keyed` and `unsafe`.
+/// Settings with one class of each kind: `safe`, `keyed` and `unsafe`.
 pub fn settings() -> Value {
     let class = |name, effect| {
         json!({"name": name, "effect": effect, "promise_ns": 20_000_000_000u64, "importance": 1.0,
--- a/crates/standin/src/scripted/mod.rs
+++ b/crates/standin/src/scripted/mod.rs
@@ -1,8 +1,8 @@
-//! Neighbours that a test scripts byte by byte, and the node between them as a process of its own.
+//! Peers that a test drives byte by byte, and the node under test as a process of its own.
 //!
-//! [`Peer`] listens where a server or discovery would, [`Connection`] is one connection either way, [`Node`] the process.
-//! Everything waits for events, ports are the system's choice, and what never comes ends the test with a panic that
-//! names it.
+//! [`Peer`] listens in place of a server or the registry, [`Connection`] is a connection to or from the node, and
+//! [`Node`] is its process. All waits are for events, the system chooses all ports, and a test that waits in vain
+//! panics with the name of what did not arrive.
 
 mod connection;
 mod node;
--- a/crates/standin/src/scripted/node.rs
+++ b/crates/standin/src/scripted/node.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own.
+//! The node under test, as a process of its own.
 
 use super::{member, settings, within, Connection, Message, Peer, Watch};
 use crate::process::{self, ConfigFile};
@@ -11,32 +11,32 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, ChildStderr};
 
-/// What nodes are told that they may use: it holds 128 clients with large bodies.
+/// Memory limit in the node's configuration, enough for 128 clients with large bodies.
 pub const MEMORY_MB: u64 = 64;
 
-/// A node's process; dropping it kills it.
+/// A node's process; it is killed on drop.
 pub struct Node {
     child: Child,
     log: Option<BufReader<ChildStderr>>,
-    /// Where it listens.
+    /// Address of the HTTP listener.
     pub address: SocketAddr,
     config: Value,
     file: ConfigFile,
 }
 
-/// Starts a process with a configuration's text. The file has to outlive its start.
+/// Starts a process with this configuration. The returned file must outlive the start.
 pub fn start(config: &str) -> (Child, ConfigFile) {
     start_with_env(config, &[])
 }
 
-/// The same with further variables.
+/// Like [`start`], with further environment variables.
 pub fn start_with_env(config: &str, variables: &[(&str, &str)]) -> (Child, ConfigFile) {
     let config = ConfigFile::new(config).expect("a configuration file");
     let binary = process::node_binary().expect("this program's path");
     (process::start(&binary, &config, variables).expect("a process"), config)
 }
 
-/// What operators are answered on a call of one line, whole.
+/// Makes an operator's call of one line and returns the whole reply.
 pub async fn call(operators: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(operators).await.expect("a connection");
     stream.write_all(format!("{line}\n").as_bytes()).await.expect("a call");
@@ -46,12 +46,12 @@
 }
 
 impl Node {
-    /// Starts a node with these settings and limits; the list it knows is empty.
+    /// Starts a node with these settings and descriptor limit, and no servers.
     pub async fn start(discovery: &Peer, settings: Value, sockets: u32) -> Self {
         Node::start_at(([127, 0, 0, 1], 0).into(), discovery, settings, sockets).await
     }
 
-    /// The same at a given address.
+    /// Like [`Node::start`], at a given address.
     pub async fn start_at(address: SocketAddr, discovery: &Peer, settings: Value, sockets: u32) -> Self {
         let config = json!({
             "name": "n", "listen": address.to_string(), "discovery": discovery.address().to_string(), "seed": "1f",
@@ -60,7 +60,7 @@
         Node::with_config(config, &[]).await
     }
 
-    /// The same with a whole configuration and further variables.
+    /// Starts a node with a complete configuration and further environment variables.
     pub async fn with_config(config: Value, variables: &[(&str, &str)]) -> Self {
         let (child, file) = start_with_env(&config.to_string(), variables);
         Node::started(child, file, config).await
@@ -74,7 +74,7 @@
         node
     }
 
-    /// The same, with a listening socket that the node inherits under descriptor 5 and is told of.
+    /// Starts a node that inherits a listening socket as descriptor 5.
     pub async fn inheriting(
         listener: &std::net::TcpListener,
         config: Value,
@@ -88,23 +88,24 @@
         Node::started(child.expect("a process"), file, config).await
     }
 
-    /// Where operators call it, by its log: to be asked once, before anything else of the log is read.
+    /// Reads the address of the operators' listener from the log. Call it once, before any other part of the log is
+    /// read.
     pub async fn ops_address(&mut self) -> SocketAddr {
         let line = self.wait_for_log("operators call ").await;
         line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address")
     }
 
-    /// A node with the usual settings that has taken a list of these servers.
+    /// Starts a node with the default settings and waits until it has applied a list of these servers.
     pub async fn serving(servers: &[(&str, &Peer)]) -> (Self, Peer, Watch) {
         Node::serving_with_settings(settings(), servers).await
     }
 
-    /// The same under other settings.
+    /// Like [`Node::serving`], with other settings.
     pub async fn serving_with_settings(settings: Value, servers: &[(&str, &Peer)]) -> (Self, Peer, Watch) {
         Node::serving_with_sockets(1024, settings, servers).await
     }
 
-    /// The same with so many descriptors.
+    /// Like [`Node::serving_with_settings`], with a descriptor limit.
     pub async fn serving_with_sockets(
         sockets: u32,
         settings: Value,
@@ -114,7 +115,7 @@
         Node::serving_at(sockets, settings, &servers).await
     }
 
-    /// The same with servers at these addresses, whoever listens there.
+    /// Like [`Node::serving_with_sockets`], with servers at any addresses.
     pub async fn serving_at(
         sockets: u32,
         settings: Value,
@@ -130,7 +131,7 @@
         (node, discovery, watch)
     }
 
-    /// Waits until the node says that it is ready.
+    /// Waits until the node reports that it is ready.
     pub async fn wait_until_ready(&self) {
         let ready = async {
             while self.get("/health/ready").await.status() != 200 {
@@ -140,7 +141,7 @@
         within("a node that is ready", ready).await;
     }
 
-    /// Waits until the node has taken the list of this revision.
+    /// Waits until the node has applied the list of this revision.
     pub async fn wait_for_list(&self, revision: u64) {
         let told = format!("list {revision}\n");
         let held = async {
@@ -151,32 +152,32 @@
         within("the list's taking", held).await;
     }
 
-    /// Replaces its configuration file by one in which a value differs, and tells it so.
+    /// Changes one value of the configuration file and makes the node read it again.
     pub async fn reconfigure(&mut self, key: &str, value: Value) {
         self.config[key] = value;
         let text = self.config.to_string();
         self.replace_config(&text).await;
     }
 
-    /// Replaces its configuration file by this text, and tells it so.
+    /// Replaces the text of the configuration file and makes the node read it again.
     pub async fn replace_config(&self, text: &str) {
         self.file.replace(text).expect("a configuration file");
         self.signal("HUP").await;
     }
 
-    /// A client connected to it.
+    /// Opens a client connection to the node.
     pub async fn client(&self) -> Connection {
         Connection::connect(self.address).await
     }
 
-    /// The answer to a GET on a connection of its own.
+    /// Sends a GET on a new connection and returns the response.
     pub async fn get(&self, path: &str) -> Message {
         let mut client = self.client().await;
         client.write(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n")).await;
         client.read().await.expect("an answer")
     }
 
-    /// The first line of its log, from here on, that holds this.
+    /// Reads the log up to the first line that contains this text, and returns that line.
     pub async fn wait_for_log(&mut self, text: &str) -> String {
         let log = self.log.as_mut().expect("its log");
         loop {
@@ -189,18 +190,18 @@
         }
     }
 
-    /// Leaves nobody to read its log.
+    /// Closes the read end of the node's log.
     pub fn close_log(&mut self) {
         self.log = None;
     }
 
-    /// Its open descriptors.
+    /// Number of open descriptors.
     pub fn descriptors(&self) -> usize {
         let pid = self.child.id().expect("it runs");
         std::fs::read_dir(format!("/proc/{pid}/fd")).expect("its descriptors").count()
     }
 
-    /// The most memory that it has held so far, in KiB.
+    /// Peak resident memory in KiB.
     pub fn memory_peak(&self) -> u64 {
         let pid = self.child.id().expect("it runs");
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its status");
@@ -208,17 +209,17 @@
         peak.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// Processor time that it has taken so far.
+    /// CPU time used so far.
     pub fn cpu_time(&self) -> Duration {
         process::cpu_time(self.child.id().expect("it runs"))
     }
 
-    /// Sends it a signal by name, such as `HUP`.
+    /// Sends a signal by name, such as `HUP`.
     pub async fn signal(&self, signal: &str) {
         within("kill", process::signal(&self.child, signal)).await.expect("it runs");
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
         within("the node's end", self.child.wait()).await.expect("its status")
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A server on a socket: HTTP/1.1 in the platform's terms round a [`ServerModel`].
+//! An HTTP/1.1 server in the platform's terms around a [`ServerModel`].
 
 use crate::results::Results;
 use birchswitch_lab::model::{Admission, Capacity, Job, Progress, ServerModel};
@@ -23,25 +23,25 @@
 use tokio::task::{spawn_local, JoinHandle, JoinSet};
 use tokio::time::{sleep_until, Instant};
 
-/// A repeat that meets its first in work looks again after this.
+/// Interval at which a repeated request checks whether the first one with its key has completed.
 const CLAIM_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Largest body that is read.
+/// Largest request body that is read, in bytes.
 const MAX_BODY: usize = 64 << 10;
 
-/// What all servers of a fleet share: the books, and per cell the memory of keys.
+/// State that all servers of a fleet share: the results, and the keys that each cell remembers.
 pub struct Shared {
-    /// Zero of all times in the books.
+    /// Origin of all times in the models.
     pub origin: Instant,
-    /// The books.
+    /// Results of the run.
     pub results: RefCell<Results>,
-    /// For how long a cell remembers a key.
+    /// How long a cell remembers a key.
     pub window: Duration,
-    /// Whether answers tell what their servers hold.
+    /// Whether responses report the server's load.
     pub reports_load: Cell<bool>,
     keys: RefCell<HashMap<(u16, String), Claim>>,
 }
 
-/// A key's first request in its cell.
+/// The first request with a key in a cell.
 #[derive(Clone, Copy)]
 struct Claim {
     at: Instant,
@@ -50,7 +50,7 @@
     state: WorkState,
 }
 
-/// How far it has come.
+/// State of a request's work.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WorkState {
     Waiting,
@@ -59,7 +59,7 @@
 }
 
 impl Shared {
-    /// With empty memories.
+    /// Creates shared state without remembered keys.
     pub fn new(results: Results, window: Duration) -> Rc<Self> {
         let (origin, results, reports_load) = (Instant::now(), RefCell::new(results), Cell::new(false));
         Rc::new(Shared { origin, results, window, reports_load, keys: RefCell::default() })
@@ -70,7 +70,7 @@
     }
 }
 
-/// See the module's own words. It starts ended.
+/// A modelled server. It is not running until it is started.
 pub struct Server {
     index: usize,
     cell: u16,
@@ -79,7 +79,7 @@
     shared: Rc<Shared>,
     state: RefCell<State>,
     changed: Notify,
-    /// Its connections are reset when they go, as a dying process's are.
+    /// Makes connections close with a reset, as those of a dying process do.
     resetting: Rc<Cell<bool>>,
 }
 
@@ -89,11 +89,11 @@
     next_job: Job,
     open: HashMap<Job, OpenRequest>,
     progress: Vec<Progress>,
-    /// The tasks of a process that runs.
+    /// Tasks of the running process.
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// A request in hand.
+/// A request in progress.
 struct OpenRequest {
     class: usize,
     order: u64,
@@ -103,7 +103,7 @@
 }
 
 impl Server {
-    /// The one of this number, at an address of its own whose port the system chooses.
+    /// Creates a server with this index, at an address of its own; port 0 lets the system choose the port.
     pub fn new(
         index: usize,
         cell: u16,
@@ -133,17 +133,17 @@
         })
     }
 
-    /// Where it listens, once it has started.
+    /// Address of the server, with its port once it has been started.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Its cell.
+    /// Cell of the server.
     pub fn cell(&self) -> u16 {
         self.cell
     }
 
-    /// Starts its process, cold or not, at the address that it had before. One that runs is left alone.
+    /// Starts the process, cold or warm, at its previous address. Does nothing if it is running.
     pub fn start(self: &Rc<Self>, cold: bool) -> io::Result<()> {
         if !self.state.borrow().tasks.is_empty() {
             return Ok(());
@@ -163,10 +163,12 @@
         Ok(())
     }
 
-    /// Its process dies: connections are reset, what it had in hand is gone. Over once the system knows of it too.
+    /// Ends the process as a crash would: connections are reset and requests in progress are lost. Returns once its
+    /// sockets are closed.
     pub async fn die(&self) {
         self.resetting.set(true);
-        // Those who wait for an answer hear of it by their connections only: their channels stay until these are gone.
+        // Handlers waiting for completion must see only their connection's end, so their channels stay open until the
+        // tasks are gone.
         let (tasks, _open) = {
             let mut state = self.state.borrow_mut();
             let open = std::mem::take(&mut state.open);
@@ -177,11 +179,11 @@
         };
         for task in tasks {
             task.abort();
-            let _ = task.await; // Cancelled: that is what is wanted.
+            let _ = task.await; // Cancelled, as intended.
         }
     }
 
-    /// A key whose work had not begun may be used again; one whose work had may not.
+    /// Forgets keys whose work has not started; keys whose work has started stay remembered.
     fn release_unstarted_claims(&self, open: &HashMap<Job, OpenRequest>) {
         let mut keys = self.shared.keys.borrow_mut();
         for (job, open) in open {
@@ -198,17 +200,17 @@
         }
     }
 
-    /// Takes nothing new.
+    /// Stops accepting new work.
     pub fn drain(&self) {
         self.state.borrow_mut().model.set_draining(true);
     }
 
-    /// Neither works nor speaks for so long.
+    /// Stops working and answering for a time.
     pub fn freeze(&self, length: Duration) {
         self.with_model(|model, now, out| model.freeze(now, length, out));
     }
 
-    /// Works at a part of its speed for so long.
+    /// Works at a fraction of the normal speed for a time.
     pub fn slow(&self, factor: f64, length: Duration) {
         self.with_model(|model, now, out| model.slow(now, factor, length, out));
     }
@@ -250,14 +252,14 @@
                 Progress::Completed(_) => {
                     if let Some(open) = state.open.remove(&job) {
                         claim(&open.key, WorkState::Done);
-                        let _ = open.done.send(()); // Whoever asked may have left.
+                        let _ = open.done.send(()); // The handler may be gone.
                     }
                 }
             }
         }
     }
 
-    /// Moves the model on as time passes.
+    /// Advances the model as time passes.
     async fn work(self: Rc<Self>) {
         loop {
             let next = self.state.borrow().model.next_event();
@@ -275,7 +277,7 @@
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let mut connections = JoinSet::new(); // They go with this task.
+        let mut connections = JoinSet::new(); // Connections are dropped with this task.
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
@@ -290,7 +292,7 @@
 
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        // The mark is the socket's own, so that whichever handle is closed last resets the connection.
+        // The linger option belongs to the socket, so it applies to whichever handle is closed last.
         let Ok(socket) = SockRef::from(&stream).try_clone() else { return };
         let _reset = Reset { socket, resetting: self.resetting.clone() };
         let service = service_fn(|request| async { Ok::<_, Infallible>(self.answer(request).await) });
@@ -375,7 +377,7 @@
         }
     }
 
-    /// An answer with what the server holds, where answers tell that.
+    /// Adds a load report to a response if the fleet's responses report load.
     fn with_load_report(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
         if self.shared.reports_load.get() {
             let load = self.with_model(|model, now, out| model.load(now, out));
@@ -387,7 +389,7 @@
         answer
     }
 
-    /// The answer to a key that the cell remembers, once its first request is over.
+    /// The response to a repeated request whose key the cell remembers, once the first request has completed.
     async fn remembered_response(&self, key: &(u16, String)) -> Option<Response<Full<Bytes>>> {
         loop {
             let claim = self.shared.keys.borrow().get(key).copied();
@@ -400,7 +402,7 @@
     }
 }
 
-/// Makes the closing of a socket a reset while the flag is up.
+/// Makes a socket close with a reset while the flag is set.
 struct Reset {
     socket: socket2::Socket,
     resetting: Rc<Cell<bool>>,
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -1,25 +1,26 @@
-//! What the stand-ins serve: the shop, and a second site that shares nothing with it, so that nothing is fitted to one.
+//! Sites that the stand-ins serve: a shop, and a clinic that differs in all settings, so that nothing is tuned to one
+//! site only.
 
 use crate::client::{Class, Idempotency};
 use crate::fleet::{capacity, Plan};
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// For how long a cell remembers a key.
+/// How long a cell remembers a key.
 pub(crate) const REPEAT_WINDOW: Duration = Duration::from_secs(2);
 
-/// A site: its classes, tenants, and what it lets nodes know.
+/// A site: its classes, its tenants and what nodes can learn about its servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Site {
-    /// A shop: hints, probes that tell the busy part, lists that are pushed.
+    /// A shop: cost hints, probes that report utilization, lists that the registry pushes.
     #[default]
     Shop,
-    /// A clinic: no hints, no probes; answers tell what their servers hold, lists are asked for, tenants have quotas.
+    /// A clinic: no cost hints and no probes; responses report load, lists are requested, and tenants have quotas.
     Clinic,
 }
 
 impl Site {
-    /// Its name.
+    /// Name of the site.
     pub fn name(self) -> &'static str {
         match self {
             Site::Shop => "shop",
@@ -27,12 +28,12 @@
         }
     }
 
-    /// The one of that name.
+    /// The site of this name.
     pub fn from_name(name: &str) -> Option<Self> {
         [Site::Shop, Site::Clinic].into_iter().find(|site| site.name() == name)
     }
 
-    /// Its classes.
+    /// Classes of the site.
     pub fn classes(self) -> Vec<Class> {
         let class = |name, idempotency, [promise, deadline]: [u64; 2], share| {
             let [promise, deadline] = [promise, deadline].map(Duration::from_millis);
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Its tenants, each with as many orders as the others.
+    /// Tenants of the site; orders are spread evenly over them.
     pub fn tenants(self) -> &'static [&'static str] {
         match self {
             Site::Shop => &["one"],
@@ -60,12 +61,12 @@
         }
     }
 
-    /// Whether clients say how much work an order is.
+    /// Whether clients send the expected work of an order as a cost hint.
     pub fn sends_cost_hints(self) -> bool {
         self == Site::Shop
     }
 
-    /// The settings of the nodes' file.
+    /// Settings in the nodes' configuration file.
     pub(crate) fn settings(self, plan: &Plan) -> Value {
         let ns = |d: Duration| d.as_nanos() as u64;
         let shop = self == Site::Shop;
--- a/crates/standin/tests/scale.rs
+++ b/crates/standin/tests/scale.rs
@@ -1,8 +1,8 @@
-//! The scale run's command refuses what it cannot play, before it starts anything.
+//! `birchswitch-standin scale` rejects runs that it can't carry out before it starts any process.
 
 use std::process::{Command, Output};
 
-/// Nobody is there: whatever would be started fails, and says so.
+/// A binary that does not exist: an attempt to start it fails with this path in the message.
 const NO_NODE: &str = "/nonexistent/birchswitch";
 
 fn scale(arguments: &[&str]) -> Output {
--- a/crates/standin/tests/stand_ins.rs
+++ b/crates/standin/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins do on sockets: tests that lean on them are worth no more than this.
+//! The stand-ins' behavior on sockets, which other tests rely on.
 
 use birchswitch_lab::model::Capacity;
 use birchswitch_standin::registry::Registry;
@@ -26,7 +26,7 @@
         fall_time: Duration::from_secs(1),
     };
     let server = |n: usize| {
-        // The first two share a cell.
+        // The first two servers share a cell.
         let server = Server::new(n, n as u16 / 2, unique_address(), capacity.clone(), 1, shared.clone());
         server.start(false).expect("a port");
         server
@@ -35,7 +35,7 @@
     (shared, servers)
 }
 
-/// Sends an order with so much work, in microseconds.
+/// Sends an order with this much work in microseconds.
 async fn order(wire: &mut Connection, class: &str, number: u64, work: u64) {
     let key = if class == "keyed" { format!("Idempotency-Key: {number:x}\r\n") } else { String::new() };
     let head =
@@ -55,10 +55,10 @@
         let twice = || shared.results.borrow().classes.iter().map(|c| c.run_twice).collect::<Vec<_>>();
         for (server, class, run, run_twice) in [
             (0, "keyed", [1, 0, 0], [0, 0]),
-            (1, "keyed", [1, 0, 0], [0, 0]), // The same cell: it is known there.
-            (2, "keyed", [1, 0, 1], [1, 0]), // Another cell: it runs again.
+            (1, "keyed", [1, 0, 0], [0, 0]), // Same cell: the key is known.
+            (2, "keyed", [1, 0, 1], [1, 0]), // Another cell: the order runs again.
             (0, "unsafe", [2, 0, 1], [1, 0]),
-            (1, "unsafe", [2, 1, 1], [1, 1]), // Nobody remembers it.
+            (1, "unsafe", [2, 1, 1], [1, 1]), // Without a key, nothing is remembered.
         ] {
             let mut wire = Connection::connect(servers[server].address()).await;
             order(&mut wire, class, 7, 100).await;
@@ -82,7 +82,7 @@
         );
         order(&mut one, "unsafe", 1, 60_000_000).await;
         order(&mut two, "unsafe", 2, 60_000_000).await;
-        // Both are there once the server says so.
+        // Wait until the server reports both requests.
         let mut probe = Connection::connect(address).await;
         loop {
             probe.write("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n").await;
@@ -117,7 +117,7 @@
         assert!(tokio::net::TcpStream::connect(address).await.is_err(), "nobody listens");
         servers[0].start(true).expect("its address is free");
         assert_eq!(servers[0].address(), address);
-        // It had begun: the cell remembers its key, though nobody heard the answer.
+        // Its work had begun, so the cell remembers the key although no client received the response.
         let mut again = Connection::connect(address).await;
         order(&mut again, "keyed", 1, 100).await;
         assert_eq!(answer(&mut again).await, 200);
@@ -161,7 +161,7 @@
             .write(&format!("GET /registry/instances?follow=1&since={since} HTTP/1.1\r\nHost: a\r\n\r\n"))
             .await;
         let mut line = async || watch.line().await.unwrap_or_default();
-        while !line().await.is_empty() {} // The head.
+        while !line().await.is_empty() {} // Response head.
         let first = (line().await, line().await);
         assert!(first.1.contains("\"members\":[]"), "nothing is new: {first:?}");
         registry.announce(json!({"id": "b", "phase": "left"}));
