--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -200,5 +200,5 @@
         request = request.header("idempotency-key", format!("{number:x}"));
     }
     let body = if class.idempotency == Idempotency::Safe { Bytes::new() } else { Bytes::from_static(b"one") };
-    request.body(Full::new(body)).expect("names and numbers are valid in a head")
+    request.body(Full::new(body)).expect("names and numbers are valid in a request head")
 }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -69,7 +69,7 @@
         source: std::io::Error,
     },
     /// A node exited without being told to.
-    #[error("node n{node} ended with {status}; its last words: {log}")]
+    #[error("node n{node} exited with {status}; end of its log: {log}")]
     Ended {
         /// Number of the node.
         node: usize,
@@ -79,7 +79,7 @@
         log: String,
     },
     /// A node did not become ready in time.
-    #[error("node n{node} was not ready within 20 s; its last words: {log}")]
+    #[error("node n{node} was not ready within 20 s; end of its log: {log}")]
     NotReady {
         /// Number of the node.
         node: usize,
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -164,12 +164,12 @@
 ";
 
 fn site(name: &str) -> Result<Site, String> {
-    Site::from_name(name).ok_or_else(|| "wanted `shop` or `clinic`".into())
+    Site::from_name(name).ok_or_else(|| "expected `shop` or `clinic`".into())
 }
 
 fn part(text: &str) -> Result<f64, String> {
     let part = text.parse::<f64>().ok().filter(|p| (0.01..=5.0).contains(p));
-    part.ok_or_else(|| "wanted a figure from 0.01 to 5".into())
+    part.ok_or_else(|| "expected a number from 0.01 to 5".into())
 }
 
 fn main() -> ExitCode {
@@ -199,12 +199,12 @@
             Script::parse(&text, servers, nodes).map_err(|e| format!("{}: {e}", path.display()))?
         }
         None => Script::parse(LAUNCH_SCRIPT, servers, nodes)
-            .map_err(|e| format!("the launch minute wants at least 10 servers: {e}"))?,
+            .map_err(|e| format!("the default script needs at least 10 servers: {e}"))?,
     };
     if let Some(entry) =
         script.entries.iter().find(|e| matches!(e.injection, Injection::Nodes(..) | Injection::Wire(_)))
     {
-        return Err(format!("`{}` wants `birchswitch-standin rig`", entry.injection).into());
+        return Err(format!("`{}` needs `birchswitch-standin rig`", entry.injection).into());
     }
     script.seed = demo.seed.unwrap_or(script.seed);
     let binary = match demo.node {
@@ -240,7 +240,7 @@
     let names: Vec<&str> = CASES.iter().map(|c| c.name).chain(leases::CASES.iter().map(|c| c.name)).collect();
     let unknown = arguments.cases.iter().find(|name| !names.contains(&name.as_str()));
     if let Some(name) = unknown {
-        return Err(format!("no case is called {name:?}: `rig --list` names them").into());
+        return Err(format!("there is no case {name:?}: `rig --list` prints all").into());
     }
     let wanted = |name: &str| arguments.cases.is_empty() || arguments.cases.iter().any(|n| n == name);
     let chosen = CASES.iter().filter(|c| wanted(c.name));
@@ -457,9 +457,10 @@
     }
     match binary.exists() {
         true => Ok(binary),
-        false => {
-            Err(format!("no node at {}: run this through cargo, or name one with --node", binary.display())
-                .into())
-        }
+        false => Err(format!(
+            "no node at {}: run this through cargo, or pass a binary with --node",
+            binary.display()
+        )
+        .into()),
     }
 }
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -124,7 +124,7 @@
 
 /// Sends a signal by name, such as `HUP`.
 pub async fn signal(child: &Child, name: &str) -> io::Result<()> {
-    let ended = || io::Error::new(io::ErrorKind::NotFound, "the process has ended");
+    let ended = || io::Error::new(io::ErrorKind::NotFound, "the process has exited");
     let pid = child.id().ok_or_else(ended)?.to_string();
     let mut kill = {
         let _guard = lock_spawning();
--- a/crates/standin/src/rig/cases.rs
+++ b/crates/standin/src/rig/cases.rs
@@ -193,7 +193,9 @@
         let row = |a: usize, b: usize| (a..=b).map(|n| format!("n{n}")).collect::<Vec<_>>();
         let found = match *expectation {
             EvenRing(_) => None,
-            NoVerdict => (!verdicts.is_empty()).then(|| format!("{} verdicts, none wanted", verdicts.len())),
+            NoVerdict => {
+                (!verdicts.is_empty()).then(|| format!("{} verdicts, none expected", verdicts.len()))
+            }
             VerdictsOnlyOn(a, b) => {
                 let other = verdicts.iter().find(|l| !row(a, b).contains(&l.text("member").to_owned()));
                 other.map(|l| format!("a verdict on {}", l.text("member")))
@@ -203,16 +205,17 @@
                 by.map(|l| format!("n{} declared {} dead", l.place, l.text("member")))
             }
             Logged(place, kind) => {
-                (checker.count_events(place, kind) == 0).then(|| format!("place {place} wrote no {kind:?}"))
+                (checker.count_events(place, kind) == 0).then(|| format!("place {place} logged no {kind:?}"))
             }
             NeverLogged(kind) => {
                 let line = history.lines.iter().find(|l| l.kind == kind);
-                line.map(|l| format!("n{} wrote {kind:?} of {}", l.place, l.text("member")))
+                line.map(|l| format!("n{} logged {kind:?} of {}", l.place, l.text("member")))
             }
             VerdictsAtMost(most) => {
                 let found = checker.max_verdicts_per_member();
-                (found > most)
-                    .then(|| format!("{found} verdicts by one process on one member, {most} are fine"))
+                (found > most).then(|| {
+                    format!("{found} verdicts by one process on one member, at most {most} expected")
+                })
             }
         };
         violations.extend(found);
--- a/crates/standin/src/rig/checker.rs
+++ b/crates/standin/src/rig/checker.rs
@@ -128,7 +128,7 @@
             let (Some(by), Some(on)) =
                 (self.writer(line), self.processes.iter().find(|p| p.draw == Some(line.number("draw"))))
             else {
-                found.push(format!("a verdict on {:?}, whom the rig never started", line.text("member")));
+                found.push(format!("a verdict on {:?}, which the rig never started", line.text("member")));
                 continue;
             };
             let reached = |at: Nanos| on.is_running(at) && self.reachable(by.place, on.place, at);
@@ -139,7 +139,7 @@
                 if reached(at) {
                     let ms = (line.at - at) / 1_000_000;
                     found.push(format!(
-                        "n{} declared {} at place {} dead, which ran and had a road to it {ms} ms before",
+                        "n{} declared {} at place {} dead, which was running and reachable {ms} ms before",
                         by.place, on.name, on.place
                     ));
                     break;
@@ -159,7 +159,7 @@
                 Some(took) if took <= bound => {}
                 _ if until < killed + bound.as_nanos() as u64 => {}
                 took => found.push(format!(
-                    "n{by} learnt of {}'s death after {took:?}, not within {bound:?}",
+                    "n{by} learned of {}'s death after {took:?}, not within {bound:?}",
                     self.processes[dead].name
                 )),
             }
@@ -307,7 +307,7 @@
     }
 
     #[test]
-    fn a_quiet_history_is_sound() {
+    fn a_history_without_faults_has_no_violations() {
         let h = quiet();
         let c = Checker::new(&h, 60 * S);
         assert!(c.false_verdicts().is_empty() && c.missed_deaths(Duration::ZERO).is_empty());
@@ -315,7 +315,7 @@
     }
 
     #[test]
-    fn a_verdict_on_the_living_is_found_and_one_on_the_dead_is_none() {
+    fn a_verdict_is_false_unless_its_member_has_been_dead_for_long_enough() {
         let mut h = quiet();
         h.lines.push(line(20 * S, 0, "verdict", &[("draw", 2)]));
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 1);
@@ -341,7 +341,7 @@
     }
 
     #[test]
-    fn a_cut_excuses_a_verdict_only_without_a_road_through_a_third() {
+    fn a_cut_excuses_a_verdict_only_without_an_indirect_path() {
         let one = BTreeSet::from([(1, 0)]);
         let all: BTreeSet<_> = [0, 2, 3].into_iter().map(|to| (1, to)).collect();
         for (cut, found) in [(one, 1), (all, 0)] {
@@ -353,7 +353,7 @@
     }
 
     #[test]
-    fn a_death_that_one_does_not_hear_of_is_found() {
+    fn a_death_that_one_process_misses_is_reported() {
         let mut h = quiet();
         h.actions.push((10 * S, RigAction::Ended(3, true)));
         h.lines.push(line(14 * S, 0, "verdict", &[("draw", 4)]));
@@ -361,14 +361,14 @@
         let missing = Checker::new(&h, 60 * S).missed_deaths(Duration::from_secs(10));
         assert!(missing.len() == 1 && missing[0].contains("n2 "), "{missing:?}");
         assert_eq!(Checker::new(&h, 60 * S).missed_deaths(Duration::from_millis(4500)).len(), 2);
-        assert_eq!(Checker::new(&h, 60 * S).disagreements().len(), 1, "n2 holds it still");
+        assert_eq!(Checker::new(&h, 60 * S).disagreements().len(), 1, "n2 still lists it");
         h.lines.push(line(16 * S, 2, "dead", &[("draw", 4)]));
         let c = Checker::new(&h, 60 * S);
         assert!(c.missed_deaths(Duration::from_secs(10)).is_empty() && c.disagreements().is_empty());
     }
 
     #[test]
-    fn a_view_of_an_earlier_life_and_an_incarnation_that_goes_back_are_found() {
+    fn stale_incarnations_and_incarnation_regressions_are_reported() {
         let mut h = quiet();
         h.lines.push(line(5 * S, 1, "refuted", &[("incarnation", 4)]));
         h.lines.push(line(6 * S, 1, "refuted", &[("incarnation", 3)]));
@@ -383,9 +383,9 @@
     }
 
     #[test]
-    fn places_beside_each_other_are_uneven() {
+    fn adjacent_ring_positions_are_uneven() {
         let mut h = quiet();
-        assert_eq!(Checker::new(&h, 60 * S).ring_unevenness(), None, "nobody told a place");
+        assert_eq!(Checker::new(&h, 60 * S).ring_unevenness(), None, "no position was logged");
         for (n, at) in [0.0, 0.25, 0.5, 0.75].into_iter().enumerate() {
             let mut l = line(3 * S, n, "place", &[]);
             l.fields.insert("at".to_owned(), at.into());
--- a/crates/standin/src/rig/common.rs
+++ b/crates/standin/src/rig/common.rs
@@ -129,7 +129,7 @@
     seen.iter().filter(|s| s.class == "unsafe").for_each(|s| *runs.entry(&s.id).or_default() += 1);
     let twice = runs.values().filter(|n| **n > 1).count();
     if twice > 0 {
-        violations.push(format!("{twice} requests ran twice that must not"));
+        violations.push(format!("{twice} unsafe requests ran more than once"));
     }
     wallet.rig.close().await?;
     let count = |of: &dyn Fn(&RequestOutcome) -> bool| ended.iter().filter(|e| of(e)).count();
--- a/crates/standin/src/rig/fenced_resource.rs
+++ b/crates/standin/src/rig/fenced_resource.rs
@@ -94,10 +94,13 @@
         for (n, act) in accepted.iter().enumerate() {
             for earlier in accepted[..n].iter().filter(|e| e.token != act.token) {
                 if earlier.end.is_none_or(|end| end > act.begin) {
-                    violations.push(format!("{} began while {} went on", act.token, earlier.token));
+                    violations.push(format!(
+                        "the act with token {} began during the one with {}",
+                        act.token, earlier.token
+                    ));
                 }
                 if act.token < earlier.token {
-                    violations.push(format!("{} came after {}", act.token, earlier.token));
+                    violations.push(format!("token {} came after {}", act.token, earlier.token));
                 }
             }
         }
--- a/crates/standin/src/rig/leases.rs
+++ b/crates/standin/src/rig/leases.rs
@@ -278,7 +278,7 @@
             if activity.begin < earlier.end {
                 let ms = (earlier.end - activity.begin) / 1_000_000;
                 violations.push(format!(
-                    "n{} began with token {} while n{} went on with {} for {ms} ms more",
+                    "n{} acted with token {} while n{} still acted with {} for {ms} ms",
                     activity.place, activity.token, earlier.place, earlier.token
                 ));
             }
@@ -323,7 +323,7 @@
         // Events are logged slightly late, and their times are whole milliseconds.
         if from + 5_000_000 < until {
             let ms = (until - from) / 1_000_000;
-            violations.push(format!("n{other} holds while n{one} does for {ms} ms more"));
+            violations.push(format!("n{other} holds the lease while n{one} holds it for {ms} ms more"));
         }
     }
     violations
--- a/crates/standin/src/rig/limits.rs
+++ b/crates/standin/src/rig/limits.rs
@@ -244,7 +244,7 @@
         violations.push(format!("{rate_excess:.3} requests over {PER_S} W + {BURST} in some window"));
     }
     if case.when_cut == "strict" && max_in_flight > IN_FLIGHT {
-        violations.push(format!("{max_in_flight} in flight where {IN_FLIGHT} may be"));
+        violations.push(format!("{max_in_flight} in flight, at most {IN_FLIGHT} allowed"));
     }
     let unanswered = ended.iter().filter(|e| e.status == Some(503) && !e.retry_after).count();
     if unanswered > 0 {
--- a/crates/standin/src/rig/load.rs
+++ b/crates/standin/src/rig/load.rs
@@ -163,7 +163,7 @@
 ) -> RequestOutcome {
     let began = Instant::now();
     let answer = timeout(REPLY_TIMEOUT, exchange(address, &id, order, idle)).await;
-    let answer = answer.unwrap_or_else(|_| Err(format!("nothing came within {REPLY_TIMEOUT:?}")));
+    let answer = answer.unwrap_or_else(|_| Err(format!("no response within {REPLY_TIMEOUT:?}")));
     let took = began.elapsed();
     match answer {
         Ok(Answer { status, retry_after, text }) => {
@@ -180,9 +180,9 @@
         None => (connect(address).await.map_err(|error| format!("no connection: {error}"))?, None),
     };
     let response = sender.send_request(request(id, order)).await;
-    let response = response.map_err(|error| format!("after a rest of {idle_for:?}: {error:?}"))?;
+    let response = response.map_err(|error| format!("after {idle_for:?} of idle time: {error:?}"))?;
     let (head, body) = response.into_parts();
-    let body = body.collect().await.map_err(|error| format!("broken off: {error:?}"))?;
+    let body = body.collect().await.map_err(|error| format!("incomplete response: {error:?}"))?;
     if head.headers.get("connection").is_none_or(|v| v.as_bytes() != b"close") {
         idle.borrow_mut().push(IdleConnection { to: address, since: Instant::now(), sender });
     }
@@ -216,5 +216,5 @@
         request = request.header("x-cost", cost.to_string());
     }
     let body = if safe { Bytes::new() } else { Bytes::from_static(b"one") };
-    request.body(Full::new(body)).expect("names and numbers are valid in a head")
+    request.body(Full::new(body)).expect("names and numbers are valid in a request head")
 }
--- a/crates/standin/src/rig/mod.rs
+++ b/crates/standin/src/rig/mod.rs
@@ -63,7 +63,7 @@
         source: std::io::Error,
     },
     /// A process exited without being told to, or did not start.
-    #[error("the process at place {place} {what}; its last words: {log}")]
+    #[error("the process at place {place} {what}; end of its log: {log}")]
     Ended {
         /// Place of the process.
         place: usize,
@@ -73,7 +73,7 @@
         log: String,
     },
     /// An awaited condition did not hold in time.
-    #[error("{what} did not come within {timeout_after:?}: {last}")]
+    #[error("timed out after {timeout_after:?} waiting for {what}: {last}")]
     Timeout {
         /// The condition.
         what: String,
@@ -156,7 +156,7 @@
             environment.push(
                 create_environment(&plan, n, &shared_registry, &mut proxies)
                     .await
-                    .map_err(io("a way for connections"))?,
+                    .map_err(io("a proxy for connections"))?,
             );
         }
         let rng = Rng::new(plan.script.seed, 3);
@@ -248,7 +248,7 @@
             self.wait(PROCESS_TIMEOUT, || up(&self.recorder.history.borrow()) && logged().is_some()).await;
         let Some((listen, operators)) = logged().filter(|_| waited) else {
             let log = log.borrow().clone();
-            return Err(RigError::Ended { place, what: "did not come up".into(), log });
+            return Err(RigError::Ended { place, what: "did not start".into(), log });
         };
         self.environment[place].listens.send_replace(Some(listen));
         let operators = Some(operators);
@@ -386,7 +386,7 @@
             Ok(Ok(status)) if killed || status.success() => Ok(()),
             other => {
                 let log = process.log.borrow().clone();
-                Err(RigError::Ended { place, what: format!("ended with {other:?}"), log })
+                Err(RigError::Ended { place, what: format!("exited with {other:?}"), log })
             }
         }
     }
@@ -414,7 +414,7 @@
         for (place, process) in self.processes.iter_mut().enumerate() {
             if let Some(Ok(Some(status))) = process.as_mut().map(|p| p.child.try_wait()) {
                 let log = process.as_ref().map(|p| p.log.borrow().clone()).unwrap_or_default();
-                return Err(RigError::Ended { place, what: format!("ended with {status}"), log });
+                return Err(RigError::Ended { place, what: format!("exited with {status}"), log });
             }
         }
         Ok(())
--- a/crates/standin/src/rig/scale/tests.rs
+++ b/crates/standin/src/rig/scale/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn each_list_grows_alone_and_then_all_together() {
+fn sizes_vary_each_list_alone_and_then_all_together() {
     assert_eq!(sizes(&[25, 50], &[20], &[2], &[0]), [size(25, 20, 2, 0), size(50, 20, 2, 0)]);
     assert_eq!(
         sizes(&[25, 50], &[20, 40], &[2], &[0]),
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_the_machine_cannot_bear_is_refused() {
+fn sizes_beyond_the_limits_of_the_machine_are_refused() {
     let gigabyte = 1 << 20;
     assert!(check_against(&[size(200, 20, 2, 0)], 24 * gigabyte).is_ok());
     let refused = |nodes, memory| check_against(&[size(6, 1, 1, 0), size(nodes, 20, 2, 0)], memory);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn costs_are_means_of_those_who_have_a_role() {
+fn costs_are_averaged_by_role() {
     let cost = |cpu_percent, stream_bytes| Cost { cpu_percent, stream_bytes, ..Cost::default() };
     let roles = [vec!["voter".to_owned()], vec!["node".to_owned()], vec!["node".to_owned()]];
     let means = by_role(&roles, &[cost(3.0, 30.0), cost(1.0, 10.0), cost(2.0, 30.0)]);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_step_is_a_line_a_role() {
+fn a_size_gives_one_csv_line_per_role() {
     let roles = [("node".to_owned(), (20, Cost { cpu_percent: 0.5, ..Cost::default() }))].into();
     let void = Some("2 nodes that live were taken for dead".to_owned());
     let step = SizeResult { size: size(25, 20, 2, 0), agreed: Duration::from_millis(1250), roles, void };
--- a/crates/standin/src/rig/takeovers.rs
+++ b/crates/standin/src/rig/takeovers.rs
@@ -41,7 +41,7 @@
         .map(|l| format!("{:+.1} s n{} {}", (l.at as f64 - at as f64) / 1e9, l.place, l.kind))
         .filter(|l| !l.ends_with("extended"))
         .collect();
-    format!("n{holder} had it; {}", events.join(", "))
+    format!("n{holder} held the lease; {}", events.join(", "))
 }
 
 /// Ends the holder's process `ends` times, with SIGKILL or SIGTERM. Contenders at all nodes never release the lease.
--- a/crates/standin/src/rig/wallet.rs
+++ b/crates/standin/src/rig/wallet.rs
@@ -195,7 +195,7 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        panic!("a payment was never taken");
+        panic!("the top-up was never confirmed");
     }
 
     /// Total of all top-ups that were requested.
@@ -226,7 +226,7 @@
             }
             sleep(Duration::from_millis(100)).await;
         }
-        panic!("the wallet was never shown");
+        panic!("no node reported the account");
     }
 
     /// Waits until a condition on the account holds.
@@ -237,7 +237,7 @@
             if condition(&shown) {
                 return shown;
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "{what} did not come: {shown:?}");
+            assert!(began.elapsed() < Duration::from_secs(60), "timed out waiting for {what}: {shown:?}");
             sleep(Duration::from_millis(100)).await;
         }
     }
@@ -259,7 +259,9 @@
         let (at_servers, most) = (self.cost_at_servers(), self.total_topped_up() + case.overdraft);
         let mut violations = Vec::new();
         if at_servers > most {
-            violations.push(format!("{at_servers} spent at servers where {most} may be"));
+            violations.push(format!(
+                "requests for {at_servers} units reached servers, at most {most} may be spent"
+            ));
         }
         if !quiet {
             return violations;
@@ -271,17 +273,17 @@
         }
         if shown.topped != self.total_topped_up() as i64 {
             violations.push(format!(
-                "{} was paid in and {} is topped up",
+                "{} units were topped up, and the ledger has {}",
                 self.total_topped_up(),
                 shown.topped
             ));
         }
         let at_servers = at_servers as i64;
         if shown.spent > at_servers {
-            violations.push(format!("{} is debited where servers saw {at_servers}", shown.spent));
+            violations.push(format!("{} units are debited, and servers received {at_servers}", shown.spent));
         }
         if shown.spent + shown.doubt + shown.outstanding < at_servers {
-            violations.push(format!("servers saw {at_servers}, and the ledger has {shown:?}"));
+            violations.push(format!("servers received {at_servers} units, and the ledger has {shown:?}"));
         }
         violations
     }
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -1,4 +1,4 @@
-//! What goes wrong and when, as a text:
+//! Fault scripts: what fails and when, as text.
 //!
 //! ```text
 //! # time  target   fault
@@ -15,11 +15,12 @@
 //! 60s     wire     heal
 //! ```
 //!
-//! The last three want the rig of many processes ([`crate::rig`]); more of them are in [`ProcessFault`] and [`WireFault`].
+//! The last three lines need the rig of many processes ([`crate::rig`]); [`ProcessFault`] and [`WireFault`] list all
+//! faults of that kind.
 //!
-//! One fault a line; `#` begins a comment. Times are whole numbers with `ms` or `s`, counted from the start. A target is
-//! one server (`s2`), a run of them (`s0-s3`, both included), `all`, `any` (one server that the seed chooses), a node
-//! (`n0`) or the `registry`.
+//! Each line holds one fault; `#` starts a comment. Times are integers with `ms` or `s`, counted from the start. A target
+//! is a server (`s2`), a range of servers (`s0-s3`, both ends included), `all`, `any` (one server, chosen at random from
+//! the seed), a node (`n0`) or the `registry`.
 
 mod nodes;
 
@@ -120,14 +121,15 @@
             match words[..] {
                 [] => {}
                 ["seed", seed] => {
-                    script.seed = seed.parse().map_err(|_| error(format!("{seed:?} is no whole number")))?;
+                    script.seed =
+                        seed.parse().map_err(|_| error(format!("{seed:?} is not a whole number")))?;
                 }
                 [at, target, ref fault @ ..] => {
                     let at = duration(at).map_err(error)?;
                     let injection = injection(target, fault, servers, nodes).map_err(error)?;
                     script.entries.push(Entry { at, injection });
                 }
-                _ => return Err(error("wanted: a time, a target and a fault".into())),
+                _ => return Err(error("expected a time, a target and a fault".into())),
             }
         }
         script.entries.sort_by_key(|e| e.at);
@@ -139,7 +141,7 @@
     if target == "registry" {
         return match fault {
             ["silent", length] => Ok(Injection::RegistrySilent(duration(length)?)),
-            _ => Err(format!("{:?} befalls no registry: wanted `silent TIME`", fault.join(" "))),
+            _ => Err(format!("{:?} is not a fault of the registry: expected `silent TIME`", fault.join(" "))),
         };
     }
     if target == "wire" {
@@ -150,8 +152,8 @@
     }
     let number = |text: &str, most: usize| match text.parse::<usize>() {
         Ok(n) if n < most => Ok(n),
-        Ok(n) => Err(format!("{target}: there are {most}, and {n} is not among 0 to {}", most - 1)),
-        Err(_) => Err(format!("{target:?} is no target: wanted sN, sN-sM, all, any, nN or registry")),
+        Ok(n) => Err(format!("{target}: there are {most}, and {n} is not in 0 to {}", most - 1)),
+        Err(_) => Err(format!("{target:?} is not a target: expected sN, sN-sM, all, any, nN or registry")),
     };
     if let Some(n) = target.strip_prefix('n') {
         let node = number(n, count)?;
@@ -159,10 +161,10 @@
             ["restart"] => Ok(Injection::Node(node, NodeFault::Restart)),
             ["kill"] => Ok(Injection::Node(node, NodeFault::Kill)),
             _ => {
-                let wanted =
+                let expected =
                     "`restart` or `kill`; on the rig `die`, `end`, `start`, `twin`, `pause TIME` or \
                               `stutter TIME for TIME`";
-                Err(format!("{:?} befalls no node: wanted {wanted}", fault.join(" ")))
+                Err(format!("{:?} is not a fault of a node: expected {expected}", fault.join(" ")))
             }
         };
     }
@@ -175,7 +177,7 @@
                 number(last.strip_prefix('s').unwrap_or("?"), servers)?,
             );
             if first > last {
-                return Err(format!("{target} runs backwards"));
+                return Err(format!("{target} is not an ascending range"));
             }
             Servers::Range(first, last)
         }
@@ -190,7 +192,7 @@
             let thousandths = factor.parse::<f64>().map(|f| (f * 1e3).round());
             match thousandths {
                 Ok(t) if (1.0..=1e6).contains(&t) => Fault::Slow(t as u32, duration(length)?),
-                _ => return Err(format!("{factor:?} is no factor from 0.001 to 1000")),
+                _ => return Err(format!("{factor:?} is not a factor from 0.001 to 1000")),
             }
         }
         ["die"] => Fault::Die,
@@ -199,9 +201,9 @@
             Fault::Deploy { drain: duration(drain)?, every: duration(every)? }
         }
         _ => {
-            let wanted =
+            let expected =
                 "`freeze TIME`, `slow FACTOR for TIME`, `die`, `start` or `deploy drain TIME every TIME`";
-            return Err(format!("{:?} befalls no server: wanted {wanted}", fault.join(" ")));
+            return Err(format!("{:?} is not a fault of a server: expected {expected}", fault.join(" ")));
         }
     };
     Ok(Injection::Servers(who, what))
@@ -209,12 +211,12 @@
 
 fn duration(text: &str) -> Result<Duration, String> {
     let split = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
-    let wanted = || format!("{text:?} is no time: wanted a whole number with `ms` or `s`");
-    let number: u32 = text[..split].parse().map_err(|_| wanted())?;
+    let expected = || format!("{text:?} is not a time: expected a whole number with `ms` or `s`");
+    let number: u32 = text[..split].parse().map_err(|_| expected())?;
     match &text[split..] {
         "ms" => Ok(Duration::from_millis(number.into())),
         "s" => Ok(Duration::from_secs(number.into())),
-        _ => Err(wanted()),
+        _ => Err(expected()),
     }
 }
 
@@ -277,26 +279,26 @@
     #[test]
     fn errors_name_the_line_and_the_problem() {
         for (text, expected) in [
-            ("seed x", "line 1: \"x\" is no whole number"),
-            ("# fine\n8s", "line 2: wanted: a time, a target and a fault"),
-            ("8 s1 die", "line 1: \"8\" is no time"),
-            ("8h s1 die", "line 1: \"8h\" is no time"),
-            ("99999999999s s1 die", "is no time"),
-            ("8s s9 die", "there are 4, and 9 is not among 0 to 3"),
-            ("8s s2-s1 die", "runs backwards"),
-            ("8s s1-2 die", "is no target"),
-            ("8s é die", "is no target"),
-            ("8s s1 vanish", "\"vanish\" befalls no server"),
-            ("8s n0 freeze 1s", "befalls no node"),
-            ("8s n0-n4 die", "\"n4\" is none of the nodes n0 to n0"),
-            ("8s nodes:2 die", "\"2\" is no part"),
-            ("8s zone:x die", "no number of a zone"),
-            ("8s wire lose 1.5", "\"1.5\" is no part"),
-            ("8s wire break", "befalls no wire"),
+            ("seed x", "line 1: \"x\" is not a whole number"),
+            ("# fine\n8s", "line 2: expected a time, a target and a fault"),
+            ("8 s1 die", "line 1: \"8\" is not a time"),
+            ("8h s1 die", "line 1: \"8h\" is not a time"),
+            ("99999999999s s1 die", "is not a time"),
+            ("8s s9 die", "there are 4, and 9 is not in 0 to 3"),
+            ("8s s2-s1 die", "is not an ascending range"),
+            ("8s s1-2 die", "is not a target"),
+            ("8s é die", "is not a target"),
+            ("8s s1 vanish", "\"vanish\" is not a fault of a server"),
+            ("8s n0 freeze 1s", "is not a fault of a node"),
+            ("8s n0-n4 die", "\"n4\" is not one of the nodes n0 to n0"),
+            ("8s nodes:2 die", "\"2\" is not a fraction"),
+            ("8s zone:x die", "is not a zone number"),
+            ("8s wire lose 1.5", "\"1.5\" is not a fraction"),
+            ("8s wire break", "is not a fault of the wire"),
             ("8s n1 kill", "there are 1"),
-            ("8s registry die", "befalls no registry"),
-            ("8s s1 slow 0 for 3s", "\"0\" is no factor"),
-            ("8s s1 slow NaN for 3s", "\"NaN\" is no factor"),
+            ("8s registry die", "is not a fault of the registry"),
+            ("8s s1 slow 0 for 3s", "\"0\" is not a factor"),
+            ("8s s1 slow NaN for 3s", "\"NaN\" is not a factor"),
         ] {
             let error = Script::parse(text, 4, 1).expect_err(text).to_string();
             assert!(error.contains(expected), "{text}: {error}");
--- a/crates/standin/src/script/nodes.rs
+++ b/crates/standin/src/script/nodes.rs
@@ -79,10 +79,10 @@
     let number = |text: &str| {
         let n = text.strip_prefix('n').and_then(|n| n.parse::<usize>().ok());
         n.filter(|n| *n < most)
-            .ok_or_else(|| format!("{text:?} is none of the nodes n0 to n{}", most.max(1) - 1))
+            .ok_or_else(|| format!("{text:?} is not one of the nodes n0 to n{}", most.max(1) - 1))
     };
     if let Some(zone) = text.strip_prefix("zone:") {
-        return zone.parse().map(Nodes::Zone).map_err(|_| format!("{zone:?} is no number of a zone"));
+        return zone.parse().map(Nodes::Zone).map_err(|_| format!("{zone:?} is not a zone number"));
     }
     match (text, text.strip_prefix("nodes:"), text.split_once('-')) {
         ("nodes", ..) => Ok(Nodes::All),
@@ -90,7 +90,7 @@
         (_, _, Some((first, last))) => {
             let (first, last) = (number(first)?, number(last)?);
             if first > last {
-                return Err(format!("{text} runs backwards"));
+                return Err(format!("{text} is not an ascending range"));
             }
             Ok(Nodes::Range(first, last))
         }
@@ -113,7 +113,7 @@
 
 fn part(text: &str) -> Result<u32, String> {
     let thousandths = text.parse::<f64>().ok().map(|p| (p * 1e3).round()).filter(|p| (0.0..=1e3).contains(p));
-    thousandths.map(|p| p as u32).ok_or_else(|| format!("{text:?} is no part from 0 to 1"))
+    thousandths.map(|p| p as u32).ok_or_else(|| format!("{text:?} is not a fraction from 0 to 1"))
 }
 
 pub(super) fn process_fault(words: &[&str]) -> Option<Result<ProcessFault, String>> {
@@ -141,10 +141,10 @@
         ["shorten", of] => part(of).map(WireFault::Shorten),
         ["delay", most] => duration(most).map(WireFault::Delay),
         _ => {
-            let wanted =
+            let expected =
                 "`cut END END`, `split END END` (nodes, `servers`, `discovery` or `clients`), `heal`, `lose PART`, `double PART`, `spoil PART`, \
                           `shorten PART` or `delay TIME`";
-            Err(format!("{:?} befalls no wire: wanted {wanted}", words.join(" ")))
+            Err(format!("{:?} is not a fault of the wire: expected {expected}", words.join(" ")))
         }
     }
 }
--- a/crates/standin/src/scripted/connection.rs
+++ b/crates/standin/src/scripted/connection.rs
@@ -16,7 +16,7 @@
 pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
     match tokio::time::timeout(Duration::from_secs(30), future).await {
         Ok(value) => value,
-        Err(_) => panic!("{what}: nothing came"),
+        Err(_) => panic!("{what}: nothing arrived within 30 s"),
     }
 }
 
@@ -99,7 +99,7 @@
 
     /// Shuts down the write side; reading continues.
     pub async fn shutdown_write(&mut self) {
-        self.0.get_mut().shutdown().await.expect("the sending's end");
+        self.0.get_mut().shutdown().await.expect("a shutdown");
     }
 
     /// Closes the connection with a reset.
@@ -120,7 +120,7 @@
     /// Splits the connection, for a peer that reads and writes at the same time.
     pub fn split(mut self) -> (ConnectionReader, ConnectionWriter) {
         let buffered = self.0.take();
-        assert!(buffered.buffer().is_empty(), "nothing has been read yet");
+        assert!(buffered.buffer().is_empty(), "nothing is buffered yet");
         let (reading, writing) = buffered.into_inner().into_split();
         (ConnectionReader(BufReader::new(reading)), ConnectionWriter(writing))
     }
@@ -190,7 +190,7 @@
     pub async fn expect_closed(&mut self) {
         let mut rest = Vec::new();
         let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
-        assert!(rest.is_empty(), "closed only after {:?}", String::from_utf8_lossy(&rest));
+        assert!(rest.is_empty(), "the peer sent {:?} before it closed", String::from_utf8_lossy(&rest));
     }
 
     /// Writes text until all of it is written or the peer closes.
@@ -395,7 +395,7 @@
 /// Reads all that the peer sends until it closes.
 pub async fn read_all(mut stream: TcpStream) -> String {
     let mut sent = Vec::new();
-    let _ = within("its end", stream.read_to_end(&mut sent)).await;
+    let _ = within("the connection's end", stream.read_to_end(&mut sent)).await;
     String::from_utf8_lossy(&sent).into_owned()
 }
 
--- a/crates/standin/src/scripted/node.rs
+++ b/crates/standin/src/scripted/node.rs
@@ -41,7 +41,7 @@
     let mut stream = TcpStream::connect(operators).await.expect("a connection");
     stream.write_all(format!("{line}\n").as_bytes()).await.expect("a call");
     let mut answer = String::new();
-    within("an answer to operators", stream.read_to_string(&mut answer)).await.expect("an answer");
+    within("a reply to an operator's call", stream.read_to_string(&mut answer)).await.expect("an answer");
     answer
 }
 
@@ -138,7 +138,7 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        within("a node that is ready", ready).await;
+        within("the node to become ready", ready).await;
     }
 
     /// Waits until the node has applied the list of this revision.
@@ -149,7 +149,7 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        within("the list's taking", held).await;
+        within("the list to be applied", held).await;
     }
 
     /// Changes one value of the configuration file and makes the node read it again.
--- a/crates/standin/tests/scale.rs
+++ b/crates/standin/tests/scale.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn sizes_that_cannot_be_played_are_refused() {
+fn sizes_out_of_range_are_refused() {
     assert!(refusal(&["--nodes", "25,201"]).contains("201 nodes are more than the 200 processes"));
     assert!(refusal(&["--nodes", "5"]).contains("5 nodes are too few"));
     assert!(refusal(&["--nodes", "many"]).contains("invalid value 'many'"));
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn an_output_that_cannot_be_written_is_refused() {
+fn an_unwritable_output_file_is_refused() {
     assert!(
         refusal(&["--nodes", "6", "--csv", "/nonexistent/figures.csv"]).contains("/nonexistent/figures.csv")
     );
 }
 
 #[test]
-fn a_run_that_cannot_go_on_leaves_whole_lines() {
+fn a_failed_run_leaves_complete_lines() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("figures.csv");
     let message = refusal(&["--nodes", "6", "--csv", path.to_str().expect("a path")]);
--- a/crates/standin/tests/stand_ins.rs
+++ b/crates/standin/tests/stand_ins.rs
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn what_runs_is_recorded_and_keys_are_remembered_in_their_cell() {
+async fn runs_are_recorded_and_keys_are_remembered_by_cell() {
     let test = async {
         let (shared, servers) = fleet(3);
         let runs = || shared.results.borrow().servers.iter().map(|s| s.runs).collect::<Vec<_>>();
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_full_server_turns_away_and_says_that_nothing_ran() {
+async fn a_full_server_refuses_and_states_that_nothing_ran() {
     let test = async {
         let (shared, servers) = fleet(1);
         let address = servers[0].address();
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn a_death_breaks_what_is_open_and_a_start_serves_again() {
+async fn a_crash_resets_connections_and_a_restart_serves_again() {
     let test = async {
         let (shared, servers) = fleet(1);
         let address = servers[0].address();
@@ -113,8 +113,8 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         servers[0].die().await;
-        assert!(open.read().await.is_none(), "no answer comes");
-        assert!(tokio::net::TcpStream::connect(address).await.is_err(), "nobody listens");
+        assert!(open.read().await.is_none(), "no response arrives");
+        assert!(tokio::net::TcpStream::connect(address).await.is_err(), "nothing listens");
         servers[0].start(true).expect("its address is free");
         assert_eq!(servers[0].address(), address);
         // Its work had begun, so the cell remembers the key although no client received the response.
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_server_says_nothing_until_it_thaws() {
+async fn a_frozen_server_answers_only_after_the_freeze() {
     let test = async {
         let (_shared, servers) = fleet(1);
         let mut wire = Connection::connect(servers[0].address()).await;
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn the_registry_tells_lists_and_changes() {
+async fn the_registry_sends_complete_lists_and_changes() {
     let test = async {
         let registry = Registry::start().await.expect("a port");
         registry.announce(json!({"id": "a", "phase": "active"}));
@@ -163,7 +163,7 @@
         let mut line = async || watch.line().await.unwrap_or_default();
         while !line().await.is_empty() {} // Response head.
         let first = (line().await, line().await);
-        assert!(first.1.contains("\"members\":[]"), "nothing is new: {first:?}");
+        assert!(first.1.contains("\"members\":[]"), "no change yet: {first:?}");
         registry.announce(json!({"id": "b", "phase": "left"}));
         let change = loop {
             let line = line().await;
