--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -150,26 +150,26 @@
 async fn answer(transport: Transport, mut stream: tokio::net::TcpStream) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let _ = stream.set_nodelay(true);
-    let mut held = Vec::with_capacity(4096);
+    let mut received = Vec::with_capacity(4096);
     loop {
-        while let Some((length, reply)) = reply(transport, &held) {
-            held.drain(..length);
+        while let Some((length, reply)) = reply(transport, &received) {
+            received.drain(..length);
             if stream.write_all(&reply).await.is_err() {
                 return;
             }
         }
-        if !matches!(stream.read_buf(&mut held).await, Ok(n) if n > 0) {
+        if !matches!(stream.read_buf(&mut received).await, Ok(n) if n > 0) {
             return;
         }
     }
 }
 
 /// Returns the length of the first complete request in the buffer and the response to it.
-fn reply(transport: Transport, held: &[u8]) -> Option<(usize, Vec<u8>)> {
+fn reply(transport: Transport, received: &[u8]) -> Option<(usize, Vec<u8>)> {
     match transport {
         Transport::Http => {
-            let end = held.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
-            let stats = held.starts_with(b"GET /stats");
+            let end = received.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
+            let stats = received.starts_with(b"GET /stats");
             let body = if stats {
                 br#"{"outstanding":1,"utilization":0.3}"#.to_vec()
             } else {
@@ -181,8 +181,8 @@
         }
         Transport::Thrift(protocol) => {
             let limits = Limits::default();
-            let length = frame::length(held, &limits).ok()??;
-            let content = held.get(frame::HEADER_LEN..frame::HEADER_LEN + length)?;
+            let length = frame::length(received, &limits).ok()??;
+            let content = received.get(frame::HEADER_LEN..frame::HEADER_LEN + length)?;
             let header = walk::header(protocol, content, &limits).ok()?;
             let reply = match header.name {
                 "load" => thrift_load(protocol, header.seqid),
@@ -220,30 +220,30 @@
             Transport::Thrift(protocol) => thrift_message(protocol, MessageType::Call, count as i32),
         };
         stream.write_all(&request)?;
-        let mut held = 0;
+        let mut received = 0;
         let served = loop {
-            let read = stream.read(&mut buffer[held..])?;
+            let read = stream.read(&mut buffer[received..])?;
             if read == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
-            held += read;
+            received += read;
             match transport {
                 Transport::Http => {
-                    let Some(end) = buffer[..held].windows(4).position(|w| w == b"\r\n\r\n") else {
+                    let Some(end) = buffer[..received].windows(4).position(|w| w == b"\r\n\r\n") else {
                         continue;
                     };
                     let head = String::from_utf8_lossy(&buffer[..end]).to_ascii_lowercase();
                     let length = head.split("content-length:").nth(1).and_then(|l| l.lines().next());
                     let length: usize = length.and_then(|l| l.trim().parse().ok()).unwrap_or(0);
-                    if held >= end + 4 + length {
+                    if received >= end + 4 + length {
                         break head.starts_with("http/1.1 200");
                     }
                 }
                 Transport::Thrift(protocol) => {
                     let limits = Limits::default();
-                    let Ok(Some(length)) = frame::length(&buffer[..held], &limits) else { continue };
-                    if held >= frame::HEADER_LEN + length {
-                        let header = walk::header(protocol, &buffer[frame::HEADER_LEN..held], &limits);
+                    let Ok(Some(length)) = frame::length(&buffer[..received], &limits) else { continue };
+                    if received >= frame::HEADER_LEN + length {
+                        let header = walk::header(protocol, &buffer[frame::HEADER_LEN..received], &limits);
                         break header.is_ok_and(|h| h.kind == MessageType::Reply);
                     }
                 }
@@ -288,7 +288,7 @@
                       "overload_for_ns": 1_000_000_000u64, "warm_up_ns": 1_000_000_000u64}
         }
     });
-    let load = "[thrift.servers.load]\nmethod = 'load'\nfields = { held = '1', busy = '2' }\n";
+    let load = "[thrift.servers.load]\nmethod = 'load'\nfields = { received = '1', busy = '2' }\n";
     let operator = match plan.transport {
         Transport::Http => None,
         Transport::Thrift(protocol) => Some(format!(
@@ -308,7 +308,7 @@
     let from = Instant::now() + Duration::from_millis(500);
     let to = from + plan.length;
     let (transport, clients) = (plan.transport, plan.clients);
-    let clients_running: Vec<_> = (0..clients)
+    let client_threads: Vec<_> = (0..clients)
         .map(|n| std::thread::spawn(move || run_client(transport, address, n, from, to)))
         .collect();
     let until = |at: Instant| tokio::time::sleep(at.saturating_duration_since(Instant::now()));
@@ -317,7 +317,7 @@
     until(to).await;
     let used = cpu_time(pid).saturating_sub(before);
     let (mut latencies, mut other) = (Vec::new(), 0);
-    for client in clients_running {
+    for client in client_threads {
         let answered = client.join().unwrap_or_else(|_| Err(std::io::ErrorKind::Other.into()));
         let (own, turned_away) = answered.map_err(io("a client"))?;
         latencies.extend(own);
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -393,7 +393,7 @@
         Some(path) => path,
         None => build_node()?,
     };
-    let one = |binary: &PathBuf, transport, probes| -> Result<cost::Cost, Box<dyn Error>> {
+    let measure_one = |binary: &PathBuf, transport, probes| -> Result<cost::Cost, Box<dyn Error>> {
         let plan = cost::Plan {
             binary: binary.clone(),
             transport,
@@ -417,7 +417,7 @@
         // within a round.
         let mut rounds = Vec::new();
         for _ in 0..arguments.rounds {
-            let round = cases.iter().map(|(_, binary, transport)| one(binary, *transport, probes));
+            let round = cases.iter().map(|(_, binary, transport)| measure_one(binary, *transport, probes));
             rounds.push(round.collect::<Result<Vec<_>, _>>()?);
         }
         for (n, (name, ..)) in cases.iter().enumerate() {
@@ -457,10 +457,9 @@
     }
     match binary.exists() {
         true => Ok(binary),
-        false => Err(format!(
-            "no node at {}: run this through cargo, or pass a binary with --node",
-            binary.display()
-        )
-        .into()),
+        false => {
+            Err(format!("no node at {}: run this through cargo, or name one with --node", binary.display())
+                .into())
+        }
     }
 }
--- a/crates/standin/src/results.rs
+++ b/crates/standin/src/results.rs
@@ -207,9 +207,9 @@
     /// Guards against checks that never report anything, which would void every test that asserts on them.
     #[test]
     fn each_violation_is_reported() {
-        let fresh = || Results::new([("buy".into(), Duration::from_millis(9), false)], 2);
+        let empty_results = || Results::new([("buy".into(), Duration::from_millis(9), false)], 2);
         let served = OrderOutcome::Served(Duration::from_millis(3));
-        let mut fine = fresh();
+        let mut fine = empty_results();
         fine.classes[0].asked = 2;
         (0..2).for_each(|order| fine.record_run(0, 0, order, 0.1));
         (0..2).for_each(|_| fine.record_outcome(0, served));
@@ -218,7 +218,7 @@
         let mut twice = fine.clone();
         twice.record_run(1, 0, 1, 0.1);
         assert_eq!(twice.violations(), ["buy: 1 run twice"]);
-        let mut silent = fresh();
+        let mut silent = empty_results();
         silent.classes[0].asked = 1;
         silent.record_outcome(0, OrderOutcome::Unanswered);
         assert_eq!(silent.violations(), ["buy: 1 never answered"]);
--- a/crates/standin/src/rig/bounds.rs
+++ b/crates/standin/src/rig/bounds.rs
@@ -12,12 +12,12 @@
 
 /// The largest number of overlapping spans. A span without an end never ends.
 pub fn max_concurrent(spans: impl Iterator<Item = (Nanos, Option<Nanos>)>) -> usize {
-    let mut marks: Vec<(Nanos, i64)> =
+    let mut edges: Vec<(Nanos, i64)> =
         spans.flat_map(|(from, to)| [Some((from, 1)), to.map(|to| (to, -1))]).flatten().collect();
     // At equal times ends sort before beginnings, so a span that ends as another begins does not overlap it.
-    marks.sort_unstable();
+    edges.sort_unstable();
     let mut sum = 0;
-    marks
+    edges
         .iter()
         .map(|m| {
             sum += m.1;
--- a/crates/standin/src/rig/cases.rs
+++ b/crates/standin/src/rig/cases.rs
@@ -193,9 +193,7 @@
         let row = |a: usize, b: usize| (a..=b).map(|n| format!("n{n}")).collect::<Vec<_>>();
         let found = match *expectation {
             EvenRing(_) => None,
-            NoVerdict => {
-                (!verdicts.is_empty()).then(|| format!("{} verdicts, none expected", verdicts.len()))
-            }
+            NoVerdict => (!verdicts.is_empty()).then(|| format!("{} verdicts, want none", verdicts.len())),
             VerdictsOnlyOn(a, b) => {
                 let other = verdicts.iter().find(|l| !row(a, b).contains(&l.text("member").to_owned()));
                 other.map(|l| format!("a verdict on {}", l.text("member")))
@@ -213,9 +211,8 @@
             }
             VerdictsAtMost(most) => {
                 let found = checker.max_verdicts_per_member();
-                (found > most).then(|| {
-                    format!("{found} verdicts by one process on one member, at most {most} expected")
-                })
+                (found > most)
+                    .then(|| format!("{found} verdicts by one process on one member, {most} allowed"))
             }
         };
         violations.extend(found);
--- a/crates/standin/src/rig/checker.rs
+++ b/crates/standin/src/rig/checker.rs
@@ -178,9 +178,9 @@
         let mut all = Vec::new();
         for (n, dead) in self.processes.iter().enumerate() {
             let Some((killed, true)) = dead.ended else { continue };
-            let again = self.processes.iter().filter(|p| p.name == dead.name && p.started >= killed);
-            let again = again.map(|p| p.started).min().unwrap_or(self.end);
-            let until = (killed + 30_000_000_000).min(self.end).min(again);
+            let restart = self.processes.iter().filter(|p| p.name == dead.name && p.started >= killed);
+            let restart = restart.map(|p| p.started).min().unwrap_or(self.end);
+            let until = (killed + 30_000_000_000).min(self.end).min(restart);
             let cut =
                 self.cuts.iter().any(|c| !c.1.is_empty() && c.0 <= until) && !self.cut(killed).is_empty();
             if cut {
@@ -208,7 +208,7 @@
             self.processes.iter().filter(|p| p.is_running(self.end) && !yielded(p)).collect();
         let mut found = Vec::new();
         for p in &running {
-            let mut held: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
+            let mut view: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
             for l in self.lines_of(p) {
                 let state = match l.kind.as_str() {
                     "joined" | "returned" | "cleared" => "alive",
@@ -217,15 +217,15 @@
                     "left" => "left",
                     _ => continue,
                 };
-                held.insert(l.text("member"), (state, l.number("draw")));
+                view.insert(l.text("member"), (state, l.number("draw")));
             }
             for other in running.iter().filter(|o| o.name != p.name) {
-                match held.get(other.name.as_str()) {
+                match view.get(other.name.as_str()) {
                     Some(("alive", draw)) if Some(*draw) == other.draw => {}
-                    held => found.push(format!("n{} holds {}, which runs, as {held:?}", p.place, other.name)),
+                    view => found.push(format!("n{} holds {}, which runs, as {view:?}", p.place, other.name)),
                 }
             }
-            for (name, (state, _)) in held {
+            for (name, (state, _)) in view {
                 if matches!(state, "alive" | "suspect") && !running.iter().any(|o| o.name == name) {
                     found.push(format!("n{} holds {name}, which is gone, as {state}", p.place));
                 }
@@ -375,9 +375,9 @@
         assert_eq!(Checker::new(&h, 60 * S).incarnation_regressions().len(), 1);
         h.actions.push((10 * S, RigAction::Ended(3, true)));
         h.actions.push((11 * S, RigAction::Started(3, "n3".to_owned())));
-        let mut again = line(11 * S, 3, "listening", &[("draw", 77)]);
-        again.start = 1;
-        h.lines.push(again);
+        let mut restart = line(11 * S, 3, "listening", &[("draw", 77)]);
+        restart.start = 1;
+        h.lines.push(restart);
         let found = Checker::new(&h, 60 * S).disagreements();
         assert_eq!(found.iter().filter(|w| w.contains("holds n3")).count(), 3, "{found:?}");
     }
--- a/crates/standin/src/rig/common.rs
+++ b/crates/standin/src/rig/common.rs
@@ -119,14 +119,14 @@
     let ended = wallet.stop_load().await;
     let shown = wallet.wait_until("all quiet", |s| s.outstanding == 0).await;
     let mut violations = wallet.violations(&case, true).await;
-    let seen = wallet.site.received();
-    let limited: Vec<Nanos> = seen.iter().filter(|s| s.tenant == "two").map(|s| s.at).collect();
+    let received = wallet.site.received();
+    let limited: Vec<Nanos> = received.iter().filter(|s| s.tenant == "two").map(|s| s.at).collect();
     let rate_excess = max_rate_excess(&limited, PER_S, BURST);
     if rate_excess > 0.0 {
         violations.push(format!("{rate_excess:.3} requests over {PER_S} W + {BURST} in some window"));
     }
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
-    seen.iter().filter(|s| s.class == "unsafe").for_each(|s| *runs.entry(&s.id).or_default() += 1);
+    received.iter().filter(|s| s.class == "unsafe").for_each(|s| *runs.entry(&s.id).or_default() += 1);
     let twice = runs.values().filter(|n| **n > 1).count();
     if twice > 0 {
         violations.push(format!("{twice} unsafe requests ran more than once"));
--- a/crates/standin/src/rig/faults.rs
+++ b/crates/standin/src/rig/faults.rs
@@ -84,21 +84,21 @@
             }
             ProcessFault::Stutter(stopped, length) => {
                 let first = self.rng.unit();
-                let turns =
+                let stops =
                     (0..length.as_secs()).map(|s| (Duration::from_secs_f64(first + s as f64), stopped));
-                self.pause_process(n, turns.collect());
+                self.pause_process(n, stops.collect());
             }
         }
         Ok(())
     }
 
     /// Stops a process at the given offsets from now, each time for the given length.
-    fn pause_process(&mut self, place: usize, turns: Vec<(Duration, Duration)>) {
+    fn pause_process(&mut self, place: usize, stops: Vec<(Duration, Duration)>) {
         let Some(pid) = self.pid(place).and_then(|p| Pid::from_raw(p as i32)) else { return };
         let (recorder, began) = (self.recorder.clone(), Instant::now());
         let record = move |action| recorder.history.borrow_mut().actions.push((now(), action));
         self.pending.spawn_local(async move {
-            for (from, length) in turns {
+            for (from, length) in stops {
                 sleep_until(began + from).await;
                 // The recorded span lies within the real one, because recorded stops excuse verdicts.
                 let _ = kill_process(pid, Signal::STOP);
--- a/crates/standin/src/rig/fenced_resource.rs
+++ b/crates/standin/src/rig/fenced_resource.rs
@@ -35,23 +35,23 @@
     /// connection. An unfenced resource accepts any token.
     pub async fn start(fenced: bool) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind(crate::scripted::unique_address()).await?;
-        let receiver = Rc::new(FencedResource {
+        let resource = Rc::new(FencedResource {
             address: listener.local_addr()?,
             fenced,
             highest: Cell::default(),
             accepted: RefCell::default(),
             rejected: RefCell::default(),
         });
-        let acts = Rc::downgrade(&receiver);
+        let weak = Rc::downgrade(&resource);
         spawn_local(async move {
-            while let (Ok((stream, _)), Some(receiver)) = (listener.accept().await, acts.upgrade()) {
-                spawn_local(async move { receiver.act(stream).await });
+            while let (Ok((stream, _)), Some(resource)) = (listener.accept().await, weak.upgrade()) {
+                spawn_local(async move { resource.handle(stream).await });
             }
         });
-        Ok(receiver)
+        Ok(resource)
     }
 
-    async fn act(&self, stream: TcpStream) -> io::Result<()> {
+    async fn handle(&self, stream: TcpStream) -> io::Result<()> {
         let mut stream = BufReader::new(stream);
         let mut line = String::new();
         stream.read_line(&mut line).await?;
--- a/crates/standin/src/rig/limits.rs
+++ b/crates/standin/src/rig/limits.rs
@@ -161,13 +161,13 @@
         script.map(|script| Script { seed, ..script })
     };
     let script = parse(0)?;
-    let habits = ServerBehavior {
+    let behavior = ServerBehavior {
         service_time: Duration::from_millis(150),
         error_permille: 0,
         slow_permille: 0,
         reported_load: 0.5,
     };
-    let site = Site::start(6, habits).await.map_err(super::io("a server"))?;
+    let site = Site::start(6, behavior).await.map_err(super::io("a server"))?;
     let lease = LeasePlan { rates: case.rates.to_vec(), ..LeasePlan::new(3) };
     let plan = Plan {
         lease: Some(lease),
@@ -205,14 +205,14 @@
     for (node_rate, per_s) in node_rates.iter().zip(demand(case, true)) {
         node_rate.set(per_s * 1.5);
     }
-    let shifted = now();
+    let shifted_at = now();
     let mut settling_time = None;
-    while settling_time.is_none() && now() < shifted + SETTLING_TIMEOUT.as_nanos() as Nanos {
+    while settling_time.is_none() && now() < shifted_at + SETTLING_TIMEOUT.as_nanos() as Nanos {
         sleep(Duration::from_millis(200)).await;
         let to = now();
         let from = to - 3_000_000_000;
-        if from >= shifted && utilization(&site.received(), from, to) >= 0.9 {
-            settling_time = Some(Duration::from_nanos(from - shifted));
+        if from >= shifted_at && utilization(&site.received(), from, to) >= 0.9 {
+            settling_time = Some(Duration::from_nanos(from - shifted_at));
         }
     }
     let stopped = now();
--- a/crates/standin/src/rig/mod.rs
+++ b/crates/standin/src/rig/mod.rs
@@ -187,9 +187,9 @@
         // Without proxied connections all places share one registry.
         let own = if self.plan.streams { &self.environment[..] } else { &self.environment[..1] };
         for environment in own {
-            let mut logged = member(&format!("s{server}"), environment.servers[server], phase);
-            logged["cell"] = json!(server / 4);
-            environment.registry.announce(logged);
+            let mut entry = member(&format!("s{server}"), environment.servers[server], phase);
+            entry["cell"] = json!(server / 4);
+            environment.registry.announce(entry);
         }
     }
 
@@ -216,7 +216,7 @@
             .map_err(io(format!("starting {name} ({})", self.plan.binary.display())))?;
         let mut lines = BufReader::new(child.stderr.take().expect("it is piped")).lines();
         let log = Rc::new(RefCell::new(String::new()));
-        let (start, recorder, kept) = (self.starts[place], self.recorder.clone(), log.clone());
+        let (start, recorder, log_tail) = (self.starts[place], self.recorder.clone(), log.clone());
         self.starts[place] += 1;
         let (wire, ready) = (self.wire.clone(), Rc::new(RefCell::new(LoggedAddresses::default())));
         let (logged, meshes) = (ready.clone(), self.environment[place].meshes.clone());
@@ -236,16 +236,17 @@
                     }
                     recorder.history.borrow_mut().lines.push(line);
                 }
-                process::append_log(&kept, &text);
+                process::append_log(&log_tail, &text);
                 recorder.changed.notify_waiters();
             }
         });
-        let up = |h: &History| {
+        let is_listening = |h: &History| {
             h.lines.iter().any(|l| l.kind == "listening" && (l.place, l.start) == (place, start))
         };
         let logged = || ready.borrow().listen.zip(ready.borrow().operators);
-        let waited =
-            self.wait(PROCESS_TIMEOUT, || up(&self.recorder.history.borrow()) && logged().is_some()).await;
+        let waited = self
+            .wait(PROCESS_TIMEOUT, || is_listening(&self.recorder.history.borrow()) && logged().is_some())
+            .await;
         let Some((listen, operators)) = logged().filter(|_| waited) else {
             let log = log.borrow().clone();
             return Err(RigError::Ended { place, what: "did not start".into(), log });
--- a/crates/standin/src/rig/scale/mod.rs
+++ b/crates/standin/src/rig/scale/mod.rs
@@ -226,10 +226,10 @@
     let accounts = (size.accounts > 0).then_some(&ACCOUNTS_TASK);
     let tasks: Vec<&&str> = TASKS.iter().chain(accounts).collect();
     loop {
-        let one = rig.wait_for_agreement(Duration::from_millis(1)).await;
+        let agreement = rig.wait_for_agreement(Duration::from_millis(1)).await;
         let holders = holders(&rig.history());
         let missing = tasks.iter().find(|task| !holders.keys().any(|lease| task_of(lease) == ***task));
-        match (one, missing) {
+        match (agreement, missing) {
             (Ok(_), None) => return Ok(began.elapsed()),
             (Err(error), _) if began.elapsed() > AGREEMENT_TIMEOUT => return Err(error.into()),
             (_, Some(task)) if began.elapsed() > AGREEMENT_TIMEOUT => {
--- a/crates/standin/src/rig/site.rs
+++ b/crates/standin/src/rig/site.rs
@@ -51,7 +51,7 @@
 
 /// One server.
 struct Server {
-    habits: Cell<ServerBehavior>,
+    behavior: Cell<ServerBehavior>,
     count: Cell<u64>,
 }
 
@@ -59,28 +59,28 @@
 pub struct Site {
     servers: Vec<Rc<Server>>,
     addresses: Vec<SocketAddr>,
-    book: Rc<RefCell<Vec<ReceivedRequest>>>,
+    requests: Rc<RefCell<Vec<ReceivedRequest>>>,
     _tasks: JoinSet<()>,
 }
 
 impl Site {
     /// Starts servers with the same behavior.
-    pub async fn start(servers: usize, habits: ServerBehavior) -> io::Result<Site> {
+    pub async fn start(servers: usize, behavior: ServerBehavior) -> io::Result<Site> {
         let (mut all, mut addresses, mut tasks) = (Vec::new(), Vec::new(), JoinSet::new());
-        let book: Rc<RefCell<Vec<ReceivedRequest>>> = Rc::default();
+        let requests: Rc<RefCell<Vec<ReceivedRequest>>> = Rc::default();
         for n in 0..servers {
             let listener = TcpListener::bind(crate::scripted::unique_address()).await?;
             addresses.push(listener.local_addr()?);
-            let server = Rc::new(Server { habits: Cell::new(habits), count: Cell::new(0) });
+            let server = Rc::new(Server { behavior: Cell::new(behavior), count: Cell::new(0) });
             all.push(server.clone());
-            let book = book.clone();
+            let requests = requests.clone();
             tasks.spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(serve(n, server.clone(), book.clone(), stream));
+                    spawn_local(serve(n, server.clone(), requests.clone(), stream));
                 }
             });
         }
-        Ok(Site { servers: all, addresses, book, _tasks: tasks })
+        Ok(Site { servers: all, addresses, requests, _tasks: tasks })
     }
 
     /// Addresses of the servers.
@@ -89,47 +89,47 @@
     }
 
     /// Changes the behavior of a server.
-    pub fn set_behavior(&self, server: usize, habits: ServerBehavior) {
-        self.servers[server].habits.set(habits);
+    pub fn set_behavior(&self, server: usize, behavior: ServerBehavior) {
+        self.servers[server].behavior.set(behavior);
     }
 
     /// All requests that reached the servers, in order.
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        self.book.borrow().clone()
+        self.requests.borrow().clone()
     }
 
     /// Number of requests that reached the servers.
     pub fn count(&self) -> usize {
-        self.book.borrow().len()
+        self.requests.borrow().len()
     }
 }
 
-async fn serve(n: usize, server: Rc<Server>, book: Rc<RefCell<Vec<ReceivedRequest>>>, stream: TcpStream) {
+async fn serve(n: usize, server: Rc<Server>, requests: Rc<RefCell<Vec<ReceivedRequest>>>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
-        let (server, book) = (server.clone(), book.clone());
-        async move { Ok::<_, Infallible>(answer(n, &server, &book, request).await) }
+        let (server, requests) = (server.clone(), requests.clone());
+        async move { Ok::<_, Infallible>(answer(n, &server, &requests, request).await) }
     });
     // The node reports errors of a connection; the server ignores them.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
 /// Records the end of a request's processing, also if its connection closes before.
-struct Working<'a> {
-    book: &'a RefCell<Vec<ReceivedRequest>>,
+struct InProgress<'a> {
+    requests: &'a RefCell<Vec<ReceivedRequest>>,
     at: usize,
 }
 
-impl Drop for Working<'_> {
+impl Drop for InProgress<'_> {
     fn drop(&mut self) {
-        self.book.borrow_mut()[self.at].ended = Some(now());
+        self.requests.borrow_mut()[self.at].ended = Some(now());
     }
 }
 
 async fn answer(
     n: usize,
     server: &Server,
-    book: &RefCell<Vec<ReceivedRequest>>,
+    requests: &RefCell<Vec<ReceivedRequest>>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
@@ -137,8 +137,8 @@
     let text = |name| head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
     let class = head.uri.path().trim_start_matches('/').to_owned();
     let at = {
-        let mut book = book.borrow_mut();
-        book.push(ReceivedRequest {
+        let mut requests = requests.borrow_mut();
+        requests.push(ReceivedRequest {
             at: now(),
             ended: None,
             server: n,
@@ -147,19 +147,20 @@
             id: text("x-request-id"),
             key: text("idempotency-key"),
         });
-        book.len() - 1
+        requests.len() - 1
     };
-    let working = Working { book, at };
-    let (habits, count) = (server.habits.get(), server.count.replace(server.count.get() + 1));
+    let in_progress = InProgress { requests, at };
+    let (behavior, count) = (server.behavior.get(), server.count.replace(server.count.get() + 1));
     // Affected requests are spread evenly, so that any number of requests has about the same fraction of them.
-    let hits = |part: u32| count * u64::from(part) % 1000 < u64::from(part);
+    let is_affected = |part: u32| count * u64::from(part) % 1000 < u64::from(part);
     let service_time =
-        if hits(habits.slow_permille) { habits.service_time * 10 } else { habits.service_time };
+        if is_affected(behavior.slow_permille) { behavior.service_time * 10 } else { behavior.service_time };
     if !service_time.is_zero() {
         tokio::time::sleep(service_time).await;
     }
-    drop(working);
-    let status = if hits(habits.error_permille) { StatusCode::INTERNAL_SERVER_ERROR } else { StatusCode::OK };
+    drop(in_progress);
+    let status =
+        if is_affected(behavior.error_permille) { StatusCode::INTERNAL_SERVER_ERROR } else { StatusCode::OK };
     let mut response = Response::new(Full::new(Bytes::from_static(b"done")));
     *response.status_mut() = status;
     response
--- a/crates/standin/src/rig/takeovers.rs
+++ b/crates/standin/src/rig/takeovers.rs
@@ -76,15 +76,15 @@
         };
         let grants = granted(&history);
         let ended = now();
-        let gone = async {
+        let ending = async {
             match killed {
                 true => rig.kill(holder).await,
                 false => rig.stop(holder).await,
             }
         };
-        gone.await?;
+        ending.await?;
         let next = |h: &History| h.lines.iter().filter(|l| l.kind == "granted").nth(grants).map(|l| l.at);
-        let came = rig
+        let next_holder = rig
             .wait_until(
                 "a next holder",
                 HOLDER_TIMEOUT,
@@ -92,12 +92,12 @@
                 |h| lease_events(h, holder, ended),
             )
             .await;
-        if let Err(mut error) = came {
+        if let Err(mut error) = next_holder {
             let operator_addresses = rig.operator_addresses().borrow().clone();
-            for desk in operator_addresses.into_iter().flatten() {
-                let held = crate::scripted::call(desk, "LEASES").await;
+            for address in operator_addresses.into_iter().flatten() {
+                let leases = crate::scripted::call(address, "LEASES").await;
                 if let RigError::Timeout { last, .. } = &mut error {
-                    let _ = write!(last, "\n{held}");
+                    let _ = write!(last, "\n{leases}");
                 }
             }
             return Err(error);
@@ -125,40 +125,40 @@
     let mut faults: Vec<(f64, String)> = Vec::new();
     let mut at = 1.0;
     while at < seconds as f64 {
-        let (n, m, lasts) = (rng.below(nodes), rng.below(nodes), 0.5 + 4.0 * rng.unit());
-        let mut put = |after: f64, what: String| faults.push((at + after, what));
+        let (n, m, length) = (rng.below(nodes), rng.below(nodes), 0.5 + 4.0 * rng.unit());
+        let mut add = |after: f64, what: String| faults.push((at + after, what));
         match rng.below(12) {
             0 | 1 => {
-                put(0.0, format!("n{n} die"));
-                put(0.1 + lasts / 4.0, format!("n{n} start"));
+                add(0.0, format!("n{n} die"));
+                add(0.1 + length / 4.0, format!("n{n} start"));
             }
-            2 | 3 => put(0.0, format!("n{n} pause {}ms", (lasts * 1500.0) as u64)),
-            4 => put(0.0, format!("nodes pause {}ms", (lasts * 800.0) as u64)),
+            2 | 3 => add(0.0, format!("n{n} pause {}ms", (length * 1500.0) as u64)),
+            4 => add(0.0, format!("nodes pause {}ms", (length * 800.0) as u64)),
             5 => {
-                put(0.0, format!("n0-n{} die", voters - 1));
-                put(0.2, format!("n0-n{} start", voters - 1));
+                add(0.0, format!("n0-n{} die", voters - 1));
+                add(0.2, format!("n0-n{} start", voters - 1));
             }
             6 | 7 => {
                 let to = if n == m { "n0-n4".to_owned() } else { format!("n{m}") };
-                put(0.0, format!("wire cut n{n} {to}"));
-                put(lasts, "wire heal".to_owned());
+                add(0.0, format!("wire cut n{n} {to}"));
+                add(length, "wire heal".to_owned());
             }
             8 => {
                 let first = rng.below(nodes - 1);
-                put(0.0, format!("wire split n0-n{first} n{}-n{}", first + 1, nodes - 1));
-                put(lasts, "wire heal".to_owned());
+                add(0.0, format!("wire split n0-n{first} n{}-n{}", first + 1, nodes - 1));
+                add(length, "wire heal".to_owned());
             }
             9 => {
-                put(0.0, "wire lose 0.3".to_owned());
-                put(lasts, "wire lose 0".to_owned());
+                add(0.0, "wire lose 0.3".to_owned());
+                add(length, "wire lose 0".to_owned());
             }
             10 => {
-                put(0.0, "wire delay 3s".to_owned());
-                put(lasts, "wire delay 0s".to_owned());
+                add(0.0, "wire delay 3s".to_owned());
+                add(length, "wire delay 0s".to_owned());
             }
             _ => {
-                put(0.0, "wire double 0.3".to_owned());
-                put(lasts, "wire double 0".to_owned());
+                add(0.0, "wire double 0.3".to_owned());
+                add(length, "wire double 0".to_owned());
             }
         }
         at += 2.0 + 3.0 * rng.unit();
--- a/crates/standin/src/rig/wallet.rs
+++ b/crates/standin/src/rig/wallet.rs
@@ -94,13 +94,13 @@
     pub async fn open(case: &Case<'_>, binary: PathBuf) -> Result<WalletRig, CaseError> {
         let mut script = Script::parse("0s wire lose 0", 0, case.nodes)?;
         script.seed = case.seed;
-        let habits = ServerBehavior {
+        let behavior = ServerBehavior {
             service_time: case.service_time,
             error_permille: case.error_permille,
             slow_permille: 0,
             reported_load: 0.5,
         };
-        let site = Site::start(5, habits).await.map_err(super::io("a server"))?;
+        let site = Site::start(5, behavior).await.map_err(super::io("a server"))?;
         let prices: Vec<String> = PRICES.iter().map(|(class, price)| format!("{class} = {price}")).collect();
         let operator = format!(
             "[ledger]\nnodes = {}\nfolder = \"{{folder}}\"\nrenew = \"200ms\"\nttl = \"2s\"\n{}\n\
@@ -124,8 +124,8 @@
         };
         let rig = Rig::start(plan).await?;
         rig.wait_for_agreement(Duration::from_secs(60)).await?;
-        let kept = |h: &super::history::History| h.lines.iter().any(|l| l.kind == "wallet_kept");
-        rig.wait_until("a keeper", Duration::from_secs(30), kept, |_| "none".into()).await?;
+        let has_keeper = |h: &super::history::History| h.lines.iter().any(|l| l.kind == "wallet_kept");
+        rig.wait_until("a keeper", Duration::from_secs(30), has_keeper, |_| "none".into()).await?;
         Ok(WalletRig { rig, site, load: None, node_rates: Vec::new(), paid: BTreeMap::new() })
     }
 
@@ -171,9 +171,9 @@
 
     /// Makes an operator's call at a node. None if there is no answer in time.
     pub async fn call(&self, node: usize, line: &str) -> Option<String> {
-        let desk: SocketAddr = self.rig.ops_address(node)?;
+        let address: SocketAddr = self.rig.ops_address(node)?;
         let exchange = async {
-            let mut stream = TcpStream::connect(desk).await.ok()?;
+            let mut stream = TcpStream::connect(address).await.ok()?;
             stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer).await.ok()?;
@@ -244,12 +244,12 @@
 
     /// Price of the requests that reached servers, counting each request id or key once.
     pub fn cost_at_servers(&self) -> u64 {
-        let seen = self.site.received();
-        let own = seen.iter().filter(|s| s.tenant == ACCOUNT);
+        let received = self.site.received();
+        let prepaid = received.iter().filter(|s| s.tenant == ACCOUNT);
         let price = |s: &ReceivedRequest| PRICES.iter().find(|p| p.0 == s.class).map_or(0, |p| p.1);
         let name =
             |s: &ReceivedRequest| if s.key.is_empty() { s.id.clone() } else { format!("key {}", s.key) };
-        let each: BTreeMap<String, u64> = own.map(|s| (name(s), price(s))).collect();
+        let each: BTreeMap<String, u64> = prepaid.map(|s| (name(s), price(s))).collect();
         each.values().sum()
     }
 
--- a/crates/standin/src/rig/wire.rs
+++ b/crates/standin/src/rig/wire.rs
@@ -151,13 +151,13 @@
                 self.traffic.borrow_mut().unknown_sources += 1;
                 continue;
             };
-            for (bytes, held) in self.apply_faults(from, to, &buffer[..length]) {
-                if held.is_zero() {
+            for (bytes, delay) in self.apply_faults(from, to, &buffer[..length]) {
+                if delay.is_zero() {
                     self.deliver(from, to, &bytes);
                 } else {
                     let shared = self.clone();
                     spawn_local(async move {
-                        tokio::time::sleep(held).await;
+                        tokio::time::sleep(delay).await;
                         shared.deliver(from, to, &bytes);
                     });
                 }
@@ -191,8 +191,9 @@
                 traffic.corrupted += 1;
                 bytes.truncate(rng.below(bytes.len()));
             }
-            let held = if faults.delay.is_zero() { Duration::ZERO } else { faults.delay.mul_f64(rng.unit()) };
-            arrive.push((bytes, held));
+            let delay =
+                if faults.delay.is_zero() { Duration::ZERO } else { faults.delay.mul_f64(rng.unit()) };
+            arrive.push((bytes, delay));
         }
         arrive
     }
--- a/crates/standin/src/scripted/node.rs
+++ b/crates/standin/src/scripted/node.rs
@@ -143,13 +143,13 @@
 
     /// Waits until the node has applied the list of this revision.
     pub async fn wait_for_list(&self, revision: u64) {
-        let told = format!("list {revision}\n");
-        let held = async {
-            while self.get("/health/live").await.body != told.as_bytes() {
+        let expected = format!("list {revision}\n");
+        let applied = async {
+            while self.get("/health/live").await.body != expected.as_bytes() {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        within("the list to be applied", held).await;
+        within("the list to be applied", applied).await;
     }
 
     /// Changes one value of the configuration file and makes the node read it again.
