--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -288,7 +288,7 @@
                       "overload_for_ns": 1_000_000_000u64, "warm_up_ns": 1_000_000_000u64}
         }
     });
-    let load = "[thrift.servers.load]\nmethod = 'load'\nfields = { received = '1', busy = '2' }\n";
+    let load = "[thrift.servers.load]\nmethod = 'load'\nfields = { held = '1', busy = '2' }\n";
     let operator = match plan.transport {
         Transport::Http => None,
         Transport::Thrift(protocol) => Some(format!(
