--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -85,9 +85,9 @@
 
     /// Sends an order, first to node `first` modulo the number of nodes, and retries at the next node until it has an
     /// outcome.
-    pub async fn place(&self, order: Order<'_>, first: usize) -> OrderOutcome {
-        let placed = Instant::now();
-        let due = placed + order.class.deadline;
+    pub async fn send(&self, order: Order<'_>, first: usize) -> OrderOutcome {
+        let started = Instant::now();
+        let due = started + order.class.deadline;
         let mut attempts = 0;
         loop {
             let node = (first + attempts) % self.nodes.len();
@@ -97,7 +97,7 @@
                 return OrderOutcome::Unanswered;
             };
             let (outcome, wait) = match reply {
-                Reply::Answered(StatusCode::OK, _) => return OrderOutcome::Served(placed.elapsed()),
+                Reply::Answered(StatusCode::OK, _) => return OrderOutcome::Served(started.elapsed()),
                 Reply::Answered(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, wait) => {
                     (OrderOutcome::Refused, wait)
                 }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -241,7 +241,7 @@
     }
 
     let began = Instant::now();
-    let clients_task = spawn_local(place_orders(plan.clone(), classes, clients, shared.clone()));
+    let clients_task = spawn_local(send_orders(plan.clone(), classes, clients, shared.clone()));
     let faults = async {
         let mut rng = Rng::new(plan.script.seed, 2);
         let pending = JoinSet::new();
@@ -388,7 +388,7 @@
 }
 
 /// Sends orders at random times until the end of the plan, and waits until all have an outcome.
-async fn place_orders(plan: Plan, classes: Vec<Class>, clients: Rc<Clients>, shared: Rc<Shared>) {
+async fn send_orders(plan: Plan, classes: Vec<Class>, clients: Rc<Clients>, shared: Rc<Shared>) {
     let classes = Rc::new(classes);
     let rate = plan.load * (plan.servers * plan.cores) as f64 / plan.work;
     let mut rng = Rng::new(plan.script.seed, 1);
@@ -419,7 +419,7 @@
         let (clients, shared, classes) = (clients.clone(), shared.clone(), classes.clone());
         open.spawn_local(async move {
             let order = Order { class: &classes[class], number, tenant, work, sends_cost_hints };
-            let end = clients.place(order, node).await;
+            let end = clients.send(order, node).await;
             shared.results.borrow_mut().record_outcome(class, end);
         });
     }
--- a/crates/standin/src/rig/limits.rs
+++ b/crates/standin/src/rig/limits.rs
@@ -104,7 +104,7 @@
     /// Used fraction of the rate limit in each second after the faults.
     pub utilization: Vec<f64>,
     /// After the load has moved to other nodes at the end of the run: time until at least 0.9 of the rate limit was
-    /// used over the following 3 s. None if that took longer than the run waits.
+    /// used over the following 3 s. None if that took longer than 90 s.
     pub settling_time: Option<Duration>,
     /// Events of the limits' keeper and its lease, with seconds since the first grants.
     pub keeper_events: Vec<String>,
--- a/crates/standin/src/rig/proxies.rs
+++ b/crates/standin/src/rig/proxies.rs
@@ -72,12 +72,12 @@
         self.faults.send_modify(|f| f.lose = thousandths);
     }
 
-    /// Opens a proxy from one place to another and returns its address. Connections to it are forwarded to `real`, or
+    /// Opens a proxy from one place to another and returns its address. Connections to it are forwarded to `target`, or
     /// closed at once while that is none.
     pub async fn open(
         &mut self,
         (from, to): (Source, usize),
-        real: watch::Receiver<Option<SocketAddr>>,
+        target: watch::Receiver<Option<SocketAddr>>,
     ) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -90,8 +90,8 @@
                 tokio::select! {
                     accepted = listener.accept() => {
                         let Ok((near, source)) = accepted else { continue };
-                        let real = *real.borrow();
-                        if let Some(real) = real {
+                        let target = *target.borrow();
+                        if let Some(target) = target {
                             let from = match from {
                                 Source::Place(place) => place,
                                 Source::AnyNode => wire::place(source.ip()).unwrap_or(usize::MAX),
@@ -103,7 +103,7 @@
                             };
                             let (forward, backward) = (direction((from, to)), direction((to, from)));
                             // An end or error on either side ends the connection; there is nothing to report.
-                            open.spawn_local(async move { drop(relay(near, real, forward, backward).await) });
+                            open.spawn_local(async move { drop(relay(near, target, forward, backward).await) });
                         }
                     }
                     Some(_) = open.join_next() => {}
@@ -154,13 +154,13 @@
 
 async fn relay(
     near: TcpStream,
-    real: SocketAddr,
+    target: SocketAddr,
     mut forward: Direction,
     mut backward: Direction,
 ) -> io::Result<()> {
     forward.wait_until_open().await?;
     backward.wait_until_open().await?;
-    let far = TcpStream::connect(real).await?;
+    let far = TcpStream::connect(target).await?;
     near.set_nodelay(true)?;
     far.set_nodelay(true)?;
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
