--- a/crates/standin/src/scripted/connection.rs
+++ b/crates/standin/src/scripted/connection.rs
@@ -408,7 +408,7 @@
         self.0.write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1)).await;
     }
 
-    /// Sends a list; [`Node::wait_for_list`] waits until the node has applied it.
+    /// Sends a list; [`wait_for_list`](super::Node::wait_for_list) waits until the node has applied it.
     pub async fn list(&mut self, revision: u64, complete: bool, members: &[Value]) {
         let list = json!({"revision": revision, "complete": complete, "members": members});
         self.line(&list.to_string()).await;
