--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of nodes: they place orders, wait no longer than their time, and come again only where that is harmless.
+//! HTTP clients of the nodes. They send orders, enforce a deadline and retry only where a repeated run is harmless.
 
 use crate::results::OrderOutcome;
 use bytes::Bytes;
@@ -14,51 +14,52 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Before an order is placed again where nobody said how long to wait.
-const BACK_OFF: Duration = Duration::from_millis(50);
+/// Delay per attempt before a retry when the response carries no `Retry-After`.
+const BACKOFF: Duration = Duration::from_millis(50);
 
-/// What may be done again with orders of a class.
+/// Which retries are safe for the orders of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    /// Anything: they are safe, and sent as GET.
+pub enum Idempotency {
+    /// Idempotent: sent as GET and retried after any failure.
     Safe,
-    /// They carry a key. A client that can't tell which servers remember it comes again only after a refusal.
+    /// Carries an idempotency key. A client does not know which servers remember the key, so it retries only after a
+    /// refusal.
     Keyed,
-    /// Nothing, unless refused.
+    /// Retried only after a refusal.
     Unsafe,
 }
 
-/// A class as clients see it.
+/// A class of orders as clients see it.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name, the first part of the path.
+    /// Name of the class, the first segment of the path.
     pub name: &'static str,
-    /// How far orders may be repeated.
-    pub repeat: Repeat,
-    /// How long clients wait, all tries together.
+    /// Which retries are safe.
+    pub idempotency: Idempotency,
+    /// Time limit of an order, over all attempts.
     pub deadline: Duration,
-    /// An answer within this counts in full.
+    /// A response within this time counts as in time.
     pub promise: Duration,
-    /// Its part of all orders.
+    /// Fraction of all orders that belong to this class.
     pub share: f64,
 }
 
-/// One order.
+/// An order: one logical request that may take several attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Order<'a> {
-    /// Its class.
+    /// Class of the order.
     pub class: &'a Class,
-    /// Its number, part of each try's id and its key.
+    /// Number of the order; it is part of each attempt's request id and is the idempotency key.
     pub number: u64,
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: &'a str,
     /// Expected work in seconds.
     pub work: f64,
-    /// Whether nodes are told it.
-    pub hinted: bool,
+    /// Whether the work is sent to nodes as a cost hint (`x-cost`).
+    pub sends_cost_hints: bool,
 }
 
-/// The clients' side of a set of nodes, with the connections that rest.
+/// Clients of a set of nodes, with a pool of idle connections for each node.
 pub struct Clients {
     nodes: Vec<SocketAddr>,
     slack: Duration,
@@ -67,62 +68,63 @@
 
 pub(crate) type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// What came of one try.
+/// Result of one attempt.
 enum Reply {
     Answered(StatusCode, Option<Duration>),
-    /// Nothing was sent.
+    /// The request was not sent.
     Unsent,
     Broken,
 }
 
 impl Clients {
-    /// Clients that know these nodes and listen for an answer so much longer than they say.
+    /// Creates clients of these nodes. They wait for a response until `slack` after an order's deadline.
     pub fn new(nodes: Vec<SocketAddr>, slack: Duration) -> Self {
         let idle = nodes.iter().map(|_| RefCell::default()).collect();
         Clients { nodes, slack, idle }
     }
 
-    /// Places an order, first with the node of this number (counted round), and stays with it to its end.
-    pub async fn place(&self, order: Order<'_>, first: usize) -> OrderOutcome {
-        let placed = Instant::now();
-        let due = placed + order.class.deadline;
-        let mut tries = 0;
+    /// Sends an order, first to node `first` modulo the number of nodes, and retries at the next node until it has an
+    /// outcome.
+    pub async fn send(&self, order: Order<'_>, first: usize) -> OrderOutcome {
+        let started = Instant::now();
+        let due = started + order.class.deadline;
+        let mut attempts = 0;
         loop {
-            let node = (first + tries) % self.nodes.len();
-            let request = request(order, tries, due - Instant::now());
-            tries += 1;
-            let Ok(reply) = timeout_at(due + self.slack, self.once(node, request)).await else {
+            let node = (first + attempts) % self.nodes.len();
+            let request = request(order, attempts, due - Instant::now());
+            attempts += 1;
+            let Ok(reply) = timeout_at(due + self.slack, self.attempt(node, request)).await else {
                 return OrderOutcome::Unanswered;
             };
-            let (otherwise, wait) = match reply {
-                Reply::Answered(StatusCode::OK, _) => return OrderOutcome::Served(placed.elapsed()),
+            let (outcome, wait) = match reply {
+                Reply::Answered(StatusCode::OK, _) => return OrderOutcome::Served(started.elapsed()),
                 Reply::Answered(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, wait) => {
                     (OrderOutcome::Refused, wait)
                 }
                 Reply::Unsent => (OrderOutcome::Failed, None),
-                Reply::Answered(..) | Reply::Broken if order.class.repeat == Repeat::Safe => {
+                Reply::Answered(..) | Reply::Broken if order.class.idempotency == Idempotency::Safe => {
                     (OrderOutcome::Failed, None)
                 }
                 Reply::Answered(..) | Reply::Broken => return OrderOutcome::Failed,
             };
-            let wait = wait.unwrap_or(BACK_OFF * tries as u32);
+            let wait = wait.unwrap_or(BACKOFF * attempts as u32);
             if Instant::now() + wait >= due {
-                return otherwise;
+                return outcome;
             }
             sleep(wait).await;
         }
     }
 
-    /// Whether a node says that it is ready.
+    /// Returns whether a node reports that it is ready.
     pub async fn ready(&self, node: usize) -> bool {
         let request = Request::get("/health/ready").header("host", "shop").body(Full::default());
-        let reply = self.once(node, request.expect("a fixed request is valid")).await;
+        let reply = self.attempt(node, request.expect("a fixed request is valid")).await;
         matches!(reply, Reply::Answered(StatusCode::OK, _))
     }
 
-    /// One try. A connection that was kept may have been closed in the moment of its use; what hyper hands back unsent
-    /// goes out once more on a new one.
-    async fn once(&self, node: usize, mut request: Request<Full<Bytes>>) -> Reply {
+    /// Makes one attempt. A pooled connection may be closed just as it is used: a request that hyper returns unsent is
+    /// sent once more on a new connection.
+    async fn attempt(&self, node: usize, mut request: Request<Full<Bytes>>) -> Reply {
         loop {
             let kept = self.take_idle(node);
             let fresh = kept.is_none();
@@ -134,7 +136,7 @@
                 },
             };
             match sender.try_send_request(request).await {
-                Ok(response) => return self.finish(node, sender, response).await,
+                Ok(response) => return self.read_response(node, sender, response).await,
                 Err(mut error) => match error.take_message() {
                     Some(unsent) if !fresh => request = unsent,
                     Some(_) => return Reply::Unsent,
@@ -144,7 +146,12 @@
         }
     }
 
-    async fn finish(&self, node: usize, sender: Sender, response: Response<hyper::body::Incoming>) -> Reply {
+    async fn read_response(
+        &self,
+        node: usize,
+        sender: Sender,
+        response: Response<hyper::body::Incoming>,
+    ) -> Reply {
         let status = response.status();
         let wait = response.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
         let wait = wait.filter(|w| (0.0..1e6).contains(w)).map(Duration::from_secs_f64);
@@ -169,7 +176,7 @@
     }
 }
 
-/// A new connection, driven by a task of its own.
+/// Opens a connection and drives it in a task of its own.
 pub(crate) async fn connect(to: SocketAddr) -> Result<Sender, Box<dyn Error>> {
     let stream = TcpStream::connect(to).await?;
     let _ = stream.set_nodelay(true);
@@ -178,20 +185,20 @@
     Ok(sender)
 }
 
-fn request(order: Order<'_>, tries: usize, left: Duration) -> Request<Full<Bytes>> {
+fn request(order: Order<'_>, attempts: usize, left: Duration) -> Request<Full<Bytes>> {
     let (class, number) = (order.class, order.number);
-    let method = if class.repeat == Repeat::Safe { "GET" } else { "POST" };
+    let method = if class.idempotency == Idempotency::Safe { "GET" } else { "POST" };
     let mut request = Request::builder()
         .method(method)
         .uri(format!("/{}", class.name))
         .header("host", "shop")
-        .header("x-request-id", format!("{number:x}-{tries}"))
+        .header("x-request-id", format!("{number:x}-{attempts}"))
         .header("x-tenant-id", order.tenant)
         .header("x-timeout", format!("{}u", left.as_micros().max(1)))
-        .header(if order.hinted { "x-cost" } else { "x-work" }, format!("{:.0}", order.work * 1e6));
-    if class.repeat == Repeat::Keyed {
+        .header(if order.sends_cost_hints { "x-cost" } else { "x-work" }, format!("{:.0}", order.work * 1e6));
+    if class.idempotency == Idempotency::Keyed {
         request = request.header("idempotency-key", format!("{number:x}"));
     }
-    let body = if class.repeat == Repeat::Safe { Bytes::new() } else { Bytes::from_static(b"one") };
-    request.body(Full::new(body)).expect("names and numbers are valid in a head")
+    let body = if class.idempotency == Idempotency::Safe { Bytes::new() } else { Bytes::from_static(b"one") };
+    request.body(Full::new(body)).expect("names and numbers are valid in a request head")
 }
--- a/crates/standin/src/rig/checker.rs
+++ b/crates/standin/src/rig/checker.rs
@@ -1,44 +1,44 @@
-//! Judges a [`History`] by what membership claims. It knows what the rig did and what processes wrote, and takes no process's
-//! word on another for true.
+//! Checks a [`History`] against what membership guarantees. Evidence is what the rig did and what each process logged
+//! of itself; what a process logs of another one is never taken as true.
 
-use super::history::{Did, History, Line, Nanos};
+use super::history::{History, Line, Nanos, RigAction};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Nobody is to be declared dead who was out of reach for less than this.
-const BORNE: Duration = Duration::from_secs(2);
-/// How finely spans are looked through.
-const LOOK: u64 = 50_000_000;
+/// A member must not be declared dead after being unreachable for less than this.
+const TOLERATED_OUTAGE: Duration = Duration::from_secs(2);
+/// Interval at which spans are sampled, in nanoseconds.
+const SAMPLE_INTERVAL: u64 = 50_000_000;
 
-/// One process of a history.
+/// A process of a history.
 #[derive(Clone, Debug)]
 struct Process {
     place: usize,
     name: String,
     started: Nanos,
-    /// When it went; without a word if it was killed.
+    /// When the process ended, and whether it was killed, that is without announcing that it leaves.
     ended: Option<(Nanos, bool)>,
-    /// From when to when it was stopped.
+    /// Spans in which the process was stopped.
     stopped: Vec<(Nanos, Nanos)>,
-    /// How its lives are told apart, by its own first line.
+    /// Random number that identifies this incarnation of the member, from the process's first event.
     draw: Option<u64>,
 }
 
 impl Process {
-    fn runs(&self, at: Nanos) -> bool {
+    fn is_running(&self, at: Nanos) -> bool {
         let ended = self.ended.is_some_and(|(e, _)| at >= e);
         at >= self.started && !ended && !self.stopped.iter().any(|(from, to)| (*from..*to).contains(&at))
     }
 
-    /// Runs all that time, never stopped.
-    fn runs_through(&self, from: Nanos, to: Nanos) -> bool {
+    /// Whether the process ran during the whole span, never stopped.
+    fn ran_throughout(&self, from: Nanos, to: Nanos) -> bool {
         self.started <= from
             && self.ended.is_none_or(|(e, _)| e > to)
             && !self.stopped.iter().any(|(a, b)| *a <= to && *b >= from)
     }
 }
 
-/// A history, read.
+/// A history, prepared for checks.
 pub struct Checker<'a> {
     history: &'a History,
     processes: Vec<Process>,
@@ -47,15 +47,15 @@
 }
 
 impl<'a> Checker<'a> {
-    /// Reads a history up to its end.
+    /// Prepares a history that ends at `end`.
     pub fn new(history: &'a History, end: Nanos) -> Self {
         let mut processes: Vec<Process> = Vec::new();
         let mut cuts = vec![(0, BTreeSet::new())];
         let mut starts: BTreeMap<usize, usize> = BTreeMap::new();
-        for (at, did) in &history.did {
+        for (at, action) in &history.actions {
             let last = |place: &usize, all: &mut Vec<Process>| all.iter().rposition(|p| p.place == *place);
-            match did {
-                Did::Started(place, name) => {
+            match action {
+                RigAction::Started(place, name) => {
                     let start = starts.entry(*place).or_default();
                     let own = history
                         .lines
@@ -71,22 +71,22 @@
                         draw: own.map(|l| l.number("draw")),
                     });
                 }
-                Did::Ended(place, silent) => {
+                RigAction::Ended(place, killed) => {
                     if let Some(n) = last(place, &mut processes) {
-                        processes[n].ended = Some((*at, *silent));
+                        processes[n].ended = Some((*at, *killed));
                     }
                 }
-                Did::Stopped(place) => {
+                RigAction::Stopped(place) => {
                     if let Some(n) = last(place, &mut processes) {
                         processes[n].stopped.push((*at, Nanos::MAX));
                     }
                 }
-                Did::Resumed(place) => {
+                RigAction::Resumed(place) => {
                     if let Some(n) = last(place, &mut processes) {
                         processes[n].stopped.iter_mut().for_each(|s| s.1 = s.1.min(*at));
                     }
                 }
-                Did::Cut(pairs) => cuts.push((*at, pairs.clone())),
+                RigAction::Cut(pairs) => cuts.push((*at, pairs.clone())),
             }
         }
         Checker { history, processes, cuts, end }
@@ -97,67 +97,69 @@
         &self.cuts[n].1
     }
 
-    /// Whether a question from one place and its answer can pass at that time, at once or through a third that runs.
-    fn road(&self, from: usize, to: usize, at: Nanos) -> bool {
+    /// Whether a probe and its answer can pass between two places at this time, directly or through a third process
+    /// that runs.
+    fn reachable(&self, from: usize, to: usize, at: Nanos) -> bool {
         let cut = self.cut(at);
         let passes = |a, b| !cut.contains(&(a, b));
         let both = |a, b| passes(a, b) && passes(b, a);
         let third = |p: &Process| {
-            p.place != from && p.place != to && p.runs(at) && both(from, p.place) && both(p.place, to)
+            p.place != from && p.place != to && p.is_running(at) && both(from, p.place) && both(p.place, to)
         };
         both(from, to) || self.processes.iter().any(third)
     }
 
-    /// The process that wrote a line.
+    /// The process that logged a line.
     fn writer(&self, line: &Line) -> Option<&Process> {
         self.processes.iter().filter(|p| p.place == line.place).nth(line.start)
     }
 
-    /// What a process wrote.
+    /// The lines that a process logged.
     fn lines_of<'b>(&'b self, p: &'b Process) -> impl Iterator<Item = &'b Line> + 'b {
         let here = self.processes.iter().filter(|o| o.place == p.place);
         let start = here.take_while(|o| !std::ptr::eq(*o, p)).count();
         self.history.lines.iter().filter(move |l| (l.place, l.start) == (p.place, start))
     }
 
-    /// Verdicts on members that ran and could be reached within the last 2 s.
+    /// Verdicts on members that were running and reachable at some time within the last 2 s.
     pub fn false_verdicts(&self) -> Vec<String> {
         let mut found = Vec::new();
         for line in self.history.lines.iter().filter(|l| l.kind == "verdict") {
             let (Some(by), Some(on)) =
                 (self.writer(line), self.processes.iter().find(|p| p.draw == Some(line.number("draw"))))
             else {
-                found.push(format!("a verdict on {:?}, whom the rig never started", line.text("member")));
+                found.push(format!("a verdict on {:?}, which the rig never started", line.text("member")));
                 continue;
             };
-            let reached = |at: Nanos| on.runs(at) && self.road(by.place, on.place, at);
-            let span = BORNE.as_nanos() as u64;
-            // The last moment is left out: a fault that ended just now was there.
+            let reached = |at: Nanos| on.is_running(at) && self.reachable(by.place, on.place, at);
+            let span = TOLERATED_OUTAGE.as_nanos() as u64;
+            // The last 200 ms before the verdict are not sampled, since a fault may have ended just then.
             let mut at = line.at.saturating_sub(span);
-            while at + 4 * LOOK < line.at {
+            while at + 4 * SAMPLE_INTERVAL < line.at {
                 if reached(at) {
                     let ms = (line.at - at) / 1_000_000;
                     found.push(format!(
-                        "n{} declared {} at place {} dead, which ran and had a road to it {ms} ms before",
+                        "n{} declared {} at place {} dead, which was running and reachable {ms} ms before",
                         by.place, on.name, on.place
                     ));
                     break;
                 }
-                at += LOOK;
+                at += SAMPLE_INTERVAL;
             }
         }
         found
     }
 
-    /// Deaths without a word that some did not know of within the bound, though they ran all the while and nothing was cut.
-    pub fn unnoticed(&self, bound: Duration) -> Vec<String> {
+    /// Deaths by kill that some process did not learn of within the bound, although it ran all the time and no link was
+    /// cut.
+    pub fn missed_deaths(&self, bound: Duration) -> Vec<String> {
         let mut found = Vec::new();
         for (dead, killed, until, by, took) in self.deaths() {
             match took {
                 Some(took) if took <= bound => {}
                 _ if until < killed + bound.as_nanos() as u64 => {}
                 took => found.push(format!(
-                    "n{by} learnt of {}'s death after {took:?}, not within {bound:?}",
+                    "n{by} learned of {}'s death after {took:?}, not within {bound:?}",
                     self.processes[dead].name
                 )),
             }
@@ -165,26 +167,27 @@
         found
     }
 
-    /// Times from each death to each survivor's knowledge of it.
+    /// Time from each death until each survivor knew of it.
     pub fn detections(&self) -> Vec<Duration> {
         self.deaths().into_iter().filter_map(|d| d.4).collect()
     }
 
-    /// Each death, with each that ran from then on for 30 s, to the end or to the next start under that name, and how long it
-    /// took to know.
+    /// Each death by kill, paired with each process that ran for the next 30 s, or to the end or the next start under
+    /// the dead member's name, and how long that process took to learn of it.
     fn deaths(&self) -> Vec<(usize, Nanos, Nanos, usize, Option<Duration>)> {
         let mut all = Vec::new();
         for (n, dead) in self.processes.iter().enumerate() {
             let Some((killed, true)) = dead.ended else { continue };
-            let again = self.processes.iter().filter(|p| p.name == dead.name && p.started >= killed);
-            let again = again.map(|p| p.started).min().unwrap_or(self.end);
-            let until = (killed + 30_000_000_000).min(self.end).min(again);
+            let restart = self.processes.iter().filter(|p| p.name == dead.name && p.started >= killed);
+            let restart = restart.map(|p| p.started).min().unwrap_or(self.end);
+            let until = (killed + 30_000_000_000).min(self.end).min(restart);
             let cut =
                 self.cuts.iter().any(|c| !c.1.is_empty() && c.0 <= until) && !self.cut(killed).is_empty();
             if cut {
                 continue;
             }
-            for by in self.processes.iter().filter(|p| p.place != dead.place && p.runs_through(killed, until))
+            for by in
+                self.processes.iter().filter(|p| p.place != dead.place && p.ran_throughout(killed, until))
             {
                 let knows = |l: &&Line| {
                     let of = (killed..until).contains(&l.at) && matches!(l.kind.as_str(), "verdict" | "dead");
@@ -197,14 +200,15 @@
         all
     }
 
-    /// Whether every process that runs holds just the others that run, by its own lines; else who holds what.
+    /// Running processes whose logged view differs from the set of running processes, one text per difference. Empty if
+    /// all agree.
     pub fn disagreements(&self) -> Vec<String> {
         let yielded = |p: &Process| self.lines_of(p).any(|l| l.kind == "yielded");
         let running: Vec<&Process> =
-            self.processes.iter().filter(|p| p.runs(self.end) && !yielded(p)).collect();
+            self.processes.iter().filter(|p| p.is_running(self.end) && !yielded(p)).collect();
         let mut found = Vec::new();
         for p in &running {
-            let mut held: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
+            let mut view: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
             for l in self.lines_of(p) {
                 let state = match l.kind.as_str() {
                     "joined" | "returned" | "cleared" => "alive",
@@ -213,15 +217,15 @@
                     "left" => "left",
                     _ => continue,
                 };
-                held.insert(l.text("member"), (state, l.number("draw")));
+                view.insert(l.text("member"), (state, l.number("draw")));
             }
             for other in running.iter().filter(|o| o.name != p.name) {
-                match held.get(other.name.as_str()) {
+                match view.get(other.name.as_str()) {
                     Some(("alive", draw)) if Some(*draw) == other.draw => {}
-                    held => found.push(format!("n{} holds {}, which runs, as {held:?}", p.place, other.name)),
+                    view => found.push(format!("n{} holds {}, which runs, as {view:?}", p.place, other.name)),
                 }
             }
-            for (name, (state, _)) in held {
+            for (name, (state, _)) in view {
                 if matches!(state, "alive" | "suspect") && !running.iter().any(|o| o.name == name) {
                     found.push(format!("n{} holds {name}, which is gone, as {state}", p.place));
                 }
@@ -230,13 +234,13 @@
         found
     }
 
-    /// Lines of this kind that processes at that place wrote.
-    pub fn wrote(&self, place: usize, kind: &str) -> usize {
+    /// Number of events of this kind that processes at a place logged.
+    pub fn count_events(&self, place: usize, kind: &str) -> usize {
         self.history.lines.iter().filter(|l| l.place == place && l.kind == kind).count()
     }
 
-    /// Lines in which a process went back behind an incarnation that it had told.
-    pub fn incarnations_back(&self) -> Vec<String> {
+    /// Events in which a process announced a lower incarnation than before.
+    pub fn incarnation_regressions(&self) -> Vec<String> {
         let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
         let mut found = Vec::new();
         for l in self.history.lines.iter().filter(|l| matches!(l.kind.as_str(), "refuted" | "held_up")) {
@@ -249,8 +253,8 @@
         found
     }
 
-    /// Most verdicts that one process reached on one member.
-    pub fn most_verdicts(&self) -> usize {
+    /// The most verdicts that one process reached on one member.
+    pub fn max_verdicts_per_member(&self) -> usize {
         let mut counts: BTreeMap<(usize, &str), usize> = BTreeMap::new();
         for l in self.history.lines.iter().filter(|l| l.kind == "verdict") {
             *counts.entry((l.place, l.text("member"))).or_default() += 1;
@@ -258,10 +262,10 @@
         counts.into_values().max().unwrap_or(0)
     }
 
-    /// How unevenly the places of those that run lie on the ring: the widest gap between neighbours over the mean. None: a
-    /// process has no place yet.
-    pub fn unevenness(&self) -> Option<f64> {
-        let running = self.processes.iter().filter(|p| p.runs(self.end));
+    /// How unevenly the running processes are placed on the ring: the widest gap between neighbours relative to the
+    /// mean gap. None if a process has not logged its position.
+    pub fn ring_unevenness(&self) -> Option<f64> {
+        let running = self.processes.iter().filter(|p| p.is_running(self.end));
         let last =
             |p: &Process| self.lines_of(p).filter(|l| l.kind == "place").last()?.fields.get("at")?.as_f64();
         let mut places = running.map(last).collect::<Option<Vec<f64>>>()?;
@@ -294,7 +298,7 @@
     fn quiet() -> History {
         let mut h = History::default();
         for n in 0..4 {
-            h.did.push((S, Did::Started(n, format!("n{n}"))));
+            h.actions.push((S, RigAction::Started(n, format!("n{n}"))));
             h.lines.push(line(S, n, "listening", &[("draw", n as u64 + 1)]));
             let others = (0..4).filter(|o| *o != n);
             others.for_each(|o| h.lines.push(line(2 * S, n, "joined", &[("draw", o as u64 + 1)])));
@@ -303,24 +307,24 @@
     }
 
     #[test]
-    fn a_quiet_history_is_sound() {
+    fn a_history_without_faults_has_no_violations() {
         let h = quiet();
         let c = Checker::new(&h, 60 * S);
-        assert!(c.false_verdicts().is_empty() && c.unnoticed(Duration::ZERO).is_empty());
+        assert!(c.false_verdicts().is_empty() && c.missed_deaths(Duration::ZERO).is_empty());
         assert_eq!(c.disagreements(), Vec::<String>::new());
     }
 
     #[test]
-    fn a_verdict_on_the_living_is_found_and_one_on_the_dead_is_none() {
+    fn a_verdict_is_false_unless_its_member_has_been_dead_for_long_enough() {
         let mut h = quiet();
         h.lines.push(line(20 * S, 0, "verdict", &[("draw", 2)]));
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 1);
-        h.did.push((17 * S, Did::Ended(1, true)));
+        h.actions.push((17 * S, RigAction::Ended(1, true)));
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 0);
-        // Dead for half a second only.
-        h.did[4].0 = 19 * S + S / 2;
+        // Dead for only half a second.
+        h.actions[4].0 = 19 * S + S / 2;
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 1);
-        // Of nobody.
+        // On a member that never existed.
         h.lines.push(line(20 * S, 0, "verdict", &[("draw", 9)]));
         assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), 2);
     }
@@ -329,66 +333,66 @@
     fn a_pause_excuses_a_verdict_only_while_it_lasts_and_for_long_enough() {
         for (from, to, found) in [(16, 21, 0), (19, 21, 1), (10, 15, 1)] {
             let mut h = quiet();
-            h.did.push((from * S, Did::Stopped(1)));
-            h.did.push((to * S, Did::Resumed(1)));
+            h.actions.push((from * S, RigAction::Stopped(1)));
+            h.actions.push((to * S, RigAction::Resumed(1)));
             h.lines.push(line(20 * S, 0, "verdict", &[("draw", 2)]));
             assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), found, "{from} to {to}");
         }
     }
 
     #[test]
-    fn a_cut_excuses_a_verdict_only_without_a_road_through_a_third() {
+    fn a_cut_excuses_a_verdict_only_without_an_indirect_path() {
         let one = BTreeSet::from([(1, 0)]);
         let all: BTreeSet<_> = [0, 2, 3].into_iter().map(|to| (1, to)).collect();
         for (cut, found) in [(one, 1), (all, 0)] {
             let mut h = quiet();
-            h.did.push((10 * S, Did::Cut(cut)));
+            h.actions.push((10 * S, RigAction::Cut(cut)));
             h.lines.push(line(20 * S, 0, "verdict", &[("draw", 2)]));
             assert_eq!(Checker::new(&h, 60 * S).false_verdicts().len(), found);
         }
     }
 
     #[test]
-    fn a_death_that_one_does_not_hear_of_is_found() {
+    fn a_death_that_one_process_misses_is_reported() {
         let mut h = quiet();
-        h.did.push((10 * S, Did::Ended(3, true)));
+        h.actions.push((10 * S, RigAction::Ended(3, true)));
         h.lines.push(line(14 * S, 0, "verdict", &[("draw", 4)]));
         h.lines.push(line(15 * S, 1, "dead", &[("draw", 4)]));
-        let missing = Checker::new(&h, 60 * S).unnoticed(Duration::from_secs(10));
+        let missing = Checker::new(&h, 60 * S).missed_deaths(Duration::from_secs(10));
         assert!(missing.len() == 1 && missing[0].contains("n2 "), "{missing:?}");
-        assert_eq!(Checker::new(&h, 60 * S).unnoticed(Duration::from_millis(4500)).len(), 2);
-        assert_eq!(Checker::new(&h, 60 * S).disagreements().len(), 1, "n2 holds it still");
+        assert_eq!(Checker::new(&h, 60 * S).missed_deaths(Duration::from_millis(4500)).len(), 2);
+        assert_eq!(Checker::new(&h, 60 * S).disagreements().len(), 1, "n2 still lists it");
         h.lines.push(line(16 * S, 2, "dead", &[("draw", 4)]));
         let c = Checker::new(&h, 60 * S);
-        assert!(c.unnoticed(Duration::from_secs(10)).is_empty() && c.disagreements().is_empty());
+        assert!(c.missed_deaths(Duration::from_secs(10)).is_empty() && c.disagreements().is_empty());
     }
 
     #[test]
-    fn a_view_of_an_earlier_life_and_an_incarnation_that_goes_back_are_found() {
+    fn stale_incarnations_and_incarnation_regressions_are_reported() {
         let mut h = quiet();
         h.lines.push(line(5 * S, 1, "refuted", &[("incarnation", 4)]));
         h.lines.push(line(6 * S, 1, "refuted", &[("incarnation", 3)]));
-        assert_eq!(Checker::new(&h, 60 * S).incarnations_back().len(), 1);
-        h.did.push((10 * S, Did::Ended(3, true)));
-        h.did.push((11 * S, Did::Started(3, "n3".to_owned())));
-        let mut again = line(11 * S, 3, "listening", &[("draw", 77)]);
-        again.start = 1;
-        h.lines.push(again);
+        assert_eq!(Checker::new(&h, 60 * S).incarnation_regressions().len(), 1);
+        h.actions.push((10 * S, RigAction::Ended(3, true)));
+        h.actions.push((11 * S, RigAction::Started(3, "n3".to_owned())));
+        let mut restart = line(11 * S, 3, "listening", &[("draw", 77)]);
+        restart.start = 1;
+        h.lines.push(restart);
         let found = Checker::new(&h, 60 * S).disagreements();
         assert_eq!(found.iter().filter(|w| w.contains("holds n3")).count(), 3, "{found:?}");
     }
 
     #[test]
-    fn places_beside_each_other_are_uneven() {
+    fn adjacent_ring_positions_are_uneven() {
         let mut h = quiet();
-        assert_eq!(Checker::new(&h, 60 * S).unevenness(), None, "nobody told a place");
+        assert_eq!(Checker::new(&h, 60 * S).ring_unevenness(), None, "no position was logged");
         for (n, at) in [0.0, 0.25, 0.5, 0.75].into_iter().enumerate() {
             let mut l = line(3 * S, n, "place", &[]);
             l.fields.insert("at".to_owned(), at.into());
             h.lines.push(l);
         }
-        assert_eq!(Checker::new(&h, 60 * S).unevenness(), Some(1.0));
+        assert_eq!(Checker::new(&h, 60 * S).ring_unevenness(), Some(1.0));
         h.lines.last_mut().expect("four").fields.insert("at".to_owned(), 0.5.into());
-        assert_eq!(Checker::new(&h, 60 * S).unevenness(), Some(2.0));
+        assert_eq!(Checker::new(&h, 60 * S).ring_unevenness(), Some(2.0));
     }
 }
--- a/crates/standin/src/rig/wallet.rs
+++ b/crates/standin/src/rig/wallet.rs
@@ -1,4 +1,5 @@
-//! A prepaid account on the rig: nodes under load, top-ups by operators' calls, and what the servers' own books come to at its prices.
+//! Prepaid accounts on the rig: nodes under load, top-ups through operators' calls, and a comparison of the ledger with
+//! the price of what servers received.
 
 use super::cases::CaseError;
 use super::load::{Load, NodeLoad, RequestOutcome, RequestSpec};
@@ -16,37 +17,37 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The prepaid tenant; another one is not.
+/// Tenant with a prepaid account.
 pub const ACCOUNT: &str = "one";
-/// What a request of each class costs.
+/// Price of a request of each class.
 pub const PRICES: [(&str, u64); 3] = [("safe", 1), ("keyed", 2), ("unsafe", 5)];
-/// Nodes that keep the ledger.
+/// Nodes that store the ledger.
 pub const LEDGER: [&str; 3] = ["n0", "n1", "n2"];
-/// For an operator's call.
-const CALL: Duration = Duration::from_secs(6);
+/// Time limit of an operator's call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What is to be played.
+/// A wallet case.
 #[derive(Clone, Debug)]
 pub struct Case<'a> {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Safeguards to go without.
+    /// Safeguards to disable.
     pub without: &'a [&'a str],
-    /// Further lines of `[ledger]`.
+    /// Further lines of the `[ledger]` table.
     pub ledger: &'a str,
-    /// Units that may be spent beyond what was prepaid.
+    /// Units that may be spent beyond the prepaid balance.
     pub overdraft: u64,
-    /// Thousandths of answers that are errors.
+    /// Thousandths of requests that servers answer with an error.
     pub error_permille: u32,
-    /// For how long servers work on a request.
+    /// Processing time of a request at a server.
     pub service_time: Duration,
     /// Further tables of the operator's file.
-    pub more: &'a str,
-    /// The seed.
+    pub extra_tables: &'a str,
+    /// Random seed.
     pub seed: u64,
 }
 
-/// Twelve nodes, nothing wrong.
+/// Twelve nodes without faults.
 pub const BASELINE: Case<'static> = Case {
     nodes: 12,
     without: &[],
@@ -54,52 +55,52 @@
     overdraft: 0,
     error_permille: 0,
     service_time: Duration::from_millis(20),
-    more: "",
+    extra_tables: "",
     seed: 1,
 };
 
-/// What the ledger says of the account.
+/// State of the account as the ledger reports it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shown {
-    /// All paid in.
+    /// Total of all top-ups.
     pub topped: i64,
-    /// Not held by any part.
+    /// Units not held by any part.
     pub balance: i64,
-    /// Held by parts.
+    /// Units held by parts.
     pub outstanding: i64,
-    /// Debited.
+    /// Units debited.
     pub spent: i64,
-    /// Held by parts of processes that are gone.
+    /// Units in doubt: held by parts of processes that are gone.
     pub doubt: i64,
-    /// Debited a second time for a key, and given back.
+    /// Units debited a second time for the same key, and given back.
     pub twice: i64,
     /// `open`, `low`, `paused` or `frozen`.
     pub state: String,
 }
 
-/// See the module's words.
+/// A rig with a prepaid account, its servers and the load on its nodes.
 pub struct WalletRig {
-    /// The processes.
+    /// The nodes.
     pub rig: Rig,
     /// The servers.
     pub site: Site,
     load: Option<Load>,
-    knobs: Vec<Rc<Cell<f64>>>,
+    node_rates: Vec<Rc<Cell<f64>>>,
     paid: BTreeMap<String, u64>,
 }
 
 impl WalletRig {
-    /// Starts all of it; nobody asks for anything yet.
+    /// Starts the nodes and servers, without load, and waits until a node keeps the wallet.
     pub async fn open(case: &Case<'_>, binary: PathBuf) -> Result<WalletRig, CaseError> {
         let mut script = Script::parse("0s wire lose 0", 0, case.nodes)?;
         script.seed = case.seed;
-        let habits = ServerBehavior {
+        let behavior = ServerBehavior {
             service_time: case.service_time,
             error_permille: case.error_permille,
             slow_permille: 0,
             reported_load: 0.5,
         };
-        let site = Site::start(5, habits).await.map_err(super::io("a server"))?;
+        let site = Site::start(5, behavior).await.map_err(super::io("a server"))?;
         let prices: Vec<String> = PRICES.iter().map(|(class, price)| format!("{class} = {price}")).collect();
         let operator = format!(
             "[ledger]\nnodes = {}\nfolder = \"{{folder}}\"\nrenew = \"200ms\"\nttl = \"2s\"\n{}\n\
@@ -111,7 +112,7 @@
             },
             prices.join(", "),
             case.overdraft
-        ) + case.more;
+        ) + case.extra_tables;
         let plan = Plan {
             lease: Some(LeasePlan::new(3)),
             mesh: true,
@@ -123,12 +124,12 @@
         };
         let rig = Rig::start(plan).await?;
         rig.wait_for_agreement(Duration::from_secs(60)).await?;
-        let kept = |h: &super::history::History| h.lines.iter().any(|l| l.kind == "wallet_kept");
-        rig.wait_until("a keeper", Duration::from_secs(30), kept, |_| "none".into()).await?;
-        Ok(WalletRig { rig, site, load: None, knobs: Vec::new(), paid: BTreeMap::new() })
+        let has_keeper = |h: &super::history::History| h.lines.iter().any(|l| l.kind == "wallet_kept");
+        rig.wait_until("a keeper", Duration::from_secs(30), has_keeper, |_| "none".into()).await?;
+        Ok(WalletRig { rig, site, load: None, node_rates: Vec::new(), paid: BTreeMap::new() })
     }
 
-    /// From now on each node gets so many requests a second, of these classes in turn.
+    /// Starts requests of the account's tenant at each node, with these classes in rotation.
     pub fn load(&mut self, per_s: f64, classes: &[&str]) {
         let order = |class: &&str| RequestSpec {
             class: (*class).into(),
@@ -140,22 +141,22 @@
         self.start_load(per_s, &orders);
     }
 
-    /// The same of these orders.
+    /// Starts requests at each node, with these templates in rotation.
     pub fn start_load(&mut self, per_s: f64, orders: &[RequestSpec]) {
         let nodes = self.rig.client_addresses().borrow().len();
         let rates: Vec<NodeLoad> = (0..nodes)
             .map(|_| NodeLoad { per_s: Rc::new(Cell::new(per_s)), requests: orders.to_vec() })
             .collect();
-        self.knobs = rates.iter().map(|r| r.per_s.clone()).collect();
+        self.node_rates = rates.iter().map(|r| r.per_s.clone()).collect();
         self.load = Some(Load::start(rates, self.rig.client_addresses()));
     }
 
-    /// A node gets so many from now on.
+    /// Changes the request rate at a node.
     pub fn set_rate(&self, node: usize, per_s: f64) {
-        self.knobs[node].set(per_s);
+        self.node_rates[node].set(per_s);
     }
 
-    /// Nobody asks for anything any more. How all requests ended.
+    /// Stops the load and returns the outcomes of all requests.
     pub async fn stop_load(&mut self) -> Vec<RequestOutcome> {
         match self.load.take() {
             Some(load) => load.stop().await,
@@ -163,25 +164,25 @@
         }
     }
 
-    /// How requests ended so far.
+    /// Outcomes of requests so far.
     pub fn outcomes(&self) -> Vec<RequestOutcome> {
         self.load.as_ref().map(Load::outcomes).unwrap_or_default()
     }
 
-    /// An operator's call at a node; none: there was no answer.
+    /// Makes an operator's call at a node. None if there is no answer in time.
     pub async fn call(&self, node: usize, line: &str) -> Option<String> {
-        let desk: SocketAddr = self.rig.ops_address(node)?;
+        let address: SocketAddr = self.rig.ops_address(node)?;
         let exchange = async {
-            let mut stream = TcpStream::connect(desk).await.ok()?;
+            let mut stream = TcpStream::connect(address).await.ok()?;
             stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer).await.ok()?;
             Some(answer)
         };
-        timeout(CALL, exchange).await.ok().flatten()
+        timeout(CALL_TIMEOUT, exchange).await.ok().flatten()
     }
 
-    /// Pays, at one of these nodes after the other until one says that it was taken.
+    /// Tops the account up, trying these nodes in rotation until one confirms.
     pub async fn top_up(&mut self, nodes: &[usize], id: &str, units: u64) {
         self.paid.insert(id.to_owned(), units);
         let began = Instant::now();
@@ -194,15 +195,15 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        panic!("a payment was never taken");
+        panic!("the top-up was never confirmed");
     }
 
-    /// All that was ever paid.
+    /// Total of all top-ups that were requested.
     pub fn total_topped_up(&self) -> u64 {
         self.paid.values().sum()
     }
 
-    /// What the ledger says, by any of the nodes that answers.
+    /// State of the account, from the first node that answers.
     pub async fn shown(&self) -> Shown {
         let began = Instant::now();
         while began.elapsed() < Duration::from_secs(60) {
@@ -225,39 +226,42 @@
             }
             sleep(Duration::from_millis(100)).await;
         }
-        panic!("the wallet was never shown");
+        panic!("no node reported the account");
     }
 
-    /// Waits until the ledger shows that.
-    pub async fn wait_until(&self, what: &str, holds: impl Fn(&Shown) -> bool) -> Shown {
+    /// Waits until a condition on the account holds.
+    pub async fn wait_until(&self, what: &str, condition: impl Fn(&Shown) -> bool) -> Shown {
         let began = Instant::now();
         loop {
             let shown = self.shown().await;
-            if holds(&shown) {
+            if condition(&shown) {
                 return shown;
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "{what} did not come: {shown:?}");
+            assert!(began.elapsed() < Duration::from_secs(60), "timed out waiting for {what}: {shown:?}");
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// What requests that reached servers cost: each once, and those of one key once.
+    /// Price of the requests that reached servers, counting each request id or key once.
     pub fn cost_at_servers(&self) -> u64 {
-        let seen = self.site.received();
-        let own = seen.iter().filter(|s| s.tenant == ACCOUNT);
+        let received = self.site.received();
+        let prepaid = received.iter().filter(|s| s.tenant == ACCOUNT);
         let price = |s: &ReceivedRequest| PRICES.iter().find(|p| p.0 == s.class).map_or(0, |p| p.1);
         let name =
             |s: &ReceivedRequest| if s.key.is_empty() { s.id.clone() } else { format!("key {}", s.key) };
-        let each: BTreeMap<String, u64> = own.map(|s| (name(s), price(s))).collect();
+        let each: BTreeMap<String, u64> = prepaid.map(|s| (name(s), price(s))).collect();
         each.values().sum()
     }
 
-    /// What does not hold now: at any moment, then once all is quiet and settled.
+    /// What does not hold: the spending bound at any time, and also the account's balance equations if the load has
+    /// stopped and settled (`quiet`).
     pub async fn violations(&self, case: &Case<'_>, quiet: bool) -> Vec<String> {
         let (at_servers, most) = (self.cost_at_servers(), self.total_topped_up() + case.overdraft);
         let mut violations = Vec::new();
         if at_servers > most {
-            violations.push(format!("{at_servers} spent at servers where {most} may be"));
+            violations.push(format!(
+                "requests for {at_servers} units reached servers, at most {most} may be spent"
+            ));
         }
         if !quiet {
             return violations;
@@ -269,17 +273,17 @@
         }
         if shown.topped != self.total_topped_up() as i64 {
             violations.push(format!(
-                "{} was paid in and {} is topped up",
+                "{} units were topped up, and the ledger has {}",
                 self.total_topped_up(),
                 shown.topped
             ));
         }
         let at_servers = at_servers as i64;
         if shown.spent > at_servers {
-            violations.push(format!("{} is debited where servers saw {at_servers}", shown.spent));
+            violations.push(format!("{} units are debited, and servers received {at_servers}", shown.spent));
         }
         if shown.spent + shown.doubt + shown.outstanding < at_servers {
-            violations.push(format!("servers saw {at_servers}, and the ledger has {shown:?}"));
+            violations.push(format!("servers received {at_servers} units, and the ledger has {shown:?}"));
         }
         violations
     }
--- a/crates/standin/src/script/nodes.rs
+++ b/crates/standin/src/script/nodes.rs
@@ -1,88 +1,88 @@
-//! Faults of many processes and of the wire between them, for the [rig](crate::rig).
+//! Faults of many processes and of the network between them, for the [rig](crate::rig).
 
-use super::{duration, Written};
+use super::{duration, FormattedDuration};
 use std::fmt;
 use std::time::Duration;
 
-/// Some of the nodes.
+/// Nodes as a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Nodes {
-    /// From the first to the last, both included: `n2`, `n2-n5`.
+    /// A range, both ends included: `n2`, `n2-n5`.
     Range(usize, usize),
-    /// Each of them: `nodes`.
+    /// All nodes: `nodes`.
     All,
-    /// So many thousandths of them, by chance: `nodes:0.7`.
+    /// A random subset of this many thousandths: `nodes:0.7`.
     Part(u32),
-    /// Those of one zone, counted from 0: `zone:1`.
+    /// The nodes of one zone, counted from 0: `zone:1`.
     Zone(usize),
 }
 
-/// Whom a node speaks with that is no node, over connections.
+/// External endpoints that nodes are connected to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Far {
+pub enum External {
     /// All servers: `servers`.
     Servers,
     /// The registry: `discovery`.
     Discovery,
-    /// Whoever asks: `clients`.
+    /// All clients: `clients`.
     Clients,
 }
 
-/// An end of a way on the wire.
+/// An endpoint of a network path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Endpoint {
     /// Nodes.
     Nodes(Nodes),
-    /// No nodes.
-    Far(Far),
+    /// An external endpoint.
+    External(External),
 }
 
-/// What may befall a node's process on the rig.
+/// Faults of a node's process on the rig.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NodesFault {
-    /// SIGKILL, and nothing after it.
+pub enum ProcessFault {
+    /// SIGKILL without a restart.
     Die,
-    /// SIGTERM.
+    /// SIGTERM without a restart.
     End,
-    /// A process under the same name and address, in place of one that is gone.
+    /// Starts a process under the same name and address if none runs.
     Start,
-    /// SIGSTOP, and SIGCONT after so long.
+    /// SIGSTOP, and SIGCONT after a time.
     Pause(Duration),
-    /// Stopped for so much of each second, for so long.
+    /// Stopped for the first duration in each second, over the second duration.
     Stutter(Duration, Duration),
-    /// A second process under the same name, at an address of its own.
+    /// Starts a second process under the same name, at another address.
     Twin,
 }
 
-/// What the wire does from now on. Parts are thousandths.
+/// Faults of the network, in effect from now on. Probabilities are in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireFault {
-    /// Nothing passes from the first to the second: datagrams are lost, what connections carry waits.
-    Cut(End, End),
-    /// Nothing passes between them.
-    Split(End, End),
-    /// All that was cut passes again.
+    /// Nothing passes from the first to the second: datagrams are lost, data on connections waits.
+    Cut(Endpoint, Endpoint),
+    /// Nothing passes in either direction.
+    Split(Endpoint, Endpoint),
+    /// Removes all cuts.
     Heal,
-    /// So many are lost.
+    /// Probability that a datagram is lost; on connections, that data is delayed.
     Lose(u32),
-    /// So many come twice.
+    /// Probability that a datagram is duplicated.
     Double(u32),
-    /// In so many a bit is changed.
+    /// Probability that a bit is flipped.
     Spoil(u32),
-    /// So many are cut short.
+    /// Probability that a datagram is truncated.
     Shorten(u32),
-    /// Each is held back by a time up to this, drawn anew for each.
+    /// Upper bound of a random delay, drawn for each datagram.
     Delay(Duration),
 }
 
-pub(super) fn nodes(text: &str, most: usize) -> Result<Nodes, String> {
+pub(super) fn target(text: &str, most: usize) -> Result<Nodes, String> {
     let number = |text: &str| {
         let n = text.strip_prefix('n').and_then(|n| n.parse::<usize>().ok());
         n.filter(|n| *n < most)
-            .ok_or_else(|| format!("{text:?} is none of the nodes n0 to n{}", most.max(1) - 1))
+            .ok_or_else(|| format!("{text:?} is not one of the nodes n0 to n{}", most.max(1) - 1))
     };
     if let Some(zone) = text.strip_prefix("zone:") {
-        return zone.parse().map(Nodes::Zone).map_err(|_| format!("{zone:?} is no number of a zone"));
+        return zone.parse().map(Nodes::Zone).map_err(|_| format!("{zone:?} is not a zone number"));
     }
     match (text, text.strip_prefix("nodes:"), text.split_once('-')) {
         ("nodes", ..) => Ok(Nodes::All),
@@ -90,7 +90,7 @@
         (_, _, Some((first, last))) => {
             let (first, last) = (number(first)?, number(last)?);
             if first > last {
-                return Err(format!("{text} runs backwards"));
+                return Err(format!("{text} is not an ascending range"));
             }
             Ok(Nodes::Range(first, last))
         }
@@ -98,42 +98,42 @@
     }
 }
 
-fn ends(one: &str, other: &str, most: usize) -> Result<(End, End), String> {
+fn endpoints(one: &str, other: &str, most: usize) -> Result<(Endpoint, Endpoint), String> {
     let end = |text: &str| match text {
-        "servers" => Ok(End::Far(Far::Servers)),
-        "discovery" => Ok(End::Far(Far::Discovery)),
-        "clients" => Ok(End::Far(Far::Clients)),
-        _ => nodes(text, most).map(End::Nodes),
+        "servers" => Ok(Endpoint::External(External::Servers)),
+        "discovery" => Ok(Endpoint::External(External::Discovery)),
+        "clients" => Ok(Endpoint::External(External::Clients)),
+        _ => target(text, most).map(Endpoint::Nodes),
     };
     match (end(one)?, end(other)?) {
-        (End::Far(_), End::Far(_)) => Err(format!("between {one} and {other} is no node")),
+        (Endpoint::External(_), Endpoint::External(_)) => Err(format!("{one}, {other}: one must be a node")),
         ends => Ok(ends),
     }
 }
 
 fn part(text: &str) -> Result<u32, String> {
     let thousandths = text.parse::<f64>().ok().map(|p| (p * 1e3).round()).filter(|p| (0.0..=1e3).contains(p));
-    thousandths.map(|p| p as u32).ok_or_else(|| format!("{text:?} is no part from 0 to 1"))
+    thousandths.map(|p| p as u32).ok_or_else(|| format!("{text:?} is not a fraction from 0 to 1"))
 }
 
-pub(super) fn fault(words: &[&str]) -> Option<Result<NodesFault, String>> {
+pub(super) fn process_fault(words: &[&str]) -> Option<Result<ProcessFault, String>> {
     Some(match words {
-        ["die"] => Ok(NodesFault::Die),
-        ["end"] => Ok(NodesFault::End),
-        ["start"] => Ok(NodesFault::Start),
-        ["twin"] => Ok(NodesFault::Twin),
-        ["pause", length] => duration(length).map(NodesFault::Pause),
+        ["die"] => Ok(ProcessFault::Die),
+        ["end"] => Ok(ProcessFault::End),
+        ["start"] => Ok(ProcessFault::Start),
+        ["twin"] => Ok(ProcessFault::Twin),
+        ["pause", length] => duration(length).map(ProcessFault::Pause),
         ["stutter", stopped, "for", length] => {
-            duration(stopped).and_then(|s| Ok(NodesFault::Stutter(s, duration(length)?)))
+            duration(stopped).and_then(|s| Ok(ProcessFault::Stutter(s, duration(length)?)))
         }
         _ => return None,
     })
 }
 
-pub(super) fn wire(words: &[&str], most: usize) -> Result<WireFault, String> {
+pub(super) fn wire_fault(words: &[&str], most: usize) -> Result<WireFault, String> {
     match words {
-        ["cut", from, to] => ends(from, to, most).map(|(from, to)| WireFault::Cut(from, to)),
-        ["split", one, other] => ends(one, other, most).map(|(one, other)| WireFault::Split(one, other)),
+        ["cut", from, to] => endpoints(from, to, most).map(|(from, to)| WireFault::Cut(from, to)),
+        ["split", one, other] => endpoints(one, other, most).map(|(one, other)| WireFault::Split(one, other)),
         ["heal"] => Ok(WireFault::Heal),
         ["lose", of] => part(of).map(WireFault::Lose),
         ["double", of] => part(of).map(WireFault::Double),
@@ -141,10 +141,10 @@
         ["shorten", of] => part(of).map(WireFault::Shorten),
         ["delay", most] => duration(most).map(WireFault::Delay),
         _ => {
-            let wanted =
+            let expected =
                 "`cut END END`, `split END END` (nodes, `servers`, `discovery` or `clients`), `heal`, `lose PART`, `double PART`, `spoil PART`, \
                           `shorten PART` or `delay TIME`";
-            Err(format!("{:?} befalls no wire: wanted {wanted}", words.join(" ")))
+            Err(format!("{:?} is not a fault of the wire: expected {expected}", words.join(" ")))
         }
     }
 }
@@ -169,27 +169,27 @@
     }
 }
 
-impl fmt::Display for End {
+impl fmt::Display for Endpoint {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            End::Nodes(nodes) => nodes.fmt(f),
-            End::Far(Far::Servers) => f.write_str("servers"),
-            End::Far(Far::Discovery) => f.write_str("discovery"),
-            End::Far(Far::Clients) => f.write_str("clients"),
+            Endpoint::Nodes(nodes) => nodes.fmt(f),
+            Endpoint::External(External::Servers) => f.write_str("servers"),
+            Endpoint::External(External::Discovery) => f.write_str("discovery"),
+            Endpoint::External(External::Clients) => f.write_str("clients"),
         }
     }
 }
 
-impl fmt::Display for NodesFault {
+impl fmt::Display for ProcessFault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            NodesFault::Die => f.write_str("die"),
-            NodesFault::End => f.write_str("end"),
-            NodesFault::Start => f.write_str("start"),
-            NodesFault::Twin => f.write_str("twin"),
-            NodesFault::Pause(length) => write!(f, "pause {}", Written(*length)),
-            NodesFault::Stutter(stopped, length) => {
-                write!(f, "stutter {} for {}", Written(*stopped), Written(*length))
+            ProcessFault::Die => f.write_str("die"),
+            ProcessFault::End => f.write_str("end"),
+            ProcessFault::Start => f.write_str("start"),
+            ProcessFault::Twin => f.write_str("twin"),
+            ProcessFault::Pause(length) => write!(f, "pause {}", FormattedDuration(*length)),
+            ProcessFault::Stutter(stopped, length) => {
+                write!(f, "stutter {} for {}", FormattedDuration(*stopped), FormattedDuration(*length))
             }
         }
     }
@@ -205,7 +205,7 @@
             WireFault::Double(part) => write!(f, "double {}", Thousandths(*part)),
             WireFault::Spoil(part) => write!(f, "spoil {}", Thousandths(*part)),
             WireFault::Shorten(part) => write!(f, "shorten {}", Thousandths(*part)),
-            WireFault::Delay(most) => write!(f, "delay {}", Written(*most)),
+            WireFault::Delay(most) => write!(f, "delay {}", FormattedDuration(*most)),
         }
     }
 }
