--- a/crates/lab/benches/decide.rs
+++ b/crates/lab/benches/decide.rs
@@ -1,7 +1,8 @@
-//! What one request's decisions cost a node: arrival, five probes, the choice, the end; at 70, 312 and 1,600 servers.
+//! Cost of one request's decisions in a node: arrival, five probes, the choice, the end; with 70, 312 and 1,600
+//! servers.
 //!
-//! Each step of time is long enough for prices and shares to be solved again, as for a node of little traffic, or short,
-//! as for one of much.
+//! The time step is either long enough that prices and shares are recomputed for each request, as on a node with little
+//! traffic, or short, as on a busy one.
 
 use birchswitch_lab::scenario::{Scenario, Size};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
@@ -38,7 +39,7 @@
         Node { balancer, now, next: 0, actions: Vec::new() }
     }
 
-    /// A request from its arrival to its answer.
+    /// Handles a request from its arrival to its answer.
     fn serve(&mut self, step: Duration) {
         self.now = self.now + step;
         let request = RequestId(self.next);
--- a/crates/lab/src/leases.rs
+++ b/crates/lab/src/leases.rs
@@ -1,5 +1,6 @@
-//! Electorates and candidates for one lease in virtual time: clocks of different rates, a network that loses, doubles and holds back for
-//! longer than a lease lives, processes that crash, start from nothing and are paused at any point, and a receiver of what holders do.
+//! Simulates voters and candidates of one lease: clocks with different rates, a network that loses, duplicates and
+//! delays messages for longer than a lease's lifetime, processes that crash, restart without state and pause at any
+//! point, and a receiver that checks the holders' fencing tokens.
 
 use crate::rng::Rng;
 use birchswitch_lease::{Action, Candidate, CandidateId, Key, Message, Request, Response, Terms, Voter};
@@ -12,33 +13,33 @@
 /// Nanoseconds of true time.
 type Nanos = u64;
 
-/// What goes wrong in a run.
+/// Faults of a run.
 #[derive(Clone, Debug)]
 pub struct Faults {
-    /// Part of messages that are lost.
+    /// Fraction of messages lost.
     pub loss: f64,
-    /// Part of them that come twice.
+    /// Fraction of messages duplicated.
     pub doubled: f64,
-    /// Part that is held back by up to twice a lease's time.
+    /// Fraction of messages delayed by up to twice the lease's lifetime.
     pub held_back: f64,
-    /// Mean seconds between crashes of any process; it starts from nothing within a second. 0: none.
+    /// Mean seconds between crashes of single processes, which restart without state within a second; 0 for none.
     pub crash_every: f64,
-    /// Mean seconds between losses of all processes at once. 0: none.
+    /// Mean seconds between simultaneous crashes of all processes; 0 for none.
     pub all_every: f64,
-    /// Mean seconds between losses of all voters at once, while candidates live on. 0: none.
+    /// Mean seconds between simultaneous crashes of all voters while candidates keep running; 0 for none.
     pub voters_every: f64,
-    /// Mean seconds between pauses of any process, of up to twice a lease's time. 0: none.
+    /// Mean seconds between pauses of single processes, of up to twice the lease's lifetime; 0 for none.
     pub pause_every: f64,
-    /// Mean seconds between cuts of one ordered pair for up to a lease's time. 0: none.
+    /// Mean seconds between cuts of one ordered pair, of up to the lease's lifetime; 0 for none.
     pub cut_every: f64,
-    /// How far clocks' rates lie from true time, in thousandths, at most and mostly.
+    /// Maximum deviation of clock rates from true time in thousandths; most clocks have the maximum.
     pub drift: u32,
-    /// The receiver refuses lower tokens than it saw.
+    /// The receiver rejects tokens lower than the highest it has seen.
     pub fenced: bool,
 }
 
 impl Faults {
-    /// All of them at once.
+    /// All faults at once.
     pub fn all() -> Self {
         Faults {
             loss: 0.1,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// None of them.
+    /// No faults.
     pub fn none() -> Self {
         Faults {
             loss: 0.0,
@@ -71,36 +72,36 @@
     }
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Rules that broke, in words.
-    pub broken: Vec<String>,
+    /// Descriptions of rule violations.
+    pub violations: Vec<String>,
     /// Leases granted.
     pub grants: u64,
-    /// Lost by their own clock.
+    /// Leases that expired by the holder's clock.
     pub lost: u64,
-    /// Acts that the receiver took.
+    /// Actions that the receiver accepted.
     pub acts: u64,
-    /// Acts that it refused for a lower token.
+    /// Actions that the receiver rejected because of a lower token.
     pub refused: u64,
     /// Messages sent.
     pub messages: u64,
     /// Longest time without a holder, in seconds.
     pub gap: f64,
-    /// Part of the time in which somebody held.
+    /// Fraction of the time with a holder.
     pub held: f64,
 }
 
 struct Process {
-    /// It votes, it wants the lease, or both.
+    /// A process is a voter or a candidate; both are None after a crash.
     voter: Option<Voter>,
     candidate: Option<Candidate>,
-    /// Own clock: so much at true time 0, and so many thousandths of true time a tick.
+    /// The local clock: its value at true time 0, and its rate in thousandths of true time.
     offset: Nanos,
     rate: u64,
     paused_until: Nanos,
-    /// Whether an act is under way, checked and not yet sent.
+    /// Messages received while paused.
     inbox: Vec<(usize, Message)>,
     starts: u64,
     wake: Nanos,
@@ -111,15 +112,15 @@
         Duration::from_nanos(self.offset + (u128::from(now) * u128::from(self.rate) / 1000) as u64)
     }
 
-    /// When its clock shows that.
-    fn truly(&self, at: Duration) -> Nanos {
+    /// The true time at which the local clock shows `at`.
+    fn true_time(&self, at: Duration) -> Nanos {
         let own = u128::from((at.as_nanos() as u64).saturating_sub(self.offset));
         (own * 1000).div_ceil(u128::from(self.rate)) as u64
     }
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum Event {
     Deliver {
         to: usize,
         from: usize,
@@ -129,8 +130,8 @@
     Resume(usize),
     Start(usize),
     Act(usize),
-    /// An act that was checked with this token arrives.
-    Acted(u64),
+    /// An action that was checked with this token arrives at the receiver.
+    ActReceived(u64),
     Crash,
     CrashAll,
     CrashVoters,
@@ -138,30 +139,30 @@
     Cut,
 }
 
-/// A grant as it truly was.
+/// The interval in true time during which a process held the lease.
 #[derive(Clone, Copy)]
-struct Span {
+struct Holding {
     by: usize,
-    life: u64,
+    start: u64,
     from: Nanos,
     to: Nanos,
 }
 
 struct World<'a> {
     terms: Arc<Terms>,
-    sum: u64,
+    terms_checksum: u64,
     faults: &'a Faults,
     key: Key,
     processes: Vec<Process>,
     voters: usize,
-    agenda: BinaryHeap<Reverse<(Nanos, u64, What)>>,
-    order: u64,
-    chance: Rng,
+    queue: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
+    sequence: u64,
+    rng: Rng,
     cuts: Vec<(usize, usize, Nanos)>,
-    spans: Vec<Span>,
+    holdings: Vec<Holding>,
     now: Nanos,
     highest: u64,
-    seen: u64,
+    highest_seen: u64,
     out: Outcome,
 }
 
@@ -172,8 +173,8 @@
     ([127, 0, 0, n as u8 + 1], 7000).into()
 }
 
-/// Plays so many seconds with voters that want nothing and candidates that do not vote, by the terms' times and safeguards; its voters
-/// are replaced.
+/// Simulates `seconds` with voters that are not candidates and candidates that do not vote. The terms supply times and
+/// safeguards; their list of voters is replaced.
 pub fn play(
     terms: &Terms,
     voters: usize,
@@ -183,16 +184,16 @@
     seed: u64,
 ) -> Outcome {
     let terms = Arc::new(Terms { voters: (0..voters).map(address).collect(), ..terms.clone() });
-    let mut chance = Rng::new(seed, 81);
+    let mut rng = Rng::new(seed, 81);
     let processes = (0..voters + candidates).map(|_| {
-        let side = if chance.unit() < 0.5 { -1.0 } else { 1.0 };
-        // Mostly as far off as may be: that is where margins show.
-        let off = f64::from(faults.drift) * side * if chance.unit() < 0.7 { 1.0 } else { chance.unit() };
+        let sign = if rng.unit() < 0.5 { -1.0 } else { 1.0 };
+        // Most clocks have the maximum deviation, where missing margins matter.
+        let deviation = f64::from(faults.drift) * sign * if rng.unit() < 0.7 { 1.0 } else { rng.unit() };
         Process {
             voter: None,
             candidate: None,
-            offset: (chance.unit() * 1e12) as u64,
-            rate: (1000.0 + off) as u64,
+            offset: (rng.unit() * 1e12) as u64,
+            rate: (1000.0 + deviation) as u64,
             paused_until: 0,
             inbox: Vec::new(),
             starts: 0,
@@ -201,52 +202,52 @@
     });
     let mut world = World {
         processes: processes.collect(),
-        sum: terms.checksum(),
+        terms_checksum: terms.checksum(),
         terms,
         faults,
         key: Key::new("task", 0).expect("a sound name"),
         voters,
-        agenda: BinaryHeap::new(),
-        order: 0,
-        chance,
+        queue: BinaryHeap::new(),
+        sequence: 0,
+        rng,
         cuts: Vec::new(),
-        spans: Vec::new(),
+        holdings: Vec::new(),
         now: 0,
         highest: 0,
-        seen: 0,
+        highest_seen: 0,
         out: Outcome::default(),
     };
-    (0..voters + candidates).for_each(|n| world.put(0, What::Start(n)));
-    for (every, what) in [
-        (faults.crash_every, What::Crash),
-        (faults.all_every, What::CrashAll),
-        (faults.voters_every, What::CrashVoters),
-        (faults.pause_every, What::Pause),
-        (faults.cut_every, What::Cut),
+    (0..voters + candidates).for_each(|n| world.schedule(0, Event::Start(n)));
+    for (every, event) in [
+        (faults.crash_every, Event::Crash),
+        (faults.all_every, Event::CrashAll),
+        (faults.voters_every, Event::CrashVoters),
+        (faults.pause_every, Event::Pause),
+        (faults.cut_every, Event::Cut),
     ] {
-        world.again(every, what);
+        world.schedule_repeating(every, event);
     }
     let end = seconds * SECOND as u64;
-    while let Some(Reverse((at, _, what))) = world.agenda.pop() {
+    while let Some(Reverse((at, _, event))) = world.queue.pop() {
         if at > end {
             break;
         }
         world.now = at;
-        world.happen(what);
+        world.handle_event(event);
     }
-    world.judge(end)
+    world.evaluate(end)
 }
 
 impl World<'_> {
-    fn put(&mut self, at: Nanos, what: What) {
-        self.order += 1;
-        self.agenda.push(Reverse((at, self.order, what)));
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence, event)));
     }
 
-    fn again(&mut self, every: f64, what: What) {
+    fn schedule_repeating(&mut self, every: f64, event: Event) {
         if every > 0.0 {
-            let wait = self.chance.exponential(every);
-            self.put(self.now + (wait * SECOND) as u64, what);
+            let wait = self.rng.exponential(every);
+            self.schedule(self.now + (wait * SECOND) as u64, event);
         }
     }
 
@@ -254,55 +255,54 @@
         self.terms.ttl.as_nanos() as f64
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Start(n) => self.start(n),
-            What::Deliver { to, from, bytes } => {
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Start(n) => self.start(n),
+            Event::Deliver { to, from, bytes } => {
                 if let Some(message) = Message::decode(&bytes) {
                     if self.now < self.processes[to].paused_until {
                         self.processes[to].inbox.push((from, message));
                     } else {
-                        self.take(to, from, &message);
+                        self.receive(to, from, &message);
                     }
                 }
             }
-            What::Wake(n) => {
+            Event::Wake(n) => {
                 if self.processes[n].wake <= self.now && self.now >= self.processes[n].paused_until {
                     self.processes[n].wake = Nanos::MAX;
                     self.wake(n);
                 }
             }
-            What::Resume(n) => self.resume(n),
-            What::Act(n) => self.act(n),
-            What::Acted(token) => self.acted(token),
-            What::Crash => {
-                let n = self.chance.below(self.processes.len());
+            Event::Resume(n) => self.resume(n),
+            Event::Act(n) => self.act(n),
+            Event::ActReceived(token) => self.act_received(token),
+            Event::Crash => {
+                let n = self.rng.below(self.processes.len());
                 self.crash(n);
-                self.again(self.faults.crash_every, What::Crash);
+                self.schedule_repeating(self.faults.crash_every, Event::Crash);
             }
-            What::CrashAll => {
+            Event::CrashAll => {
                 (0..self.processes.len()).for_each(|n| self.crash(n));
-                self.again(self.faults.all_every, What::CrashAll);
+                self.schedule_repeating(self.faults.all_every, Event::CrashAll);
             }
-            What::CrashVoters => {
+            Event::CrashVoters => {
                 (0..self.voters).for_each(|n| self.crash(n));
-                self.again(self.faults.voters_every, What::CrashVoters);
+                self.schedule_repeating(self.faults.voters_every, Event::CrashVoters);
             }
-            What::Pause => {
-                let n = self.chance.below(self.processes.len());
-                let length = (self.chance.unit() * 2.0 * self.ttl()) as u64;
+            Event::Pause => {
+                let n = self.rng.below(self.processes.len());
+                let length = (self.rng.unit() * 2.0 * self.ttl()) as u64;
                 self.processes[n].paused_until = self.processes[n].paused_until.max(self.now + length);
-                self.put(self.processes[n].paused_until, What::Resume(n));
-                self.again(self.faults.pause_every, What::Pause);
+                self.schedule(self.processes[n].paused_until, Event::Resume(n));
+                self.schedule_repeating(self.faults.pause_every, Event::Pause);
             }
-            What::Cut => {
-                let (a, b) =
-                    (self.chance.below(self.processes.len()), self.chance.below(self.processes.len()));
-                let length = (self.chance.unit() * self.ttl()) as u64;
+            Event::Cut => {
+                let (a, b) = (self.rng.below(self.processes.len()), self.rng.below(self.processes.len()));
+                let length = (self.rng.unit() * self.ttl()) as u64;
                 let now = self.now;
                 self.cuts.retain(|c| c.2 > now);
                 self.cuts.push((a, b, now + length));
-                self.again(self.faults.cut_every, What::Cut);
+                self.schedule_repeating(self.faults.cut_every, Event::Cut);
             }
         }
     }
@@ -315,7 +315,7 @@
         }
         p.starts += 1;
         let clock = p.clock(now);
-        // The time of day, to a millisecond, is the floor; a million tokens fit into one.
+        // The floor is the time of day in milliseconds; there are a million tokens per millisecond.
         let floor = (now / 1_000_000 + 1) << 20;
         if n < self.voters {
             p.voter = Some(Voter::new(terms, floor, clock));
@@ -327,7 +327,7 @@
         p.candidate = Some(candidate);
         p.wake = Nanos::MAX;
         self.carry_out(n, out);
-        self.put(now + 1, What::Act(n));
+        self.schedule(now + 1, Event::Act(n));
     }
 
     fn crash(&mut self, n: usize) {
@@ -335,10 +335,10 @@
         let p = &mut self.processes[n];
         (p.voter, p.candidate, p.paused_until) = (None, None, now);
         p.inbox.clear();
-        // What it held is over.
-        self.spans.iter_mut().filter(|s| s.by == n).for_each(|s| s.to = s.to.min(now));
-        let at = now + (self.chance.unit() * SECOND) as u64;
-        self.put(at, What::Start(n));
+        // A crash ends what the process held.
+        self.holdings.iter_mut().filter(|s| s.by == n).for_each(|s| s.to = s.to.min(now));
+        let at = now + (self.rng.unit() * SECOND) as u64;
+        self.schedule(at, Event::Start(n));
     }
 
     fn resume(&mut self, n: usize) {
@@ -346,7 +346,7 @@
             return;
         }
         for (from, message) in std::mem::take(&mut self.processes[n].inbox) {
-            self.take(n, from, &message);
+            self.receive(n, from, &message);
         }
         self.wake(n);
     }
@@ -362,15 +362,15 @@
         self.carry_out(n, out);
     }
 
-    fn take(&mut self, n: usize, from: usize, message: &Message) {
+    fn receive(&mut self, n: usize, from: usize, message: &Message) {
         let now = self.now;
         let p = &mut self.processes[n];
         let clock = p.clock(now);
         match message {
-            Message::Request(sum, ask) => {
+            Message::Request(terms_checksum, request) => {
                 let mut answers = Vec::new();
                 if let Some(voter) = &mut p.voter {
-                    voter.handle_request(clock, address(from), *sum, ask, &mut answers);
+                    voter.handle_request(clock, address(from), *terms_checksum, request, &mut answers);
                 }
                 answers.into_iter().for_each(|(to, answer)| self.send_answer(n, to, answer));
             }
@@ -391,19 +391,19 @@
     fn carry_out(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(to, ask) => self.ask(n, to, ask),
+                Action::Send(to, request) => self.send_request(n, to, request),
                 Action::Granted(held) => {
                     self.out.grants += 1;
                     if held.token <= self.highest {
                         let (token, highest) = (held.token, self.highest);
-                        self.out.broken.push(format!("token {token} was granted after {highest}"));
+                        self.out.violations.push(format!("token {token} was granted after {highest}"));
                     }
                     self.highest = self.highest.max(held.token);
-                    self.span(n, held.until, true);
+                    self.record_holding(n, held.until, true);
                 }
                 Action::Extended(held) => {
                     self.highest = self.highest.max(held.token);
-                    self.span(n, held.until, false);
+                    self.record_holding(n, held.until, false);
                 }
                 Action::Lost(_) => self.out.lost += 1,
                 Action::Refused(..) => {}
@@ -414,48 +414,49 @@
         let Some(candidate) = &p.candidate else { return };
         let next = candidate.next_wake();
         if next < Duration::MAX {
-            let at = p.truly(next).max(now);
+            let at = p.true_time(next).max(now);
             if at < p.wake {
                 p.wake = at;
-                self.put(at, What::Wake(n));
+                self.schedule(at, Event::Wake(n));
             }
         }
     }
 
-    fn span(&mut self, n: usize, until: Duration, new: bool) {
+    fn record_holding(&mut self, n: usize, until: Duration, new: bool) {
         let (now, p) = (self.now, &self.processes[n]);
-        let (to, life) = (p.truly(until), p.starts);
-        match self.spans.iter_mut().rev().find(|s| s.by == n && s.life == life).filter(|_| !new) {
-            Some(span) => span.to = span.to.max(to),
-            None => self.spans.push(Span { by: n, life, from: now, to }),
+        let (to, start) = (p.true_time(until), p.starts);
+        match self.holdings.iter_mut().rev().find(|s| s.by == n && s.start == start).filter(|_| !new) {
+            Some(holding) => holding.to = holding.to.max(to),
+            None => self.holdings.push(Holding { by: n, start, from: now, to }),
         }
     }
 
-    fn ask(&mut self, from: usize, to: SocketAddr, ask: Request) {
-        self.send(from, to, &Message::Request(self.sum, ask));
+    fn send_request(&mut self, from: usize, to: SocketAddr, request: Request) {
+        self.send(from, to, &Message::Request(self.terms_checksum, request));
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: &Message) {
         self.out.messages += 1;
         let Some(to) = (0..self.processes.len()).find(|n| address(*n) == to) else { return };
         let now = self.now;
-        if self.chance.unit() < self.faults.loss
+        if self.rng.unit() < self.faults.loss
             || self.cuts.iter().any(|c| (c.0, c.1) == (from, to) && c.2 > now)
         {
             return;
         }
-        let copies = 1 + usize::from(self.chance.unit() < self.faults.doubled);
+        let copies = 1 + usize::from(self.rng.unit() < self.faults.doubled);
         for _ in 0..copies {
-            let mut way = 0.001 + 0.004 * self.chance.unit();
-            if self.chance.unit() < self.faults.held_back {
-                way += self.chance.unit() * 2.0 * self.ttl() / SECOND;
+            let mut delay = 0.001 + 0.004 * self.rng.unit();
+            if self.rng.unit() < self.faults.held_back {
+                delay += self.rng.unit() * 2.0 * self.ttl() / SECOND;
             }
             let bytes = message.encode();
-            self.put(now + (way * SECOND) as u64, What::Deliver { to, from, bytes });
+            self.schedule(now + (delay * SECOND) as u64, Event::Deliver { to, from, bytes });
         }
     }
 
-    /// A holder acts again and again: looks at its guard, and sends a moment later. A pause in between is what fencing is for.
+    /// A holder acts repeatedly: it checks its guard time and sends a moment later. A pause between the two is the case
+    /// that fencing covers.
     fn act(&mut self, n: usize) {
         let now = self.now;
         let p = &mut self.processes[n];
@@ -464,51 +465,52 @@
         }
         if now < p.paused_until {
             let at = p.paused_until;
-            return self.put(at, What::Act(n));
+            return self.schedule(at, Event::Act(n));
         }
         let clock = p.clock(now);
         let held = p.candidate.as_ref().and_then(|c| c.held(clock).next()).filter(|h| clock < h.guard);
         if let Some(held) = held {
-            // One in ten is stopped just after its look.
-            let stopped = if self.faults.pause_every > 0.0 && self.chance.unit() < 0.1 {
-                self.chance.unit() * 3.0 * self.ttl()
+            // One in ten actions is paused right after the check.
+            let stopped = if self.faults.pause_every > 0.0 && self.rng.unit() < 0.1 {
+                self.rng.unit() * 3.0 * self.ttl()
             } else {
                 1e6
             };
-            self.put(now + stopped as u64, What::Acted(held.token));
+            self.schedule(now + stopped as u64, Event::ActReceived(held.token));
         }
-        let next = now + (self.chance.unit() * self.ttl() / 4.0) as u64 + 1;
-        self.put(next, What::Act(n));
+        let next = now + (self.rng.unit() * self.ttl() / 4.0) as u64 + 1;
+        self.schedule(next, Event::Act(n));
     }
 
-    fn acted(&mut self, token: u64) {
-        if token < self.seen {
+    fn act_received(&mut self, token: u64) {
+        if token < self.highest_seen {
             if self.faults.fenced {
                 self.out.refused += 1;
                 return;
             }
-            let seen = self.seen;
-            self.out.broken.push(format!("an act with token {token} after one with {seen}"));
+            let highest_seen = self.highest_seen;
+            self.out.violations.push(format!("an act with token {token} after one with {highest_seen}"));
         }
         self.out.acts += 1;
-        self.seen = self.seen.max(token);
+        self.highest_seen = self.highest_seen.max(token);
     }
 
-    fn judge(mut self, end: Nanos) -> Outcome {
-        let mut spans = std::mem::take(&mut self.spans);
-        spans.iter_mut().for_each(|s| s.to = s.to.min(end));
-        spans.sort_by_key(|s| s.from);
-        let (mut until, mut last): (Nanos, Option<Span>) = (0, None);
-        for span in spans {
-            if let Some(before) = last.filter(|l| span.from < l.to && (l.by, l.life) != (span.by, span.life))
+    fn evaluate(mut self, end: Nanos) -> Outcome {
+        let mut holdings = std::mem::take(&mut self.holdings);
+        holdings.iter_mut().for_each(|s| s.to = s.to.min(end));
+        holdings.sort_by_key(|s| s.from);
+        let (mut until, mut last): (Nanos, Option<Holding>) = (0, None);
+        for holding in holdings {
+            if let Some(before) =
+                last.filter(|l| holding.from < l.to && (l.by, l.start) != (holding.by, holding.start))
             {
-                let at = span.from as f64 / SECOND;
-                self.out.broken.push(format!("{} and {} hold at {at:.3} s", before.by, span.by));
+                let at = holding.from as f64 / SECOND;
+                self.out.violations.push(format!("{} and {} hold at {at:.3} s", before.by, holding.by));
             }
-            self.out.gap = self.out.gap.max(span.from.saturating_sub(until) as f64 / SECOND);
-            self.out.held += span.to.saturating_sub(span.from.max(until)) as f64 / end as f64;
-            until = until.max(span.to);
-            last = Some(span).filter(|s| last.is_none_or(|l| s.to >= l.to)).or(last);
+            self.out.gap = self.out.gap.max(holding.from.saturating_sub(until) as f64 / SECOND);
+            self.out.held += holding.to.saturating_sub(holding.from.max(until)) as f64 / end as f64;
+            until = until.max(holding.to);
+            last = Some(holding).filter(|s| last.is_none_or(|l| s.to >= l.to)).or(last);
         }
         self.out.gap = self.out.gap.max(end.saturating_sub(until) as f64 / SECOND);
         self.out
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,22 +1,22 @@
-//! `birchswitch-lab`: plays scenarios in virtual time and says what came of them.
+//! `birchswitch-lab`: runs scenarios in simulated time and prints their results.
 
 #![forbid(unsafe_code)]
 
-mod common;
-mod electorates;
-mod fleets;
+mod adjustment_tables;
+mod lease_table;
+mod limit_table;
+mod member_tables;
 mod parallel;
-mod ways;
 
-use birchswitch_lab::book::{Book, Cause};
 use birchswitch_lab::policy::Peer;
-use birchswitch_lab::scenario::{PricesOf, Scenario, ScenarioError, Size, FURTHER, STANDARD};
+use birchswitch_lab::scenario::{PriceSpec, Scenario, ScenarioError, Size, ADDITIONAL, STANDARD};
+use birchswitch_lab::stats::{LossCause, RunStats};
 use birchswitch_lab::world;
 use clap::{Args, Parser, Subcommand};
 use std::error::Error;
 use std::process::ExitCode;
 
-/// A laboratory of decisions: nodes, servers and faults in virtual time.
+/// Simulates nodes, servers and faults in virtual time
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -26,33 +26,33 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The standard scenarios, a line each.
+    /// List the standard scenarios
     List,
-    /// One scenario, second by second.
+    /// Run one scenario and print its results by second
     Run(Run),
-    /// Where the worth went: each scenario's losses by their cause, the largest first.
-    Account(Many),
-    /// Every scenario with every peer: worth in time less prices, and rules broken.
-    Table(Many),
-    /// What one node that asks servers for all saves in probes: each scenario without and with it.
-    Health(Many),
-    /// What verdicts of the whole fleet on its servers are worth: worth kept without, with them, and by the oracle.
-    Verdicts(common::Arguments),
-    /// What weights of the whole fleet are worth: the tail without, with them, by peak EWMA and by fixed weights.
-    Weights(common::Arguments),
-    /// A limit of the whole fleet kept by grants, by a fixed part at each node, and by a counter that is asked each time.
-    Limits(ways::Arguments),
-    /// Leases under random faults, with all safeguards and without each.
-    Leases(electorates::Arguments),
-    /// Membership among nodes: detection, false verdicts, load, values and evenness, beside two baselines.
-    Members(fleets::Arguments),
+    /// Show where worth was lost: each scenario's losses by cause, largest first
+    Account(Comparison),
+    /// Compare all scenarios and policies: worth in time less prices, and rule violations
+    Table(Comparison),
+    /// Show the probes saved by one probing node per zone: each scenario without and with it
+    Health(Comparison),
+    /// Show the gain from fleet-wide verdicts: worth kept without them, with them, and by the oracle
+    Verdicts(adjustment_tables::Arguments),
+    /// Show the gain from fleet-wide weights: tail latency without them, with them, by peak EWMA and by fixed weights
+    Weights(adjustment_tables::Arguments),
+    /// Compare a fleet-wide limit by grants, by a fixed share per node, and by a counter queried for each request
+    Limits(limit_table::Arguments),
+    /// Run leases under random faults, with all safeguards and without each
+    Leases(lease_table::Arguments),
+    /// Measure membership: detection, false verdicts, load, values and evenness, compared with two baselines
+    Members(member_tables::Arguments),
 }
 
 #[derive(Args)]
 struct Run {
     /// A standard scenario's name, or a TOML file
     scenario: String,
-    /// What decides
+    /// The policy that decides
     #[arg(long, default_value = "own", value_parser = peer)]
     peer: Peer,
     /// The seed
@@ -64,13 +64,13 @@
 }
 
 #[derive(Args)]
-struct Many {
-    /// Standard scenarios or TOML files; all standard ones where none is named
+struct Comparison {
+    /// Standard scenarios or TOML files; all standard ones if none is given
     scenarios: Vec<String>,
-    /// What decides; can be given several times
+    /// The policy that decides; can be given several times
     #[arg(long, value_parser = peer)]
     peer: Vec<Peer>,
-    /// Seeds from 1 on, whose means are told
+    /// Number of seeds, from 1 on; the output shows means
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
     /// `today`, `full`, `whole` (300x200), or nodes x servers, such as `40x12`
@@ -98,8 +98,8 @@
     }
 }
 
-fn read(name: &str) -> Result<Scenario, ScenarioError> {
-    if STANDARD.iter().chain(FURTHER).any(|s| s.0 == name) {
+fn load_scenario(name: &str) -> Result<Scenario, ScenarioError> {
+    if STANDARD.iter().chain(ADDITIONAL).any(|s| s.0 == name) {
         return Scenario::standard(name);
     }
     let text = std::fs::read_to_string(name).map_err(|_| ScenarioError::Unknown(name.into()))?;
@@ -107,31 +107,31 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         Command::List => STANDARD.iter().try_for_each(|(name, text)| {
             println!("{name:<12} {}", Scenario::parse(text)?.what);
             Ok(())
         }),
-        Command::Run(run) => one(&run),
-        Command::Account(many) => account(&many),
-        Command::Table(many) => table(&many),
-        Command::Health(many) => health(&many),
-        Command::Verdicts(arguments) => common::verdicts(&arguments),
-        Command::Weights(arguments) => common::weights(&arguments),
+        Command::Run(run) => run_scenario(&run),
+        Command::Account(comparison) => account(&comparison),
+        Command::Table(comparison) => table(&comparison),
+        Command::Health(comparison) => health(&comparison),
+        Command::Verdicts(arguments) => adjustment_tables::verdicts(&arguments),
+        Command::Weights(arguments) => adjustment_tables::weights(&arguments),
         Command::Limits(arguments) => {
-            ways::limits(&arguments);
+            limit_table::limits(&arguments);
             Ok(())
         }
-        Command::Leases(leases) => match electorates::report(&leases) {
+        Command::Leases(leases) => match lease_table::report(&leases) {
             true => Ok(()),
             false => Err("something broke, or what was taken away was not found".into()),
         },
         Command::Members(members) => {
-            fleets::report(&members);
+            member_tables::report(&members);
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("birchswitch-lab: {e}");
@@ -140,77 +140,79 @@
     }
 }
 
-fn one(run: &Run) -> Result<(), Box<dyn Error>> {
-    let scenario = read(&run.scenario)?;
-    let book = world::run(&scenario, run.size, run.seed, run.peer)?;
+fn run_scenario(run: &Run) -> Result<(), Box<dyn Error>> {
+    let scenario = load_scenario(&run.scenario)?;
+    let stats = world::run(&scenario, run.size, run.seed, run.peer)?;
     println!("{}", scenario.what);
     println!(
         "kept {:.4} of the worth of {} requests; {} refused, {} late, {} failed",
-        book.kept(),
-        book.firsts,
-        book.refused,
-        book.late,
-        book.failed
+        stats.worth_kept(),
+        stats.first_tries,
+        stats.refused,
+        stats.late,
+        stats.failed
     );
-    let per = |n: u64| n as f64 / book.tries.max(1) as f64;
+    let per = |n: u64| n as f64 / stats.tries.max(1) as f64;
     println!(
         "a try: {:.3} attempts, {:.3} turned away, {:.3} to another hall, {:.2} probes",
-        per(book.attempts),
-        per(book.turned_away),
-        per(book.crossed),
-        per(book.probes)
+        per(stats.attempts),
+        per(stats.turned_away),
+        per(stats.cross_zone),
+        per(stats.probes)
     );
-    let of = |n: u64| n as f64 / book.firsts.max(1) as f64;
-    let [probes, handshakes, cross] = book.prices(&scenario.prices);
+    let per_first_try = |n: u64| n as f64 / stats.first_tries.max(1) as f64;
+    let [probes, handshakes, cross] = stats.prices(&scenario.prices);
     println!(
         "a first try: {:.3} probes, {:.3} new connections, {:.4} lists; they cost {probes:.4}, {handshakes:.4} and, with {cross:.4} \
          for crossing halls, leave {:.4}",
-        of(book.probes),
-        of(book.handshakes),
-        of(book.lists),
-        book.net(&scenario.prices)
+        per_first_try(stats.probes),
+        per_first_try(stats.handshakes),
+        per_first_try(stats.lists),
+        stats.net_worth(&scenario.prices)
     );
-    for (cause, part) in book.losses() {
+    for (cause, part) in stats.losses() {
         println!("  {:<22} {:6.2}%", cause.name(), 100.0 * part);
     }
-    let b = book.broken;
+    let b = stats.violations;
     println!(
         "rules broken: {} answers, {} effects, {} drains, {} cold",
         b.answers, b.effects, b.drains, b.cold
     );
-    println!("the fullest cold server was given {:.2} of what it bears", book.borne);
+    println!("the fullest cold server was given {:.2} of what it bears", stats.peak_cold_load);
     let seconds: Vec<String> =
-        (0..book.seconds.len()).map(|s| format!("{:.0}", 100.0 * book.kept_in(s..s + 1))).collect();
+        (0..stats.seconds.len()).map(|s| format!("{:.0}", 100.0 * stats.worth_kept_in(s..s + 1))).collect();
     println!("kept in each second, in per cent: {}", seconds.join(" "));
     let seconds: Vec<String> =
-        (0..book.seconds.len()).map(|s| format!("{:.0}", 100.0 * book.refused_in(s..s + 1))).collect();
+        (0..stats.seconds.len()).map(|s| format!("{:.0}", 100.0 * stats.refused_in(s..s + 1))).collect();
     println!("refused in each second, in per cent: {}", seconds.join(" "));
-    println!("digest {:016x}", book.digest);
+    println!("digest {:016x}", stats.digest);
     Ok(())
 }
 
-/// A scenario's name, its prices, and each peer's books.
-type Row = (String, PricesOf, Vec<Vec<Book>>);
+/// A scenario's name, its prices, and the statistics of each policy by seed.
+type Row = (String, PriceSpec, Vec<Vec<RunStats>>);
 
-/// Plays all of it on all cores; results in the order of scenarios, peers, seeds.
-fn play(many: &Many, peers: &[Peer]) -> Result<Vec<Row>, Box<dyn Error>> {
-    let names: Vec<String> = match many.scenarios.is_empty() {
+/// Runs everything on all cores; the results are ordered by scenario, policy and seed.
+fn play(comparison: &Comparison, peers: &[Peer]) -> Result<Vec<Row>, Box<dyn Error>> {
+    let names: Vec<String> = match comparison.scenarios.is_empty() {
         true => STANDARD.iter().map(|s| s.0.to_owned()).collect(),
-        false => many.scenarios.clone(),
+        false => comparison.scenarios.clone(),
+    };
+    let scenarios: Vec<Scenario> = names.iter().map(|n| load_scenario(n)).collect::<Result<_, _>>()?;
+    let seeds = comparison.seeds as usize;
+    let each = |scenario| {
+        peers.iter().flat_map(move |p| (1..=comparison.seeds).map(move |seed| (scenario, *p, seed)))
     };
-    let scenarios: Vec<Scenario> = names.iter().map(|n| read(n)).collect::<Result<_, _>>()?;
-    let seeds = many.seeds as usize;
-    let each =
-        |scenario| peers.iter().flat_map(move |p| (1..=many.seeds).map(move |seed| (scenario, *p, seed)));
     let inputs: Vec<(&Scenario, Peer, u64)> = scenarios.iter().flat_map(each).collect();
-    let books =
-        parallel::all(&inputs, |(scenario, peer, seed)| Some(world::run(scenario, many.size, *seed, *peer)));
-    let mut books = books.into_iter();
+    let runs = parallel::map(&inputs, |(scenario, peer, seed)| {
+        Some(world::run(scenario, comparison.size, *seed, *peer))
+    });
+    let mut runs = runs.into_iter();
     let mut all = Vec::new();
     for (name, scenario) in names.into_iter().zip(&scenarios) {
         let mut rows = Vec::new();
         for _ in peers {
-            let row: Result<Vec<Book>, _> = books.by_ref().take(seeds).flatten().collect();
+            let row: Result<Vec<RunStats>, _> = runs.by_ref().take(seeds).flatten().collect();
             rows.push(row?);
         }
         all.push((name, scenario.prices.clone(), rows));
@@ -218,16 +220,19 @@
     Ok(all)
 }
 
-/// Plays each scenario as it is, and once more with one node of each hall that asks for all.
-fn health(many: &Many) -> Result<(), Box<dyn Error>> {
-    let names: Vec<String> = match many.scenarios.is_empty() {
+/// Runs each scenario without and with one probing node per zone.
+fn health(comparison: &Comparison) -> Result<(), Box<dyn Error>> {
+    let names: Vec<String> = match comparison.scenarios.is_empty() {
         true => ["cut-minute", "gone-minutes", "frozen", "death", "fleet-zone"].map(str::to_owned).to_vec(),
-        false => many.scenarios.clone(),
+        false => comparison.scenarios.clone(),
     };
-    println!("{} nodes, {} servers, {} seeds\n", many.size.nodes, many.size.servers, many.seeds);
+    println!(
+        "{} nodes, {} servers, {} seeds\n",
+        comparison.size.nodes, comparison.size.servers, comparison.seeds
+    );
     println!("| scenario | one asks | probes a first try | of these unheard | spared | kept | after prices | rules broken |");
     println!("| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
-    let scenarios: Vec<Scenario> = names.iter().map(|n| read(n)).collect::<Result<_, _>>()?;
+    let scenarios: Vec<Scenario> = names.iter().map(|n| load_scenario(n)).collect::<Result<_, _>>()?;
     let both = |s: &Scenario| {
         [false, true].map(|on| {
             let mut s = s.clone();
@@ -237,37 +242,39 @@
     };
     let scenarios: Vec<Scenario> = scenarios.iter().flat_map(both).collect();
     let inputs: Vec<(&Scenario, u64)> =
-        scenarios.iter().flat_map(|s| (1..=many.seeds).map(move |seed| (s, seed))).collect();
-    let books = parallel::all(&inputs, |(s, seed)| Some(world::run(s, many.size, *seed, Peer::Own)));
-    let books: Vec<Book> = books.into_iter().flatten().collect::<Result<_, _>>()?;
-    for (k, (s, books)) in scenarios.iter().zip(books.chunks(many.seeds as usize)).enumerate() {
-        let each = |of: fn(&Book) -> u64| mean(books, |b| of(b) as f64 / b.firsts.max(1) as f64);
+        scenarios.iter().flat_map(|s| (1..=comparison.seeds).map(move |seed| (s, seed))).collect();
+    let runs = parallel::map(&inputs, |(s, seed)| Some(world::run(s, comparison.size, *seed, Peer::Own)));
+    let runs: Vec<RunStats> = runs.into_iter().flatten().collect::<Result<_, _>>()?;
+    for (k, (s, runs)) in scenarios.iter().zip(runs.chunks(comparison.seeds as usize)).enumerate() {
+        let each = |per_first_try: fn(&RunStats) -> u64| {
+            mean(runs, |b| per_first_try(b) as f64 / b.first_tries.max(1) as f64)
+        };
         println!(
             "| {} | {} | {:.3} | {:.4} | {:.4} | {:.2} | {:.2} | {} |",
             names[k / 2],
             if s.nodes.health { "yes" } else { "no" },
             each(|b| b.probes),
-            each(|b| b.unheard),
-            each(|b| b.spared),
-            100.0 * mean(books, Book::kept),
-            100.0 * mean(books, |b| b.net(&s.prices)),
-            books.iter().map(|b| b.broken.total()).sum::<u64>()
+            each(|b| b.unanswered_probes),
+            each(|b| b.suppressed_probes),
+            100.0 * mean(runs, RunStats::worth_kept),
+            100.0 * mean(runs, |b| b.net_worth(&s.prices)),
+            runs.iter().map(|b| b.violations.total()).sum::<u64>()
         );
     }
     Ok(())
 }
 
-fn mean(books: &[Book], figure: impl Fn(&Book) -> f64) -> f64 {
-    books.iter().map(figure).sum::<f64>() / books.len().max(1) as f64
+fn mean(runs: &[RunStats], figure: impl Fn(&RunStats) -> f64) -> f64 {
+    runs.iter().map(figure).sum::<f64>() / runs.len().max(1) as f64
 }
 
-fn account(many: &Many) -> Result<(), Box<dyn Error>> {
-    let peers = if many.peer.is_empty() { vec![Peer::Own] } else { many.peer.clone() };
-    for (name, prices, rows) in play(many, &peers)? {
-        for (peer, books) in peers.iter().zip(rows) {
-            let mut losses: Vec<(Cause, f64)> = Cause::ALL
+fn account(comparison: &Comparison) -> Result<(), Box<dyn Error>> {
+    let peers = if comparison.peer.is_empty() { vec![Peer::Own] } else { comparison.peer.clone() };
+    for (name, prices, rows) in play(comparison, &peers)? {
+        for (peer, runs) in peers.iter().zip(rows) {
+            let mut losses: Vec<(LossCause, f64)> = LossCause::ALL
                 .into_iter()
-                .map(|c| (c, mean(&books, |b| b.lost.get(&c).copied().unwrap_or(0.0) / b.offered)))
+                .map(|c| (c, mean(&runs, |b| b.lost.get(&c).copied().unwrap_or(0.0) / b.offered)))
                 .collect();
             losses.sort_by(|a, b| b.1.total_cmp(&a.1));
             let largest: Vec<String> = losses
@@ -278,9 +285,9 @@
             println!(
                 "{name:<12} {:<10} kept {:5.1}  after prices {:5.1}  borne {:.2}  lost: {}",
                 peer.name(),
-                100.0 * mean(&books, Book::kept),
-                100.0 * mean(&books, |b| b.net(&prices)),
-                books.iter().map(|b| b.borne).fold(0.0, f64::max),
+                100.0 * mean(&runs, RunStats::worth_kept),
+                100.0 * mean(&runs, |b| b.net_worth(&prices)),
+                runs.iter().map(|b| b.peak_cold_load).fold(0.0, f64::max),
                 largest.join("; ")
             );
         }
@@ -288,16 +295,16 @@
     Ok(())
 }
 
-fn table(many: &Many) -> Result<(), Box<dyn Error>> {
-    let peers = if many.peer.is_empty() { Peer::ALL.to_vec() } else { many.peer.clone() };
+fn table(comparison: &Comparison) -> Result<(), Box<dyn Error>> {
+    let peers = if comparison.peer.is_empty() { Peer::ALL.to_vec() } else { comparison.peer.clone() };
     println!("| scenario | {} |", peers.iter().map(|p| p.name()).collect::<Vec<_>>().join(" | "));
     println!("| --- |{}", " ---: |".repeat(peers.len()));
-    let all = play(many, &peers)?;
-    let cell = |books: &Vec<Book>, prices: &PricesOf| {
-        let broken: u64 = books.iter().map(|b| b.broken.total()).sum();
-        let kept = 100.0 * mean(books, |b| b.net(prices));
-        if broken > 0 {
-            format!("{kept:.1} ({broken})")
+    let all = play(comparison, &peers)?;
+    let cell = |runs: &Vec<RunStats>, prices: &PriceSpec| {
+        let violations: u64 = runs.iter().map(|b| b.violations.total()).sum();
+        let kept = 100.0 * mean(runs, |b| b.net_worth(prices));
+        if violations > 0 {
+            format!("{kept:.1} ({violations})")
         } else {
             format!("{kept:.1}")
         }
@@ -305,13 +312,14 @@
     for (name, prices, rows) in &all {
         println!(
             "| {name} | {} |",
-            rows.iter().map(|books| cell(books, prices)).collect::<Vec<_>>().join(" | ")
+            rows.iter().map(|runs| cell(runs, prices)).collect::<Vec<_>>().join(" | ")
         );
     }
-    let of = |k: usize| {
-        all.iter().map(|(_, prices, rows)| mean(&rows[k], |b| b.net(prices))).sum::<f64>() / all.len() as f64
+    let per_first_try = |k: usize| {
+        all.iter().map(|(_, prices, rows)| mean(&rows[k], |b| b.net_worth(prices))).sum::<f64>()
+            / all.len() as f64
     };
-    let means: Vec<String> = (0..peers.len()).map(|k| format!("{:.1}", 100.0 * of(k))).collect();
+    let means: Vec<String> = (0..peers.len()).map(|k| format!("{:.1}", 100.0 * per_first_try(k))).collect();
     println!("| mean | {} |", means.join(" | "));
     Ok(())
 }
--- a/crates/lab/src/fleets.rs
+++ b/crates/lab/src/member_tables.rs
@@ -1,36 +1,36 @@
-//! `birchswitch-lab members`: what membership costs and how well it tells, as tables.
+//! `birchswitch-lab members`: tables of the cost and the accuracy of membership.
 
-use crate::parallel::{at_a_time, cores};
-use birchswitch_lab::members::beats;
+use crate::parallel::{cores, map_with_jobs};
+use birchswitch_lab::members::heartbeats;
 use birchswitch_lab::members::measure::{
-    detection, evenness, quantile, quiet, value, Detection, Quiet, Upheaval,
+    detection, evenness, idle_cost, quantile, value, Detection, Disruption, IdleCost,
 };
 use clap::Args;
 
 #[derive(Args)]
 pub struct Arguments {
-    /// Tables to make; all where none is named
+    /// Tables to print; all if none is given
     #[arg(value_enum)]
-    tables: Vec<Which>,
+    tables: Vec<Table>,
     /// Sizes of fleets
     #[arg(long, value_delimiter = ',', default_values_t = [12, 300, 1250], value_parser = clap::value_parser!(u64).range(3..=20_000))]
     sizes: Vec<u64>,
-    /// Seeds from 1 on
+    /// Number of seeds, from 1 on
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
-    /// Deaths of each seed
+    /// Deaths per seed
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=1000))]
     kills: u64,
-    /// Simulated seconds of each seed in which nobody dies
+    /// Simulated seconds per seed in which no member dies
     #[arg(long, default_value_t = 120, value_parser = clap::value_parser!(u64).range(1..=1_000_000))]
     seconds: u64,
-    /// Leave out the baselines
+    /// Skip the baselines
     #[arg(long)]
     own: bool,
-    /// Only this part of datagrams lost
+    /// Only this fraction of lost datagrams
     #[arg(long)]
     loss: Option<f64>,
-    /// Fleets played at a time: one of 5,000 takes 5 GB. All cores if not given
+    /// Fleets simulated at a time: one of 5,000 takes 5 GB. All cores if not given
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=1024))]
     jobs: Option<u64>,
 }
@@ -40,8 +40,8 @@
         self.jobs.map_or_else(cores, |j| j as usize)
     }
 
-    /// Sizes and losses with heartbeats.
-    fn beaten(&self, sizes: &[usize]) -> Vec<(usize, f64)> {
+    /// Sizes and losses for the heartbeat baseline.
+    fn heartbeat_cases(&self, sizes: &[usize]) -> Vec<(usize, f64)> {
         let all = sizes.iter().flat_map(|s| [0.0, 0.1, 0.3].map(|loss| (*s, loss)));
         all.filter(|(_, loss)| self.wants(*loss, true)).collect()
     }
@@ -52,25 +52,25 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
-enum Which {
-    /// From a death until others know.
+enum Table {
+    /// Time from a death until the others know.
     Detection,
-    /// False verdicts and load while nobody dies.
+    /// False verdicts and load while no member dies.
     Quiet,
-    /// Until a value is known to all.
+    /// Time until a value is known to all.
     Value,
-    /// Servers' loads by the members' places after upheavals.
+    /// Servers' loads by the members' positions after disruptions.
     Even,
 }
 
-/// Each of the cases with each seed; results by case.
+/// Runs each case with each seed; returns the results by case.
 fn by_case<C: Copy + Sync, O: Send + Default + Clone>(
     a: &Arguments,
     cases: &[C],
     run: impl Fn(C, u64) -> O + Sync,
 ) -> Vec<Vec<O>> {
     let inputs: Vec<(C, u64)> = cases.iter().flat_map(|c| (1..=a.seeds).map(move |s| (*c, s))).collect();
-    let done = at_a_time(a.jobs(), &inputs, |(case, seed)| run(*case, *seed));
+    let done = map_with_jobs(a.jobs(), &inputs, |(case, seed)| run(*case, *seed));
     done.chunks(a.seeds as usize).map(<[O]>::to_vec).collect()
 }
 
@@ -81,21 +81,21 @@
 pub fn report(a: &Arguments) {
     let wanted = |w| a.tables.is_empty() || a.tables.contains(&w);
     let sizes: Vec<usize> = a.sizes.iter().map(|s| *s as usize).collect();
-    if wanted(Which::Detection) {
-        detections(a, &sizes);
+    if wanted(Table::Detection) {
+        detection_table(a, &sizes);
     }
-    if wanted(Which::Quiet) {
-        quiets(a, &sizes);
+    if wanted(Table::Quiet) {
+        quiet_table(a, &sizes);
     }
-    if wanted(Which::Value) {
-        values(a, &sizes);
+    if wanted(Table::Value) {
+        value_table(a, &sizes);
     }
-    if wanted(Which::Even) {
-        evens(a);
+    if wanted(Table::Even) {
+        evenness_table(a);
     }
 }
 
-fn detections(a: &Arguments, sizes: &[usize]) {
+fn detection_table(a: &Arguments, sizes: &[usize]) {
     println!("seconds from a death, {} deaths with each of {} seeds\n", a.kills, a.seeds);
     println!("| members | loss | own health, witnesses | first: median | p99 | each: median | p99 | last: worst | false verdicts |");
     println!("| ---: | ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
@@ -106,17 +106,17 @@
         })
         .filter(|c| a.wants(c.1, c.2))
         .collect();
-    let rows = by_case(a, &cases, |(size, loss, careless), seed| {
-        detection(size, a.kills as usize, loss, careless, seed)
+    let rows = by_case(a, &cases, |(size, loss, without_safeguards), seed| {
+        detection(size, a.kills as usize, loss, without_safeguards, seed)
     });
-    for ((size, loss, careless), row) in cases.iter().zip(rows) {
+    for ((size, loss, without_safeguards), row) in cases.iter().zip(rows) {
         let gather =
             |of: fn(&Detection) -> &Vec<f64>| row.iter().flat_map(|d| of(d).clone()).collect::<Vec<_>>();
         let (first, each, last) = (gather(|d| &d.first), gather(|d| &d.each), gather(|d| &d.last));
         println!(
             "| {size} | {:.0}% | {} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {} |",
             100.0 * loss,
-            if *careless { "no" } else { "yes" },
+            if *without_safeguards { "no" } else { "yes" },
             quantile(&first, 0.5),
             quantile(&first, 0.99),
             quantile(&each, 0.5),
@@ -125,8 +125,9 @@
             row.iter().map(|d| d.false_verdicts).sum::<usize>()
         );
     }
-    for (size, loss) in a.beaten(sizes) {
-        let each: Vec<f64> = (1..=a.seeds).flat_map(|seed| beats::play(size, 0, loss, seed).each).collect();
+    for (size, loss) in a.heartbeat_cases(sizes) {
+        let each: Vec<f64> =
+            (1..=a.seeds).flat_map(|seed| heartbeats::simulate(size, 0, loss, seed).each).collect();
         let [median, p99, worst] = [0.5, 0.99, 1.0].map(|part| quantile(&each, part));
         println!(
             "| {size} | {:.0}% | heartbeats | - | - | {median:.2} | {p99:.2} | {worst:.2} | - |",
@@ -136,7 +137,7 @@
     println!();
 }
 
-fn quiets(a: &Arguments, sizes: &[usize]) {
+fn quiet_table(a: &Arguments, sizes: &[usize]) {
     let hours = (a.seconds * a.seeds) as f64 / 3600.0;
     println!("nobody dies for {} s with each of {} seeds\n", a.seconds, a.seeds);
     println!("| members | loss | stutterers | baseline | false verdicts | an hour | datagrams/s | bytes/s |");
@@ -147,23 +148,23 @@
         .flat_map(|s| faults.into_iter().flat_map(move |f| [(*s, f, false), (*s, f, true)]))
         .filter(|c| a.wants(c.1 .0, c.2))
         .collect();
-    let rows = by_case(a, &cases, |(size, (loss, stutterers), careless), seed| {
-        quiet(size, a.seconds, loss, stutterers, careless, seed)
+    let rows = by_case(a, &cases, |(size, (loss, stuttering), without_safeguards), seed| {
+        idle_cost(size, a.seconds, loss, stuttering, without_safeguards, seed)
     });
-    for ((size, (loss, stutterers), careless), row) in cases.iter().zip(rows) {
-        let count = row.iter().map(|q: &Quiet| q.false_verdicts).sum::<usize>();
+    for ((size, (loss, stuttering), without_safeguards), row) in cases.iter().zip(rows) {
+        let count = row.iter().map(|q: &IdleCost| q.false_verdicts).sum::<usize>();
         println!(
             "| {size} | {:.0}% | {:.0}% | {} | {count} | {:.1} | {:.1} | {:.0} |",
             100.0 * loss,
-            100.0 * stutterers,
-            if *careless { "no own health" } else { "-" },
+            100.0 * stuttering,
+            if *without_safeguards { "no own health" } else { "-" },
             count as f64 / hours,
             mean(row.iter().map(|q| q.datagrams), row.len()),
             mean(row.iter().map(|q| q.bytes), row.len())
         );
     }
-    for (size, loss) in a.beaten(sizes) {
-        let b = beats::play(size, a.seconds as u32, loss, 1);
+    for (size, loss) in a.heartbeat_cases(sizes) {
+        let b = heartbeats::simulate(size, a.seconds as u32, loss, 1);
         println!(
             "| {size} | {:.0}% | - | heartbeats | {} | {:.1} | {:.1} | - |",
             100.0 * loss,
@@ -175,7 +176,7 @@
     println!();
 }
 
-fn values(a: &Arguments, sizes: &[usize]) {
+fn value_table(a: &Arguments, sizes: &[usize]) {
     println!("seconds until a value of 64 bytes is known to all, {} seeds\n", a.seeds);
     println!("| members | loss | median | worst |\n| ---: | ---: | ---: | ---: |");
     let cases: Vec<_> = sizes
@@ -195,21 +196,21 @@
     println!();
 }
 
-fn evens(a: &Arguments) {
+fn evenness_table(a: &Arguments) {
     println!("the fullest of 200 servers over the mean, 300 members, {} seeds, the worst of them\n", a.seeds);
     println!("| upheaval | within 1.15 after, s | worst | after 10 s |\n| --- | ---: | ---: | ---: |");
-    let cases = [Upheaval::Join(40), Upheaval::Kill(0.7), Upheaval::Restart];
-    let size = |u| if matches!(u, Upheaval::Join(_)) { 260 } else { 300 };
+    let cases = [Disruption::Join(40), Disruption::Kill(0.7), Disruption::Restart];
+    let size = |u| if matches!(u, Disruption::Join(_)) { 260 } else { 300 };
     let rows = by_case(a, &cases, |case, seed| Some(evenness(size(case), case, seed)));
     for (case, row) in cases.iter().zip(rows) {
         let row: Vec<_> = row.into_iter().flatten().collect();
-        let most = |of: fn(f64, f64) -> f64, figures: Vec<f64>| figures.into_iter().fold(0.0, of);
+        let worst_of = |of: fn(f64, f64) -> f64, figures: Vec<f64>| figures.into_iter().fold(0.0, of);
         let within = row.iter().map(|e| e.within.unwrap_or(f64::INFINITY)).collect();
         println!(
             "| {case:?} | {:.1} | {:.2} | {:.2} |",
-            most(f64::max, within),
-            most(f64::max, row.iter().map(|e| e.worst).collect()),
-            most(f64::max, row.iter().map(|e| e.after_10).collect())
+            worst_of(f64::max, within),
+            worst_of(f64::max, row.iter().map(|e| e.worst).collect()),
+            worst_of(f64::max, row.iter().map(|e| e.after_10).collect())
         );
     }
     println!();
--- a/crates/lab/src/members/measure.rs
+++ b/crates/lab/src/members/measure.rs
@@ -1,4 +1,4 @@
-//! What membership costs and how well it tells, in figures.
+//! Measures the cost and the accuracy of membership.
 
 use super::{name, Fleet, Network};
 use crate::rng::Rng;
@@ -8,9 +8,9 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The settings that are measured.
-pub fn settings(careless: bool) -> Settings {
-    Settings { without_safeguards: careless, ..Settings::new("lab", Vec::new()) }
+/// The settings under measurement.
+pub fn settings(without_safeguards: bool) -> Settings {
+    Settings { without_safeguards: without_safeguards, ..Settings::new("lab", Vec::new()) }
 }
 
 fn lossy(loss: f64) -> Network {
@@ -21,80 +21,95 @@
     matches!(change, Change::Died { .. })
 }
 
-/// Seconds from a kill.
+/// Detection times in seconds since the kill.
 #[derive(Clone, Debug, Default)]
 pub struct Detection {
-    /// Until the first verdict, of each kill.
+    /// Until the first verdict, for each kill.
     pub first: Vec<f64>,
-    /// Until each of the others knew, all kills together.
+    /// Until each other member knew, over all kills.
     pub each: Vec<f64>,
-    /// Until the last knew, of each kill.
+    /// Until the last member knew, for each kill.
     pub last: Vec<f64>,
-    /// Living members that were declared dead meanwhile.
+    /// Live members declared dead meanwhile.
     pub false_verdicts: usize,
 }
 
-/// Kills so many members, one after the other at moments that the seed chooses, and starts each again.
-pub fn detection(size: usize, kills: usize, loss: f64, careless: bool, seed: u64) -> Detection {
-    let mut fleet = Fleet::up(size, settings(careless), seed);
+/// Kills members one after the other at random times and restarts each.
+pub fn detection(size: usize, kills: usize, loss: f64, without_safeguards: bool, seed: u64) -> Detection {
+    let mut fleet = Fleet::converged_fleet(size, settings(without_safeguards), seed);
     fleet.network = lossy(loss);
-    fleet.keep = died;
-    let mut chance = Rng::new(seed, 73);
-    let mut found = Detection::default();
+    fleet.filter = died;
+    let mut rng = Rng::new(seed, 73);
+    let mut detection = Detection::default();
     fleet.run(5 * SECOND);
     for _ in 0..kills {
-        fleet.run(SECOND.mul_f64(chance.unit()));
-        let victim = chance.below(size);
-        let id = MemberId::of(&name(victim));
+        fleet.run(SECOND.mul_f64(rng.unit()));
+        let killed_process = rng.below(size);
+        let id = MemberId::of(&name(killed_process));
         let killed = fleet.now;
-        fleet.noted.clear();
-        fleet.kill(victim);
-        fleet.run_for(60 * SECOND, |f| f.noted.iter().filter(|n| of(&n.change, id)).count() + 1 >= size);
-        let times: Vec<f64> =
-            fleet.noted.iter().filter(|n| of(&n.change, id)).map(|n| (n.at - killed).as_secs_f64()).collect();
-        found.false_verdicts += fleet.verdicts().filter(|(_, m)| *m != id).count();
-        // One that never learnt it is the last, at the end of the wait.
+        fleet.observations.clear();
+        fleet.kill(killed_process);
+        fleet.run_for(60 * SECOND, |f| {
+            f.observations.iter().filter(|n| of(&n.change, id)).count() + 1 >= size
+        });
+        let times: Vec<f64> = fleet
+            .observations
+            .iter()
+            .filter(|n| of(&n.change, id))
+            .map(|n| (n.at - killed).as_secs_f64())
+            .collect();
+        detection.false_verdicts += fleet.verdicts().filter(|(_, m)| *m != id).count();
+        // If a member never learned of it, the last time is the end of the wait.
         let last = if times.len() + 1 >= size { times.iter().copied().fold(0.0, f64::max) } else { 60.0 };
-        found.first.push(times.iter().copied().fold(60.0, f64::min));
-        found.last.push(last);
-        found.each.extend(times);
-        fleet.start(victim);
+        detection.first.push(times.iter().copied().fold(60.0, f64::min));
+        detection.last.push(last);
+        detection.each.extend(times);
+        fleet.start(killed_process);
         fleet.run_for(60 * SECOND, |f| {
-            f.running().iter().all(|n| *n == victim || f.holds(*n, victim) == Some(State::Alive))
+            f.running()
+                .iter()
+                .all(|n| *n == killed_process || f.holds(*n, killed_process) == Some(State::Alive))
         });
     }
-    found
+    detection
 }
 
 fn of(change: &Change, id: MemberId) -> bool {
     matches!(change, Change::Died { member, .. } if *member == id)
 }
 
-/// What a quiet or a lossy fleet costs, and whom it takes for dead although all live.
+/// Cost and false verdicts of a fleet in which no member dies.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Quiet {
+pub struct IdleCost {
     /// Simulated hours.
     pub hours: f64,
-    /// Verdicts: all false.
+    /// Verdicts, all of them false.
     pub false_verdicts: usize,
-    /// Datagrams a second that a member sends.
+    /// Datagrams per second sent by each member.
     pub datagrams: f64,
-    /// Bytes a second that a member sends.
+    /// Bytes per second sent by each member.
     pub bytes: f64,
 }
 
-/// Nobody dies, for so many simulated seconds; so large a part of the members is stopped for 0.4 s of each second.
-pub fn quiet(size: usize, seconds: u64, loss: f64, stutterers: f64, careless: bool, seed: u64) -> Quiet {
-    let mut fleet = Fleet::up(size, settings(careless), seed);
+/// Runs `seconds` without deaths; a fraction of the members is stopped for 0.4 s of each second.
+pub fn idle_cost(
+    size: usize,
+    seconds: u64,
+    loss: f64,
+    stuttering: f64,
+    without_safeguards: bool,
+    seed: u64,
+) -> IdleCost {
+    let mut fleet = Fleet::converged_fleet(size, settings(without_safeguards), seed);
     fleet.network = lossy(loss);
-    fleet.keep = |c| matches!(c, Change::Died { own: true, .. });
+    fleet.filter = |c| matches!(c, Change::Died { own: true, .. });
     let length = Duration::from_secs(seconds);
-    for n in 0..(size as f64 * stutterers).round() as usize {
-        fleet.stutter(n * size / (size as f64 * stutterers).ceil() as usize, SECOND * 2 / 5, length);
+    for n in 0..(size as f64 * stuttering).round() as usize {
+        fleet.stutter(n * size / (size as f64 * stuttering).ceil() as usize, SECOND * 2 / 5, length);
     }
     fleet.run(length);
     let each = size as f64 * seconds as f64;
-    Quiet {
+    IdleCost {
         hours: seconds as f64 / 3600.0,
         false_verdicts: fleet.verdicts().count(),
         datagrams: fleet.sent[0] as f64 / each,
@@ -102,98 +117,100 @@
     }
 }
 
-/// Seconds until all hold a value that one member tells of itself.
+/// Seconds until all members hold a value that one member published.
 pub fn value(size: usize, loss: f64, seed: u64) -> f64 {
-    let mut fleet = Fleet::up(size, settings(false), seed);
+    let mut fleet = Fleet::converged_fleet(size, settings(false), seed);
     fleet.network = lossy(loss);
-    fleet.keep = died;
+    fleet.filter = died;
     fleet.run(3 * SECOND);
-    let (teller, id) = (seed as usize % size, MemberId::of(&name(seed as usize % size)));
-    fleet.tell(teller, vec![7; 64]);
+    let (publisher, id) = (seed as usize % size, MemberId::of(&name(seed as usize % size)));
+    fleet.publish(publisher, vec![7; 64]);
     let all = |f: &Fleet| {
         (0..size).all(|n| {
-            n == teller || f.core(n).and_then(|c| c.member(id)).is_some_and(|m| m.record.values.len() == 1)
+            n == publisher || f.core(n).and_then(|c| c.member(id)).is_some_and(|m| m.record.values.len() == 1)
         })
     };
     fleet.run_for(120 * SECOND, all).map_or(120.0, |t| t.as_secs_f64())
 }
 
-/// What changes in a fleet whose places on the ring are measured.
+/// A disruption after which the positions on the ring are measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Upheaval {
-    /// So many more start, all at once.
+pub enum Disruption {
+    /// This many members join at once.
     Join(usize),
-    /// Such a part is killed, all at once.
+    /// This fraction is killed at once.
     Kill(f64),
-    /// A tenth at a time says farewell and starts again a second later, every 3 s.
+    /// A tenth of the members leaves every 3 s and starts again a second later.
     Restart,
 }
 
-/// How even servers' loads are by the members' places, after an upheaval.
+/// How evenly the members' positions load the servers after a disruption.
 #[derive(Clone, Copy, Debug)]
-pub struct Even {
-    /// Seconds from the last change until the fullest server stays within 1.15 of the mean; none: not within 60.
+pub struct Evenness {
+    /// Seconds from the last change until the maximum load stays within 1.15 of the mean; None if not within 60 s.
     pub within: Option<f64>,
-    /// The fullest server's load over the mean at the worst moment from the last change on.
+    /// The worst ratio of maximum to mean load after the last change.
     pub worst: f64,
-    /// The same 10 s after the last change.
+    /// The ratio of maximum to mean load 10 s after the last change.
     pub after_10: f64,
 }
 
-/// Servers on the ring, and how many a node of a fleet of 300 reaches: the site of the standing test.
+/// Servers on the ring, and the sum of the servers that the nodes of a fleet of 300 reach (5 each): as in the standing
+/// test.
 const SERVERS: usize = 200;
-const REACH: f64 = 5.0 * 300.0;
+const TOTAL_REACH: f64 = 5.0 * 300.0;
 
-/// Each node reaches servers in a row from its place on, the more the fewer nodes there are, and brings as much to each.
-fn fullest(places: &[f64]) -> f64 {
-    let reach = ((REACH / places.len() as f64).round() as usize).clamp(5, SERVERS);
+/// The ratio of maximum to mean load. Each node loads consecutive servers from its position on, equally; fewer nodes
+/// reach more servers each.
+fn max_load_ratio(positions: &[f64]) -> f64 {
+    let reach = ((TOTAL_REACH / positions.len() as f64).round() as usize).clamp(5, SERVERS);
     let mut loads = [0.0; SERVERS];
-    for at in places {
+    for at in positions {
         let first = (at * SERVERS as f64) as usize;
         (first..first + reach).for_each(|s| loads[s % SERVERS] += 1.0);
     }
-    loads.iter().copied().fold(0.0, f64::max) * SERVERS as f64 / (reach * places.len()) as f64
+    loads.iter().copied().fold(0.0, f64::max) * SERVERS as f64 / (reach * positions.len()) as f64
 }
 
-/// Plays an upheaval; places move by the rule of [`birchswitch_cluster::ring`], twice a second.
-pub fn evenness(size: usize, upheaval: Upheaval, seed: u64) -> Even {
+/// Simulates a disruption; positions move by [`birchswitch_cluster::ring`], twice a second.
+pub fn evenness(size: usize, disruption: Disruption, seed: u64) -> Evenness {
     let half = SECOND / 2;
-    let (first, all) = match upheaval {
-        Upheaval::Join(more) => (size, size + more),
+    let (first, all) = match disruption {
+        Disruption::Join(more) => (size, size + more),
         _ => (size, size),
     };
-    let mut fleet = Fleet::up_of(first, all, settings(false), seed);
-    fleet.keep = |_| false;
-    let mut places: Vec<Option<RingPosition>> = vec![None; all];
-    let mut chance = Rng::new(seed, 74);
+    let mut fleet = Fleet::converged_with_spares(first, all, settings(false), seed);
+    fleet.filter = |_| false;
+    let mut positions: Vec<Option<RingPosition>> = vec![None; all];
+    let mut rng = Rng::new(seed, 74);
     let mut step = |fleet: &mut Fleet| {
         fleet.run(half);
-        let mut lie = Vec::new();
-        for (n, place) in places.iter_mut().enumerate() {
+        let mut fractions = Vec::new();
+        for (n, position) in positions.iter_mut().enumerate() {
             let Some(core) = fleet.core(n) else {
-                *place = None;
+                *position = None;
                 continue;
             };
-            // As the node does: who hears nobody stays where it was.
+            // As in the node: a member that hears no other keeps its position.
             if matches!(core.standing(), Standing::Majority | Standing::Minority) {
-                let place = place.get_or_insert(RingPosition::new(fleet.now, core.rank()));
-                place.advance(fleet.now, core.rank());
-                lie.push(place.fraction());
+                let position = position.get_or_insert(RingPosition::new(fleet.now, core.rank()));
+                position.advance(fleet.now, core.rank());
+                fractions.push(position.fraction());
             }
         }
-        fullest(&lie)
+        max_load_ratio(&fractions)
     };
     (0..10).for_each(|_| {
         step(&mut fleet);
     });
-    match upheaval {
-        Upheaval::Join(_) => (first..all).for_each(|n| fleet.start(n)),
-        Upheaval::Kill(part) => {
+    match disruption {
+        Disruption::Join(_) => (first..all).for_each(|n| fleet.start(n)),
+        Disruption::Kill(part) => {
             let mut order: Vec<usize> = (0..all).collect();
-            (0..all).for_each(|n| order.swap(n, n + chance.below(all - n)));
+            (0..all).for_each(|n| order.swap(n, n + rng.below(all - n)));
             order.iter().take((part * all as f64).round() as usize).for_each(|n| fleet.kill(*n));
         }
-        Upheaval::Restart => {
+        Disruption::Restart => {
             for tenth in 0..10 {
                 let these = || (0..all).filter(move |n| n * 10 / all == tenth);
                 these().for_each(|n| fleet.leave(n));
@@ -208,15 +225,15 @@
         }
     }
     let loads: Vec<f64> = (0..120).map(|_| step(&mut fleet)).collect();
-    let uneven = loads.iter().rposition(|l| *l > 1.15).map_or(0, |n| n + 1);
-    Even {
-        within: (uneven < loads.len()).then_some(uneven as f64 / 2.0),
+    let settled_at = loads.iter().rposition(|l| *l > 1.15).map_or(0, |n| n + 1);
+    Evenness {
+        within: (settled_at < loads.len()).then_some(settled_at as f64 / 2.0),
         worst: loads.iter().copied().fold(0.0, f64::max),
         after_10: loads[19],
     }
 }
 
-/// The figure below which a part of them lies; 0 of none.
+/// The value below which a fraction of the values lies; 0 if there are none.
 pub fn quantile(figures: &[f64], part: f64) -> f64 {
     let mut sorted = figures.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -1,106 +1,106 @@
-//! How a server works, without I/O: cores, a bounded queue, a cold start, freezes, slow spells, crowding.
+//! A model of a server without I/O: cores, a bounded queue, a cold start, freezes, temporary slowdowns and contention.
 //!
-//! A model is told the time with every call, as the time since an origin that its owner chooses, and never runs
-//! backwards. Work is counted in seconds on one warm core.
+//! Every call passes the time since an origin that the caller chooses; it never goes backwards. Work is in seconds on
+//! one warm core of reference speed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Longest step over which a speed that changes is taken for constant.
+/// Longest step over which a changing speed is treated as constant.
 const STEP: Duration = Duration::from_millis(5);
 
-/// What a server is able to do.
+/// The capacity of a server.
 #[derive(Clone, Debug)]
 pub struct Capacity {
-    /// Requests worked on at a time.
+    /// Requests processed concurrently.
     pub cores: usize,
-    /// Requests that may wait; more are turned away unseen.
+    /// Queue capacity; requests beyond it are rejected without being processed.
     pub queue: usize,
-    /// A warm core's speed, 1 where it is that of the yardstick.
+    /// Speed of a warm core, relative to the reference core.
     pub speed: f64,
-    /// How much longer work takes at an empty server, as a part; evenly less up to one that is busy on all cores.
+    /// Extra work on an idle server, as a fraction; falls linearly to 0 when all cores are busy.
     pub cold_cache: f64,
-    /// What holding many requests costs; None: nothing.
+    /// Loss of speed while many requests are held; None for no loss.
     pub contention: Option<Contention>,
-    /// The part of its speed that it starts with, above 0 and at most 1.
+    /// Fraction of the full speed after a start, above 0 and at most 1.
     pub cold_from: f64,
-    /// How long it takes to reach all of it, evenly.
+    /// Time to reach full speed, linearly.
     pub warm_up: Duration,
-    /// A cold server that is given more than this multiple of its present capacity ...
+    /// A cold server collapses if it receives more than this multiple of its current capacity ...
     pub fall_multiple: f64,
-    /// ... over this long is pushed over, and stays down.
+    /// ... within this time, and does not recover.
     pub fall_time: Duration,
 }
 
-/// How a crowded server loses speed: evenly, from `from` requests held on, down to the rest at twice as many.
+/// Loss of speed under contention: grows linearly from `from` held requests to `loss` at twice as many.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Contention {
-    /// Requests held from which it is crowded.
+    /// Held requests at which the loss begins.
     pub from: usize,
-    /// The part of its speed that it has lost at twice as many, below 1.
+    /// Fraction of the speed lost at twice as many, below 1.
     pub loss: f64,
 }
 
-/// A request's name at its server.
+/// Identifies a request at its server.
 pub type Job = u64;
 
-/// What becomes of a request that is offered.
+/// The response to an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It will be worked on, at once or later.
+    /// It will be processed, now or after queueing.
     Accepted,
-    /// It never ran and won't.
+    /// It was not processed and never will be.
     Rejected,
 }
 
-/// What happened to a request inside the server.
+/// Progress of a request inside the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Work on it has begun: from here on it may have had its effect.
+    /// Processing has started; from here on the request may have had its effect.
     Started(Job),
-    /// It is done.
+    /// Processing has completed.
     Completed(Job),
 }
 
-/// A server's word on its load.
+/// A load report of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Requests in hand, those that wait included.
+    /// Requests held, including queued ones.
     pub held: usize,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: usize,
-    /// Busy part of its cores since the last report, from 0 to 1.
+    /// Busy fraction of its cores since the last report, from 0 to 1.
     pub busy: f64,
 }
 
-/// See the module's own words.
+/// The state of a simulated server; see the module documentation.
 #[derive(Debug)]
 pub struct ServerModel {
     capacity: Capacity,
     now: Duration,
-    /// When it started cold; None: it has been warm for ever.
+    /// When it started cold; None if it has always been warm.
     started: Option<Duration>,
     frozen_until: Duration,
-    /// A factor on its speed, and until when.
+    /// A factor on its speed, and when it expires.
     slow: (f64, Duration),
     draining: bool,
-    fallen: bool,
-    /// Those worked on, with what is left to do.
+    collapsed: bool,
+    /// Requests in progress with their remaining work.
     running: Vec<(Job, f64)>,
     waiting: VecDeque<(Job, f64)>,
-    /// What came while it was cold, for as long as it counts towards pushing it over.
+    /// Work received while cold, within the collapse window.
     recent: VecDeque<(Duration, f64)>,
     /// Core-seconds busy and available since the last report.
-    used: (f64, f64),
+    core_time: (f64, f64),
     busy: f64,
-    /// The most that ever waited.
-    most_waiting: usize,
-    /// The most of what a cold server bears that it was ever given.
-    most_borne: f64,
+    /// The maximum queue length so far.
+    max_queued: usize,
+    /// The maximum load while cold, relative to the collapse limit.
+    peak_cold_load: f64,
 }
 
 impl ServerModel {
-    /// Starts at `now`; a server that is not `cold` has all its speed.
+    /// Starts at `now`; a server that is not `cold` runs at full speed.
     pub fn new(capacity: Capacity, now: Duration, cold: bool) -> Self {
         ServerModel {
             capacity,
@@ -109,74 +109,74 @@
             frozen_until: Duration::ZERO,
             slow: (1.0, Duration::ZERO),
             draining: false,
-            fallen: false,
+            collapsed: false,
             running: Vec::new(),
             waiting: VecDeque::new(),
             recent: VecDeque::new(),
-            used: (0.0, 0.0),
+            core_time: (0.0, 0.0),
             busy: 0.0,
-            most_waiting: 0,
-            most_borne: 0.0,
+            max_queued: 0,
+            peak_cold_load: 0.0,
         }
     }
 
-    /// Another of the same kind, from nothing.
-    pub fn fresh(&self, now: Duration, cold: bool) -> Self {
+    /// A new instance with the same capacity and no state.
+    pub fn new_instance(&self, now: Duration, cold: bool) -> Self {
         ServerModel::new(self.capacity.clone(), now, cold)
     }
 
     /// Offers a request with this much work, in seconds.
     pub fn offer(&mut self, now: Duration, job: Job, work: f64, out: &mut Vec<Progress>) -> Admission {
         self.advance(now, out);
-        self.count_towards_fall(work);
+        self.track_cold_load(work);
         if !self.has_room() {
             return Admission::Rejected;
         }
         self.waiting.push_back((job, work));
-        self.begin(out);
-        self.most_waiting = self.most_waiting.max(self.waiting.len());
+        self.start_queued(out);
+        self.max_queued = self.max_queued.max(self.waiting.len());
         Admission::Accepted
     }
 
-    /// Takes it no further until then: it neither works nor speaks.
+    /// Stops processing and responding for `length`.
     pub fn freeze(&mut self, now: Duration, length: Duration, out: &mut Vec<Progress>) {
         self.advance(now, out);
         self.frozen_until = self.frozen_until.max(now + length);
     }
 
-    /// Works at a part of its speed for a while.
+    /// Runs at a fraction of its speed for a while.
     pub fn slow(&mut self, now: Duration, factor: f64, length: Duration, out: &mut Vec<Progress>) {
         self.advance(now, out);
         self.slow = (factor, now + length);
     }
 
-    /// Takes nothing new from now on, or does again.
+    /// Stops or resumes accepting requests.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Takes in a probe that costs this much work, in seconds: what runs is delayed by it.
+    /// Processes a probe that costs this much work, in seconds; it delays the requests in progress.
     pub fn probe(&mut self, now: Duration, cost: f64, out: &mut Vec<Progress>) {
         self.advance(now, out);
         let each = cost / self.capacity.cores as f64;
         self.running.iter_mut().for_each(|(_, left)| *left += each);
     }
 
-    /// When a request with this much work would be done if it were offered now and nothing else came, at the speed
-    /// that it has now; for whoever may see what no node sees. Changes nothing.
-    pub fn foresee(&self, now: Duration, work: f64) -> Duration {
+    /// The time until a request with this much work would complete if it were offered now, nothing else arrived and the
+    /// current speed lasted. Used by oracles; changes nothing.
+    pub fn completion_delay(&self, now: Duration, work: f64) -> Duration {
         let frozen = self.frozen_until.saturating_sub(now);
         let passed =
             (now - self.now).saturating_sub(self.frozen_until.saturating_sub(self.now)).as_secs_f64();
-        let speed = self.pace(now).max(1e-6);
+        let speed = self.unfrozen_speed(now).max(1e-6);
         let held: f64 = self.running.iter().chain(&self.waiting).map(|r| r.1).sum();
         let busy = (self.running.len() as f64).min(self.capacity.cores as f64);
         let ahead = (held - passed * speed * busy).max(0.0) / self.capacity.cores as f64;
         frozen + Duration::from_secs_f64((ahead + work) / speed)
     }
 
-    /// The part of a warm core's speed that each core has when it isn't frozen.
-    pub fn pace(&self, now: Duration) -> f64 {
+    /// Speed of each core relative to a warm core, ignoring a freeze.
+    pub fn unfrozen_speed(&self, now: Duration) -> f64 {
         let slow = if now < self.slow.1 { self.slow.0 } else { 1.0 };
         let crowded = self.capacity.contention.map_or(1.0, |c| {
             let beyond = self.held().saturating_sub(c.from) as f64 / c.from.max(1) as f64;
@@ -186,95 +186,96 @@
         self.capacity.speed * self.warmth(now) * slow * crowded / (1.0 + self.capacity.cold_cache * idle)
     }
 
-    /// Whether somebody waits.
-    pub fn waits(&self) -> bool {
+    /// Whether requests are queued.
+    pub fn has_queue(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Whether it would take one more.
+    /// Whether it would accept another request.
     pub fn has_room(&self) -> bool {
-        !self.draining && !self.fallen && self.waiting.len() < self.capacity.queue
+        !self.draining && !self.collapsed && self.waiting.len() < self.capacity.queue
     }
 
-    /// Whether it may be given this much more work without being pushed over, were it cold.
-    pub fn bears(&self, now: Duration, work: f64) -> bool {
+    /// Whether it can receive this much more work without collapsing; always true once warm.
+    pub fn can_absorb(&self, now: Duration, work: f64) -> bool {
         if self.warmth(now) >= 1.0 {
             return true;
         }
         let window = self.capacity.fall_time;
-        let given: f64 = self.recent.iter().filter(|r| r.0 + window >= now).map(|r| r.1).sum();
-        let able = self.capacity.speed * self.warmth(now) * self.capacity.cores as f64 * window.as_secs_f64();
-        given + work <= self.capacity.fall_multiple * able
+        let received: f64 = self.recent.iter().filter(|r| r.0 + window >= now).map(|r| r.1).sum();
+        let capacity_in_window =
+            self.capacity.speed * self.warmth(now) * self.capacity.cores as f64 * window.as_secs_f64();
+        received + work <= self.capacity.fall_multiple * capacity_in_window
     }
 
-    /// Whether it works at less than its usual speed for a reason of its machine.
+    /// Whether it is slowed down by another program on its machine.
     pub fn slowed(&self, now: Duration) -> bool {
         now < self.slow.1
     }
 
-    /// Whether it neither works nor speaks at this time.
+    /// Whether it is frozen, that is neither processes nor responds, at this time.
     pub fn frozen(&self, now: Duration) -> bool {
         now < self.frozen_until
     }
 
-    /// When it will thaw, or thawed last.
+    /// When the current freeze ends, or the last one ended.
     pub fn frozen_until(&self) -> Duration {
         self.frozen_until
     }
 
-    /// Whether it was pushed over while it was cold.
+    /// Whether it collapsed under load while it was cold.
     pub fn collapsed(&self) -> bool {
-        self.fallen
+        self.collapsed
     }
 
-    /// The most of what a cold server bears that it was ever given: above 1 it was pushed over.
-    pub fn most_borne(&self) -> f64 {
-        self.most_borne
+    /// The maximum load while cold, relative to the collapse limit; above 1 it collapsed.
+    pub fn peak_cold_load(&self) -> f64 {
+        self.peak_cold_load
     }
 
-    /// The most that ever waited.
+    /// The maximum queue length so far.
     pub fn max_queued(&self) -> usize {
-        self.most_waiting
+        self.max_queued
     }
 
-    /// Requests in hand.
+    /// Requests held, including queued ones.
     pub fn held(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Requests that wait.
+    /// Queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Its load, as it would report it now.
+    /// The load it would report now.
     pub fn load(&mut self, now: Duration, out: &mut Vec<Progress>) -> Load {
         self.advance(now, out);
-        let (used, available) = self.used;
-        // Too short a time says nothing: the last word stands.
+        let (core_time, available) = self.core_time;
+        // Keeps the last busy value if the interval is too short to measure.
         if available >= self.capacity.cores as f64 * 2.0 * STEP.as_secs_f64() {
-            (self.busy, self.used) = ((used / available).min(1.0), (0.0, 0.0));
+            (self.busy, self.core_time) = ((core_time / available).min(1.0), (0.0, 0.0));
         }
         Load { held: self.held(), waiting: self.waiting.len(), busy: self.busy }
     }
 
-    /// Works up to `now` and says what came of it, in order.
+    /// Advances to `now` and appends the progress made, in order.
     pub fn advance(&mut self, now: Duration, out: &mut Vec<Progress>) {
         while self.now < now {
             let step = self.step().min(now - self.now);
             let work = self.speed() * step.as_secs_f64();
-            self.used.0 += self.running.len() as f64 * step.as_secs_f64();
-            self.used.1 += self.capacity.cores as f64 * step.as_secs_f64();
+            self.core_time.0 += self.running.len() as f64 * step.as_secs_f64();
+            self.core_time.1 += self.capacity.cores as f64 * step.as_secs_f64();
             self.now += step;
             let done = |left: f64| left <= 1e-9;
             self.running.iter_mut().for_each(|(_, left)| *left -= work);
             out.extend(self.running.iter().filter(|r| done(r.1)).map(|r| Progress::Completed(r.0)));
             self.running.retain(|r| !done(r.1));
-            self.begin(out);
+            self.start_queued(out);
         }
     }
 
-    /// When it should be looked at next, if nothing else happens; None: it has nothing to do.
+    /// When to advance it next if nothing else happens; None if it is idle.
     pub fn next_event(&self) -> Option<Duration> {
         match (self.frozen(self.now), self.held()) {
             (_, 0) => None,
@@ -283,29 +284,29 @@
         }
     }
 
-    /// The part of a warm core's speed that each core has now.
+    /// Current speed of each core relative to a warm core; 0 during a freeze.
     fn speed(&self) -> f64 {
         if self.frozen(self.now) {
             return 0.0;
         }
-        self.pace(self.now)
+        self.unfrozen_speed(self.now)
     }
 
-    /// The part of its speed that it has after a start, from its coldest to 1.
+    /// Fraction of the full speed reached since the start, from `cold_from` to 1.
     pub fn warmth(&self, now: Duration) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = now.saturating_sub(started).as_secs_f64() / self.capacity.warm_up.as_secs_f64().max(1e-9);
         (self.capacity.cold_from + (1.0 - self.capacity.cold_from) * age).min(1.0)
     }
 
-    /// How long its speed holds and nothing is done.
+    /// The time for which the speed is constant and no request completes.
     fn step(&self) -> Duration {
         let until = |at: Duration| at.checked_sub(self.now).filter(|d| !d.is_zero());
         if self.frozen(self.now) {
             return self.frozen_until - self.now;
         }
         let soonest = self.running.iter().map(|r| r.1).fold(f64::INFINITY, f64::min) / self.speed();
-        // Rounded up, so that what is due is done then.
+        // Rounded up, so that a request that is due completes within the step.
         let mut step = match soonest.is_finite() {
             true => Duration::from_secs_f64(soonest.max(0.0)) + Duration::from_nanos(1),
             false => Duration::MAX,
@@ -317,7 +318,7 @@
         step.max(Duration::from_nanos(1))
     }
 
-    fn begin(&mut self, out: &mut Vec<Progress>) {
+    fn start_queued(&mut self, out: &mut Vec<Progress>) {
         if self.frozen(self.now) {
             return;
         }
@@ -328,7 +329,7 @@
         }
     }
 
-    fn count_towards_fall(&mut self, work: f64) {
+    fn track_cold_load(&mut self, work: f64) {
         if self.warmth(self.now) >= 1.0 {
             return self.recent.clear();
         }
@@ -337,12 +338,12 @@
         while self.recent.front().is_some_and(|r| r.0 + window < self.now) {
             self.recent.pop_front();
         }
-        let given: f64 = self.recent.iter().map(|r| r.1).sum();
-        let able =
+        let received: f64 = self.recent.iter().map(|r| r.1).sum();
+        let capacity_in_window =
             self.capacity.speed * self.warmth(self.now) * self.capacity.cores as f64 * window.as_secs_f64();
-        let borne = given / (self.capacity.fall_multiple * able).max(1e-12);
-        self.most_borne = self.most_borne.max(borne);
-        self.fallen |= borne > 1.0;
+        let cold_load = received / (self.capacity.fall_multiple * capacity_in_window).max(1e-12);
+        self.peak_cold_load = self.peak_cold_load.max(cold_load);
+        self.collapsed |= cold_load > 1.0;
     }
 }
 
@@ -371,9 +372,9 @@
     fn works_on_so_many_at_a_time_and_turns_the_rest_away() {
         let mut model = ServerModel::new(capacity(2, 1), Duration::ZERO, false);
         let mut out = Vec::new();
-        let taken: Vec<_> = (0..4).map(|j| model.offer(Duration::ZERO, j, 0.010, &mut out)).collect();
+        let accepted: Vec<_> = (0..4).map(|j| model.offer(Duration::ZERO, j, 0.010, &mut out)).collect();
         use Admission::*;
-        assert_eq!(taken, [Accepted, Accepted, Accepted, Rejected]);
+        assert_eq!(accepted, [Accepted, Accepted, Accepted, Rejected]);
         assert_eq!(out, [Progress::Started(0), Progress::Started(1)]);
         out.clear();
         model.advance(11 * MS, &mut out);
@@ -412,7 +413,7 @@
             }
             now.as_secs_f64()
         };
-        // At a quarter of its speed 20 ms would take 80; it gains three quarters a second meanwhile.
+        // At a constant quarter of the speed 20 ms of work would take 80 ms; the speed rises by 0.75 per second.
         assert!((0.070..0.080).contains(&time(true)), "{}", time(true));
         assert!((0.020..0.022).contains(&time(false)));
     }
@@ -435,22 +436,22 @@
         assert_eq!(model.offer(2000 * MS, 50, 0.010, &mut out), Admission::Rejected);
     }
 
-    /// What is foreseen is what comes to pass where nothing else does, over a freeze and a crowd too.
+    /// The predicted completion is exact if nothing else happens, also across a freeze and under contention.
     #[test]
     fn foresight_is_right_where_nothing_comes_between() {
         let mut model = ServerModel::new(Capacity { speed: 0.5, ..capacity(1, 9) }, Duration::ZERO, false);
         let mut out = Vec::new();
         model.offer(Duration::ZERO, 1, 0.010, &mut out);
         model.freeze(5 * MS, 30 * MS, &mut out);
-        let foreseen = 8 * MS + model.foresee(8 * MS, 0.004);
+        let predicted = 8 * MS + model.completion_delay(8 * MS, 0.004);
         model.offer(8 * MS, 2, 0.004, &mut out);
         while let Some(next) = model.next_event() {
             model.advance(next, &mut out);
         }
-        // 20 ms of the first, 30 of the freeze, 8 of the second.
+        // 20 ms for the first request, 30 ms frozen, 8 ms for the second request.
         assert!(
-            foreseen.abs_diff(58 * MS) < MS && model.now.abs_diff(58 * MS) < MS,
-            "{foreseen:?} {:?}",
+            predicted.abs_diff(58 * MS) < MS && model.now.abs_diff(58 * MS) < MS,
+            "{predicted:?} {:?}",
             model.now
         );
     }
@@ -477,8 +478,8 @@
     }
 
     proptest! {
-        /// Whatever comes, each request that is taken is begun once and done once, never more run than there are cores,
-        /// and no more is done than time and cores allow.
+        /// For any sequence of events: each accepted request starts once and completes once, no more requests run than
+        /// there are cores, and the total work does not exceed the available core time.
         #[test]
         fn all_that_is_taken_is_done_once(
             cores in 1usize..4,
@@ -486,7 +487,7 @@
             events in prop::collection::vec((0u64..20, 0u8..6, 1u64..30), 1..80),
         ) {
             let mut model = ServerModel::new(capacity(cores, 8), Duration::ZERO, cold);
-            let (mut now, mut out, mut taken, mut work) = (Duration::ZERO, Vec::new(), Vec::new(), 0.0);
+            let (mut now, mut out, mut accepted, mut work) = (Duration::ZERO, Vec::new(), Vec::new(), 0.0);
             for (job, (wait, kind, size)) in events.into_iter().enumerate() {
                 now += wait as u32 * MS;
                 match kind {
@@ -494,20 +495,20 @@
                     1 => model.slow(now, 0.5, size as u32 * MS, &mut out),
                     _ => {
                         if model.offer(now, job as u64, size as f64 / 1e3, &mut out) == Admission::Accepted {
-                            taken.push(job as u64);
+                            accepted.push(job as u64);
                             work += size as f64 / 1e3;
                         }
                     }
                 }
                 prop_assert!(model.running.len() <= cores);
             }
-            let mut looks = 0;
+            let mut steps = 0;
             while let Some(next) = model.next_event() {
                 model.advance(next, &mut out);
-                looks += 1;
-                prop_assert!(looks < 100_000, "it never ends");
+                steps += 1;
+                prop_assert!(steps < 100_000, "it never ends");
             }
-            for job in &taken {
+            for job in &accepted {
                 let at = |p| out.iter().position(|o| *o == p);
                 prop_assert_eq!(out.iter().filter(|o| **o == Progress::Started(*job)).count(), 1);
                 prop_assert_eq!(out.iter().filter(|o| **o == Progress::Completed(*job)).count(), 1);
--- a/crates/lab/src/parallel.rs
+++ b/crates/lab/src/parallel.rs
@@ -1,20 +1,21 @@
-//! Runs that have nothing to do with each other, on several cores.
+//! Runs independent simulations on several cores.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Runs all of them on all cores; results in their order.
-pub fn all<I: Sync, O: Send + Default + Clone>(inputs: &[I], run: impl Fn(&I) -> O + Sync) -> Vec<O> {
-    at_a_time(cores(), inputs, run)
+/// Maps all inputs on all cores; the results keep the order of the inputs.
+pub fn map<I: Sync, O: Send + Default + Clone>(inputs: &[I], run: impl Fn(&I) -> O + Sync) -> Vec<O> {
+    map_with_jobs(cores(), inputs, run)
 }
 
-/// Cores that this process may use.
+/// Cores available to this process.
 pub fn cores() -> usize {
     std::thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// Runs so many at a time, for those whose memory is the bound; results in their order.
-pub fn at_a_time<I: Sync, O: Send + Default + Clone>(
+/// Maps all inputs with at most `jobs` at a time, for runs that memory limits; the results keep the order of the
+/// inputs.
+pub fn map_with_jobs<I: Sync, O: Send + Default + Clone>(
     jobs: usize,
     inputs: &[I],
     run: impl Fn(&I) -> O + Sync,
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -1,23 +1,23 @@
-//! What decides in a node: birchswitch's own decisions, peers from the literature, and oracles.
+//! The policies that decide in a node: birchswitch's own decisions, peers from the literature, and oracles.
 //!
-//! Peers are written from public descriptions and tuned to nothing here. They choose a server for each attempt, try
-//! again where the rules surely allow it, and refuse nothing while a server is listed:
+//! Peers are written from public descriptions and not tuned. They choose a server for each attempt, retry where the
+//! rules surely allow it, and refuse nothing while a server is listed:
 //!
-//! - [`Peer::Random`]: evenly among the listed servers.
-//! - [`Peer::LeastOutstanding`]: the fewest of this node's own attempts out, ties by chance.
-//! - [`Peer::PeakEwma`]: the better of two by peak-sensitive moving latency times own attempts out (Finagle's "power of
-//!   two choices with peak EWMA"; decay 10 s, its default).
+//! - [`Peer::Random`]: uniformly among the listed servers.
+//! - [`Peer::LeastOutstanding`]: the fewest outstanding attempts of this node, ties at random.
+//! - [`Peer::PeakEwma`]: the better of two by peak-sensitive moving latency times outstanding attempts (Finagle's
+//!   "power of two choices with peak EWMA"; decay 10 s, its default).
 //! - [`Peer::Subset`]: weighted round robin over a subset of [`SUBSET`] servers, weights by served answers over
 //!   latency (after "Load Balancing in the Datacenter", Beyer et al., Site Reliability Engineering, chapter 20).
-//! - [`Peer::Aperture`]: the fewest own attempts out of two drawn from the [`APERTURE`] servers that follow the node's
-//!   place on a ring that all nodes share (Finagle's deterministic aperture; its least size).
-//! - [`Peer::Bounded`]: an oracle with no more than the reports, shared by all nodes: it keeps what all nodes have sent
-//!   and heard in one place and sends each request where the least is in hand, knows no server's speed or freeze, and
-//!   refuses what that bound says is late. What it reaches no node can be blamed for missing.
-//! - [`Peer::Oracle`]: it sees every queue, freeze and speed at the moment, and chooses whoever is done first. It
-//!   refuses what nobody can do in time.
-
-use crate::hall::Hall;
+//! - [`Peer::Aperture`]: the fewest outstanding attempts out of two drawn from the [`APERTURE`] servers that follow the
+//!   node's position on a ring that all nodes share (Finagle's deterministic aperture; its minimum size).
+//! - [`Peer::Bounded`]: an oracle limited to the nodes' own observations, which all nodes share: it tracks everything
+//!   that all nodes sent and received, sends each request where the least work is outstanding, does not know the
+//!   servers' speeds or freezes, and refuses what that bound predicts to be late. A node cannot be expected to do better.
+//! - [`Peer::Oracle`]: it sees the current queues, freezes and speeds, and chooses the server that completes first. It
+//!   refuses what no server can complete in time.
+
+use crate::pool::ServerPool;
 use crate::rng::Rng;
 use birchswitch_engine::Policy;
 use finchvale::{
@@ -29,38 +29,39 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Servers to which a subset balancer of a node keeps.
+/// Servers in the subset of a node.
 pub const SUBSET: usize = 20;
 /// Servers in a deterministic aperture.
 pub const APERTURE: usize = 12;
-/// What an oracle allows a request to be late by its hint, as a part of its work: where nobody waits, and where all do.
+/// How late a request may be by its hint for an oracle to admit it, as a fraction of its work: when no server has
+/// queued requests, and when all have.
 const ORACLE_SLACK: [f64; 2] = [0.33, -0.8];
-/// Seconds over which the latency of a peak EWMA is forgotten.
+/// Decay time of the peak EWMA latency, in seconds.
 const DECAY: f64 = 10.0;
 
-/// Whatever may decide.
+/// The policies under comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Peer {
     /// birchswitch's own decisions.
     Own,
-    /// See the module's words.
+    /// See the module documentation.
     Random,
-    /// See the module's words.
+    /// See the module documentation.
     LeastOutstanding,
-    /// See the module's words.
+    /// See the module documentation.
     PeakEwma,
-    /// See the module's words.
+    /// See the module documentation.
     Subset,
-    /// See the module's words.
+    /// See the module documentation.
     Aperture,
-    /// See the module's words.
+    /// See the module documentation.
     Bounded,
-    /// See the module's words.
+    /// See the module documentation.
     Oracle,
 }
 
 impl Peer {
-    /// All of them.
+    /// All policies.
     pub const ALL: [Peer; 8] = [
         Peer::Own,
         Peer::Random,
@@ -72,7 +73,7 @@
         Peer::Oracle,
     ];
 
-    /// Its name on the command line and in tables.
+    /// The name on the command line and in tables.
     pub fn name(self) -> &'static str {
         match self {
             Peer::Own => "own",
@@ -86,41 +87,41 @@
         }
     }
 
-    /// Whether it sees what no node sees.
-    pub fn sees_all(self) -> bool {
+    /// Whether it uses information that no node has.
+    pub fn is_oracle(self) -> bool {
         matches!(self, Peer::Bounded | Peer::Oracle)
     }
 
-    /// What decides in one node.
-    pub fn decide(
+    /// Creates the policy of one node.
+    pub fn build_policy(
         self,
         settings: Settings,
         seed: u64,
         now: Time,
-        hall: &Rc<RefCell<Hall>>,
-        together: &Rc<RefCell<Together>>,
+        pool: &Rc<RefCell<ServerPool>>,
+        shared: &Rc<RefCell<SharedView>>,
     ) -> Result<Box<dyn Policy>, SettingsError> {
         settings.check()?;
-        let chance = Rng::new(seed, 77);
-        let pick: Box<dyn Pick> = match self {
+        let rng = Rng::new(seed, 77);
+        let select: Box<dyn Selector> = match self {
             Peer::Own => return Ok(Box::new(Balancer::new(settings, seed, now)?)),
             Peer::Random => Box::new(Random),
             Peer::LeastOutstanding => Box::new(LeastOutstanding::default()),
             Peer::PeakEwma => Box::new(PeakEwma::default()),
             Peer::Subset => Box::new(Subset { rank: seed, known: FxHashMap::default() }),
             Peer::Aperture => Box::new(Aperture {
-                begins: f64::from(settings.node_index.unwrap_or(0)) / f64::from(settings.nodes),
+                ring_position: f64::from(settings.node_index.unwrap_or(0)) / f64::from(settings.nodes),
                 out: LeastOutstanding::default(),
             }),
-            Peer::Bounded => Box::new(Bounded { together: together.clone(), hall: hall.clone() }),
-            Peer::Oracle => Box::new(Oracle { hall: hall.clone() }),
+            Peer::Bounded => Box::new(Bounded { shared: shared.clone(), pool: pool.clone() }),
+            Peer::Oracle => Box::new(Oracle { pool: pool.clone() }),
         };
-        Ok(Box::new(Chooser { settings, chance, pick, ready: Vec::new(), requests: FxHashMap::default() }))
+        Ok(Box::new(PeerPolicy { settings, rng, select, ready: Vec::new(), requests: FxHashMap::default() }))
     }
 }
 
-/// One request as choosers see it.
-struct Wanted {
+/// A request in progress.
+struct PendingRequest {
     arrival: Arrival,
     arrived: Time,
     tried: Vec<(ServerId, Time)>,
@@ -128,55 +129,55 @@
     may_have_run: bool,
 }
 
-impl Wanted {
-    /// Work as hinted, in seconds; 0.1 where no hint came.
+impl PendingRequest {
+    /// Hinted work in seconds; 0.1 without a hint.
     fn work(&self) -> f64 {
         self.arrival.work.map_or(0.1, |w| w.as_secs_f64())
     }
 }
 
-/// What an attempt may go to, and by when it would be in time.
-struct Choice<'a> {
+/// The servers that an attempt may use, and the time by which it has to complete.
+struct Candidates<'a> {
     now: Time,
     servers: &'a [ServerEntry],
-    wanted: &'a Wanted,
+    request: &'a PendingRequest,
     aim: Time,
 }
 
-/// How a peer chooses.
-trait Pick {
-    /// A place in `choice.servers`, which is not empty; None: the request is refused.
-    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize>;
-    /// An attempt went out.
+/// A server selection algorithm.
+trait Selector {
+    /// Returns an index into `choice.servers`, which is not empty; None refuses the request.
+    fn select(&mut self, candidates: &Candidates, rng: &mut Rng) -> Option<usize>;
+    /// An attempt was sent.
     fn sent(&mut self, _: Time, _: ServerId, _: f64) {}
-    /// An attempt ended after this long.
+    /// An attempt ended after this latency.
     fn ended(&mut self, _: Time, _: ServerId, _: f64, _: Outcome, _: Duration) {}
 }
 
-/// The ledger that all peers share: what is listed, what is out, and when another attempt is surely allowed.
-struct Chooser {
+/// The bookkeeping that all peers share: listed servers, requests in progress, and when another attempt is safe.
+struct PeerPolicy {
     settings: Settings,
-    chance: Rng,
-    pick: Box<dyn Pick>,
+    rng: Rng,
+    select: Box<dyn Selector>,
     ready: Vec<ServerEntry>,
-    requests: FxHashMap<RequestId, Wanted>,
+    requests: FxHashMap<RequestId, PendingRequest>,
 }
 
-impl Chooser {
-    fn place(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(wanted) = self.requests.get(&id) else { return };
+impl PeerPolicy {
+    fn dispatch(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
         let open: Vec<ServerEntry> =
-            self.ready.iter().filter(|s| wanted.tried.iter().all(|t| t.0 != s.server)).cloned().collect();
-        let class = &self.settings.classes[usize::from(wanted.arrival.class.0)];
-        let choice = Choice { now, servers: &open, wanted, aim: wanted.arrived + class.aim };
-        let picked = (!open.is_empty()).then(|| self.pick.pick(&choice, &mut self.chance)).flatten();
-        let work = wanted.work();
+            self.ready.iter().filter(|s| request.tried.iter().all(|t| t.0 != s.server)).cloned().collect();
+        let class = &self.settings.classes[usize::from(request.arrival.class.0)];
+        let candidates = Candidates { now, servers: &open, request, aim: request.arrived + class.aim };
+        let picked = (!open.is_empty()).then(|| self.select.select(&candidates, &mut self.rng)).flatten();
+        let work = request.work();
         match (picked, self.requests.get_mut(&id)) {
-            (Some(i), Some(wanted)) => {
+            (Some(i), Some(request)) => {
                 let server = open[i].server;
-                wanted.tried.push((server, now));
-                wanted.out = true;
-                self.pick.sent(now, server, work);
+                request.tried.push((server, now));
+                request.out = true;
+                self.select.sent(now, server, work);
                 actions.push(Action::Send { request: id, server, limit: None });
             }
             _ => self.give_up(id, actions),
@@ -184,11 +185,11 @@
     }
 
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(wanted) = self.requests.remove(&id) else { return };
-        let class = &self.settings.classes[usize::from(wanted.arrival.class.0)];
-        let harmless = matches!(class.effect, Effect::Safe) || !wanted.may_have_run;
+        let Some(request) = self.requests.remove(&id) else { return };
+        let class = &self.settings.classes[usize::from(request.arrival.class.0)];
+        let safe_to_retry = matches!(class.effect, Effect::Safe) || !request.may_have_run;
         let wait = self.settings.max_retry_after;
-        actions.push(if harmless {
+        actions.push(if safe_to_retry {
             Action::Refuse { request: id, wait, why: Refusal::NoServer }
         } else {
             Action::Fail { request: id }
@@ -196,7 +197,7 @@
     }
 }
 
-impl Policy for Chooser {
+impl Policy for PeerPolicy {
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::List { kind, entries } => {
@@ -213,31 +214,31 @@
             }
             Event::Arrival(arrival) => {
                 let (tried, out) = (Vec::new(), false);
-                let wanted = Wanted { arrival, arrived: now, tried, out, may_have_run: false };
-                self.requests.insert(arrival.request, wanted);
-                self.place(now, arrival.request, actions);
+                let request = PendingRequest { arrival, arrived: now, tried, out, may_have_run: false };
+                self.requests.insert(arrival.request, request);
+                self.dispatch(now, arrival.request, actions);
             }
             Event::AttemptEnded(end) => {
-                let Some(wanted) = self.requests.get_mut(&end.request) else { return };
-                wanted.out = false;
-                wanted.may_have_run |= !end.outcome.never_ran();
-                let (ran, tries, work) = (wanted.may_have_run, wanted.tried.len(), wanted.work());
-                self.pick.ended(now, end.server, work, end.outcome, end.latency);
+                let Some(request) = self.requests.get_mut(&end.request) else { return };
+                request.out = false;
+                request.may_have_run |= !end.outcome.never_ran();
+                let (ran, tries, work) = (request.may_have_run, request.tried.len(), request.work());
+                self.select.ended(now, end.server, work, end.outcome, end.latency);
                 if end.closed || end.outcome == Outcome::Served {
                     self.requests.remove(&end.request);
                 } else if ran || tries as u32 >= self.settings.max_attempts {
                     self.give_up(end.request, actions);
                 } else {
-                    self.place(now, end.request, actions);
+                    self.dispatch(now, end.request, actions);
                 }
             }
             Event::ClientGone { request } => {
-                // What is out still counts until its end is told.
+                // An attempt that is out still counts until it ends.
                 if self.requests.get(&request).is_some_and(|w| !w.out) {
                     self.requests.remove(&request);
                 }
             }
-            // Peers stay where they were told that they stand.
+            // Peers do not use these events; their position on the ring is fixed by the settings.
             Event::ResponseStarted { .. }
             | Event::RequestWritten { .. }
             | Event::Timer { .. }
@@ -250,9 +251,9 @@
 
 struct Random;
 
-impl Pick for Random {
-    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
-        Some(chance.below(choice.servers.len()))
+impl Selector for Random {
+    fn select(&mut self, candidates: &Candidates, rng: &mut Rng) -> Option<usize> {
+        Some(rng.below(candidates.servers.len()))
     }
 }
 
@@ -261,13 +262,13 @@
     out: FxHashMap<ServerId, u32>,
 }
 
-impl Pick for LeastOutstanding {
-    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
+impl Selector for LeastOutstanding {
+    fn select(&mut self, candidates: &Candidates, rng: &mut Rng) -> Option<usize> {
         let out = |s: &ServerEntry| self.out.get(&s.server).copied().unwrap_or(0);
-        let least = choice.servers.iter().map(out).min()?;
+        let least = candidates.servers.iter().map(out).min()?;
         let ties: Vec<usize> =
-            (0..choice.servers.len()).filter(|&i| out(&choice.servers[i]) == least).collect();
-        Some(ties[chance.below(ties.len())])
+            (0..candidates.servers.len()).filter(|&i| out(&candidates.servers[i]) == least).collect();
+        Some(ties[rng.below(ties.len())])
     }
 
     fn sent(&mut self, _: Time, server: ServerId, _: f64) {
@@ -282,19 +283,19 @@
 
 #[derive(Default)]
 struct PeakEwma {
-    /// Smoothed seconds, when they were last moved, and attempts out.
+    /// Smoothed latency in seconds, when it was updated, and outstanding attempts.
     known: FxHashMap<ServerId, (f64, Time, u32)>,
 }
 
-impl Pick for PeakEwma {
-    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
-        let n = choice.servers.len();
-        let a = chance.below(n);
-        let b = if n > 1 { (a + 1 + chance.below(n - 1)) % n } else { a };
+impl Selector for PeakEwma {
+    fn select(&mut self, candidates: &Candidates, rng: &mut Rng) -> Option<usize> {
+        let n = candidates.servers.len();
+        let a = rng.below(n);
+        let b = if n > 1 { (a + 1 + rng.below(n - 1)) % n } else { a };
         let cost = |i: usize| {
             let (latency, at, out) =
-                self.known.get(&choice.servers[i].server).copied().unwrap_or((0.0, choice.now, 0));
-            latency * (-(choice.now - at).as_secs_f64() / DECAY).exp() * f64::from(out + 1)
+                self.known.get(&candidates.servers[i].server).copied().unwrap_or((0.0, candidates.now, 0));
+            latency * (-(candidates.now - at).as_secs_f64() / DECAY).exp() * f64::from(out + 1)
         };
         Some(if cost(a) <= cost(b) { a } else { b })
     }
@@ -307,7 +308,7 @@
         let (cost, at, out) = self.known.entry(server).or_insert((0.0, now, 0));
         let latency = latency.as_secs_f64();
         let keep = (-(now - *at).as_secs_f64() / DECAY).exp();
-        // A peak is believed at once, a better time by and by.
+        // A higher latency is adopted immediately, a lower one gradually.
         *cost = if latency > *cost { latency } else { *cost * keep + latency * (1.0 - keep) };
         (*at, *out) = (now, out.saturating_sub(1));
     }
@@ -315,27 +316,28 @@
 
 struct Subset {
     rank: u64,
-    /// Answers served and their seconds, both fading, and the credit of the round robin.
+    /// Smoothed success rate, smoothed latency in seconds, and round-robin credit.
     known: FxHashMap<ServerId, (f64, f64, f64)>,
 }
 
-impl Pick for Subset {
-    fn pick(&mut self, choice: &Choice, _: &mut Rng) -> Option<usize> {
+impl Selector for Subset {
+    fn select(&mut self, candidates: &Candidates, _: &mut Rng) -> Option<usize> {
         let rank = |s: &ServerEntry| Rng::new(self.rank, u64::from(s.server.0)).bits();
-        let mut own: Vec<usize> = (0..choice.servers.len()).collect();
-        own.sort_by_key(|&i| rank(&choice.servers[i]));
+        let mut own: Vec<usize> = (0..candidates.servers.len()).collect();
+        own.sort_by_key(|&i| rank(&candidates.servers[i]));
         own.truncate(SUBSET);
-        // Smooth weighted round robin: each gains its weight, the richest is taken and pays for all.
+        // Smooth weighted round robin: each server gains its weight, and the one with the most credit is chosen and
+        // pays the sum.
         let mut all = 0.0;
         for &i in &own {
-            let known = self.known.entry(choice.servers[i].server).or_insert((1.0, 0.1, 0.0));
+            let known = self.known.entry(candidates.servers[i].server).or_insert((1.0, 0.1, 0.0));
             let weight = known.0 / known.1.max(1e-3);
             known.2 += weight;
             all += weight;
         }
-        let credit = |i: &usize| self.known[&choice.servers[*i].server].2;
+        let credit = |i: &usize| self.known[&candidates.servers[*i].server].2;
         let best = own.iter().copied().max_by(|a, b| credit(a).total_cmp(&credit(b)).then(b.cmp(a)))?;
-        self.known.entry(choice.servers[best].server).and_modify(|k| k.2 -= all);
+        self.known.entry(candidates.servers[best].server).and_modify(|k| k.2 -= all);
         Some(best)
     }
 
@@ -348,20 +350,20 @@
 }
 
 struct Aperture {
-    /// The node's place on the ring.
-    begins: f64,
+    /// The node's position on the ring.
+    ring_position: f64,
     out: LeastOutstanding,
 }
 
-impl Pick for Aperture {
-    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
-        let n = choice.servers.len();
+impl Selector for Aperture {
+    fn select(&mut self, candidates: &Candidates, rng: &mut Rng) -> Option<usize> {
+        let n = candidates.servers.len();
         let mut ring: Vec<usize> = (0..n).collect();
-        ring.sort_by_key(|&i| Rng::new(choice.servers[i].name, 0).bits());
-        ring.rotate_left(((self.begins * n as f64) as usize).min(n));
+        ring.sort_by_key(|&i| Rng::new(candidates.servers[i].name, 0).bits());
+        ring.rotate_left(((self.ring_position * n as f64) as usize).min(n));
         ring.truncate(APERTURE);
-        let out = |i: &usize| self.out.out.get(&choice.servers[*i].server).copied().unwrap_or(0);
-        let two = [(); 2].map(|()| ring[chance.below(ring.len())]);
+        let out = |i: &usize| self.out.out.get(&candidates.servers[*i].server).copied().unwrap_or(0);
+        let two = [(); 2].map(|()| ring[rng.below(ring.len())]);
         two.into_iter().min_by_key(out)
     }
 
@@ -374,55 +376,60 @@
     }
 }
 
-/// What the nodes of a bounded oracle know together.
+/// State that the nodes of a bounded oracle share.
 #[derive(Debug, Default)]
-pub struct Together {
-    /// Hinted work in hand at each server, and since when nothing was heard of it while it had some.
+pub struct SharedView {
+    /// Hinted work and requests outstanding at each server, and the time of its last answer or of the first request
+    /// since.
     out: FxHashMap<ServerId, (f64, u32, Time)>,
-    /// Servers that turned away or failed, and when.
-    shut: FxHashMap<ServerId, Time>,
+    /// Servers that rejected or failed a request, and when.
+    failed: FxHashMap<ServerId, Time>,
 }
 
 struct Bounded {
-    together: Rc<RefCell<Together>>,
-    hall: Rc<RefCell<Hall>>,
+    shared: Rc<RefCell<SharedView>>,
+    pool: Rc<RefCell<ServerPool>>,
 }
 
-/// Seconds for which a server that failed somebody is left alone by the bounded oracle.
-const SHUT: f64 = 1.0;
+/// Seconds for which the bounded oracle avoids a server after a failure.
+const FAILURE_AVOIDANCE: f64 = 1.0;
 
-impl Pick for Bounded {
-    fn pick(&mut self, choice: &Choice, chance: &mut Rng) -> Option<usize> {
-        let together = self.together.borrow();
-        let hall = self.hall.borrow();
-        let from = chance.below(choice.servers.len());
+impl Selector for Bounded {
+    fn select(&mut self, candidates: &Candidates, rng: &mut Rng) -> Option<usize> {
+        let shared = self.shared.borrow();
+        let pool = self.pool.borrow();
+        let from = rng.below(candidates.servers.len());
         let wait = |i: usize| {
-            let s = &choice.servers[i];
+            let s = &candidates.servers[i];
             let age = s.started.map_or(1.0, |at| {
-                let rules = &hall.rules;
-                let age = (choice.now - at).as_secs_f64() / rules.warm_up.as_secs_f64();
+                let rules = &pool.rules;
+                let age = (candidates.now - at).as_secs_f64() / rules.warm_up.as_secs_f64();
                 (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
             });
-            let shut = together.shut.get(&s.server).is_some_and(|t| (choice.now - *t).as_secs_f64() < SHUT);
-            let (work, count, heard) = together.out.get(&s.server).copied().unwrap_or((0.0, 0, choice.now));
-            // Silence for longer than what it holds takes is a freeze, as far as anybody can tell.
-            let silent = (choice.now - heard).as_secs_f64();
+            let failed = shared
+                .failed
+                .get(&s.server)
+                .is_some_and(|t| (candidates.now - *t).as_secs_f64() < FAILURE_AVOIDANCE);
+            let (work, count, last_answer) =
+                shared.out.get(&s.server).copied().unwrap_or((0.0, 0, candidates.now));
+            // Silence for longer than the outstanding work takes indicates a freeze.
+            let silent = (candidates.now - last_answer).as_secs_f64();
             let overdue = if count > 0 { (silent - 2.0 * work).max(0.0) } else { 0.0 };
-            // What is being worked on is done in part.
+            // Part of the outstanding work is already done.
             let left = (work - silent.min(0.5 * work)).max(0.0);
-            (left + choice.wanted.work()) / age + overdue + if shut { 1e3 } else { 0.0 }
+            (left + candidates.request.work()) / age + overdue + if failed { 1e3 } else { 0.0 }
         };
-        let n = choice.servers.len();
+        let n = candidates.servers.len();
         let best = (0..n).map(|k| (from + k) % n).min_by(|a, b| wait(*a).total_cmp(&wait(*b)))?;
-        let held: u32 = together.out.values().map(|o| o.1).sum();
-        let crowded = (f64::from(held) / n as f64 - 1.0).clamp(0.0, 1.0);
-        let done = choice.now + Duration::from_secs_f64(wait(best).min(1e6));
-        worth_it(done, choice, crowded).then_some(best)
+        let held: u32 = shared.out.values().map(|o| o.1).sum();
+        let queued = (f64::from(held) / n as f64 - 1.0).clamp(0.0, 1.0);
+        let done = candidates.now + Duration::from_secs_f64(wait(best).min(1e6));
+        admits(done, candidates, queued).then_some(best)
     }
 
     fn sent(&mut self, now: Time, server: ServerId, work: f64) {
-        let mut together = self.together.borrow_mut();
-        let out = together.out.entry(server).or_insert((0.0, 0, now));
+        let mut shared = self.shared.borrow_mut();
+        let out = shared.out.entry(server).or_insert((0.0, 0, now));
         if out.1 == 0 {
             out.2 = now;
         }
@@ -430,36 +437,39 @@
     }
 
     fn ended(&mut self, now: Time, server: ServerId, work: f64, outcome: Outcome, _: Duration) {
-        let mut together = self.together.borrow_mut();
-        let out = together.out.entry(server).or_insert((0.0, 0, now));
+        let mut shared = self.shared.borrow_mut();
+        let out = shared.out.entry(server).or_insert((0.0, 0, now));
         (out.0, out.1, out.2) = ((out.0 - work).max(0.0), out.1.saturating_sub(1), now);
         if !matches!(outcome, Outcome::Served | Outcome::NotSent | Outcome::Cancelled) {
-            together.shut.insert(server, now);
+            shared.failed.insert(server, now);
         }
     }
 }
 
 struct Oracle {
-    hall: Rc<RefCell<Hall>>,
+    pool: Rc<RefCell<ServerPool>>,
 }
 
-impl Pick for Oracle {
-    fn pick(&mut self, choice: &Choice, _: &mut Rng) -> Option<usize> {
-        let hall = self.hall.borrow();
-        let done = |i: usize| hall.done(choice.now, choice.servers[i].server, choice.wanted.work());
-        let all = (0..choice.servers.len()).filter_map(|i| Some((done(i)?, i)));
+impl Selector for Oracle {
+    fn select(&mut self, candidates: &Candidates, _: &mut Rng) -> Option<usize> {
+        let pool = self.pool.borrow();
+        let done = |i: usize| {
+            pool.completion_time(candidates.now, candidates.servers[i].server, candidates.request.work())
+        };
+        let all = (0..candidates.servers.len()).filter_map(|i| Some((done(i)?, i)));
         let (at, best) = all.min()?;
-        worth_it(at, choice, hall.crowded()).then_some(best)
+        admits(at, candidates, pool.queued_fraction()).then_some(best)
     }
 }
 
-/// Whether an oracle lets a request in that should be done then. Work is a hint that may be too high or too low: while
-/// there is room, what should be late by a third of it is tried still; where many wait, only what surely makes it.
-fn worth_it(done: Time, choice: &Choice, crowded: f64) -> bool {
-    let margin = choice.wanted.work() * (ORACLE_SLACK[0] + (ORACLE_SLACK[1] - ORACLE_SLACK[0]) * crowded);
+/// Whether an oracle admits a request that is predicted to complete at `done`. The hinted work may be too high or too
+/// low: without queues a request is admitted even if it is predicted to be late by a third of its work; with many
+/// queues only if it completes well before the aim.
+fn admits(done: Time, candidates: &Candidates, queued: f64) -> bool {
+    let margin = candidates.request.work() * (ORACLE_SLACK[0] + (ORACLE_SLACK[1] - ORACLE_SLACK[0]) * queued);
     if margin >= 0.0 {
-        done <= choice.aim + Duration::from_secs_f64(margin)
+        done <= candidates.aim + Duration::from_secs_f64(margin)
     } else {
-        done + Duration::from_secs_f64(-margin) <= choice.aim
+        done + Duration::from_secs_f64(-margin) <= candidates.aim
     }
 }
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -1,4 +1,4 @@
-//! Whether a scenario's figures make sense.
+//! Checks the ranges of a scenario's values.
 
 use super::{Scenario, ScenarioError};
 
@@ -6,7 +6,7 @@
     pub(super) fn check(&self) -> Result<(), ScenarioError> {
         let within = |key, value: f64, (low, high), wanted| {
             let fine = value >= low && value <= high;
-            fine.then_some(()).ok_or(ScenarioError::Figure { key, value, wanted })
+            fine.then_some(()).ok_or(ScenarioError::OutOfRange { key, value, wanted })
         };
         let (part, some, time) = ((0.0, 1.0), (1e-6, 1e6), (0.0, 1e6));
         within("seconds", self.seconds, (1.0, 3600.0), "1 to 3600")?;
@@ -68,7 +68,7 @@
         for fault in &self.fault {
             within("fault.at", fault.at, time, "seconds, 0 or more")?;
             within("fault.until", fault.until, (fault.at, f64::INFINITY), "not before `at`")?;
-            fault.deed.check(within)?;
+            fault.kind.check(within)?;
         }
         Ok(())
     }
--- a/crates/lab/src/scenario/defaults.rs
+++ b/crates/lab/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! What holds where a scenario says nothing: a shop with one class that must never run twice.
+//! Default values of a scenario: a shop with one class that must never run twice.
 
 use super::*;
 
@@ -18,10 +18,10 @@
             hints: true,
             clients: Clients::default(),
             servers: Servers::default(),
-            reports: ReportsOf::default(),
+            reports: ReportSpec::default(),
             network: Network::default(),
-            nodes: NodesOf::default(),
-            prices: PricesOf::default(),
+            nodes: NodeSpec::default(),
+            prices: PriceSpec::default(),
             fault: Vec::new(),
         }
     }
@@ -51,9 +51,9 @@
     }
 }
 
-impl Default for ReportsOf {
+impl Default for ReportSpec {
     fn default() -> Self {
-        ReportsOf { by_probe: true, period: 0.002, delay: 0.0, counts: false, probe_work: 0.00004 }
+        ReportSpec { by_probe: true, period: 0.002, delay: 0.0, counts: false, probe_work: 0.00004 }
     }
 }
 
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! What is played: servers, clients, the network and faults, as data in TOML.
+//! Scenarios: servers, clients, the network and faults, as data in TOML.
 //!
 //! ```toml
 //! what = "Nearly half of the servers stand still for a moment, again and again"
@@ -13,8 +13,8 @@
 //! every = 1.0
 //! ```
 //!
-//! Whatever is left out is that of [`Scenario::default`]: a shop with one class that must never run twice and one whose
-//! key is remembered by a cell. Times are seconds, work is seconds on one core of the yardstick.
+//! Omitted keys take the values of [`Scenario::default`]: a shop with one class that must never run twice and one whose
+//! key is remembered by a cell. Times are in seconds, work is in seconds on one core of reference speed.
 
 mod check;
 mod defaults;
@@ -22,152 +22,152 @@
 mod settings;
 mod standard;
 
-pub use fault::{Deed, Fault};
-pub use standard::{FURTHER, STANDARD};
+pub use fault::{Fault, FaultKind};
+pub use standard::{ADDITIONAL, STANDARD};
 
 use crate::model::{Capacity, Contention};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Why a scenario can't be played.
+/// Why a scenario is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// Not TOML, or a key or value that has no place here; names line and column.
+    /// Not TOML, or an unknown key or value; names line and column.
     #[error("scenario: {0}")]
     Toml(#[from] toml::de::Error),
-    /// A figure out of its range.
+    /// A value out of its range.
     #[error("scenario: {key} = {value}: wanted {wanted}")]
-    Figure {
+    OutOfRange {
         /// The key.
         key: &'static str,
-        /// What it holds.
+        /// The value.
         value: f64,
-        /// What it may hold.
+        /// The accepted range.
         wanted: &'static str,
     },
-    /// Not one of [`STANDARD`] and [`FURTHER`], and no file either.
+    /// Neither a built-in scenario (see [`STANDARD`] and [`ADDITIONAL`]) nor a readable file.
     #[error("scenario {0:?}: no such file, and not one of the standard ones (`birchswitch-lab list`)")]
     Unknown(String),
 }
 
-/// How many there are.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: u32,
-    /// Servers at the start.
+    /// Number of servers at the start.
     pub servers: u32,
 }
 
 impl Size {
-    /// A fleet as it is in service today.
+    /// The fleet in service today.
     pub const TODAY: Size = Size { nodes: 250, servers: 64 };
-    /// A whole fleet in which each node has tens of requests a second: for the scenarios named `fleet-`.
+    /// A fleet in which each node receives tens of requests per second: for the `fleet-` scenarios.
     pub const WHOLE: Size = Size { nodes: 300, servers: 200 };
-    /// The fleet that is to come.
+    /// The planned fleet.
     pub const FULL: Size = Size { nodes: 1250, servers: 312 };
 }
 
-/// One scenario.
+/// A scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
-    /// In a sentence.
+    /// A description in one sentence.
     pub what: String,
-    /// Length in seconds; what is out then is waited for.
+    /// Length in seconds; requests outstanding at the end are waited for.
     pub seconds: f64,
-    /// Work offered, as a part of what all warm servers can do.
+    /// Offered work, as a fraction of the capacity of all warm servers.
     pub load: f64,
     /// Mean work of a request.
     pub work: f64,
-    /// Its coefficient of variation (lognormal).
+    /// Coefficient of variation of the work (lognormal).
     pub work_cv: f64,
-    /// That of one attempt's work about what the request's hint says.
+    /// Coefficient of variation of an attempt's work around the request's hint.
     pub attempt_noise: f64,
-    /// The part of the requests that must not run twice; the others carry a key that a cell remembers.
+    /// Fraction of requests that must not run twice; the others carry a key that a cell remembers.
     pub unsafe_part: f64,
     /// An answer within this time has its worth.
     pub aim: f64,
-    /// The client waits so long.
+    /// How long the client waits.
     pub deadline: f64,
-    /// The classes of requests, where they are not the two of a shop that `unsafe_part`, `work`, `work_cv`, `aim` and
-    /// `deadline` make; these five then say nothing.
-    pub class: Vec<ClassOf>,
-    /// Whether nodes are told what a request's work will be. A request's worth goes by its work only where they are.
+    /// The classes of requests. If empty, `unsafe_part`, `work`, `work_cv`, `aim` and `deadline` define the two classes
+    /// of a shop; otherwise those five are unused.
+    pub class: Vec<ClassSpec>,
+    /// Whether nodes receive hints of a request's work. Only then does a request's worth scale with its work.
     pub hints: bool,
-    /// How clients try again.
+    /// Retry behaviour of clients.
     pub clients: Clients,
     /// The servers.
     pub servers: Servers,
-    /// What nodes are told of servers' load.
-    pub reports: ReportsOf,
-    /// Delays between the parts.
+    /// The servers' load reports.
+    pub reports: ReportSpec,
+    /// Network delays.
     pub network: Network,
     /// The nodes.
-    pub nodes: NodesOf,
-    /// What the site takes off for what nodes do.
-    pub prices: PricesOf,
-    /// What goes wrong, in any order.
+    pub nodes: NodeSpec,
+    /// Prices that the site deducts for what nodes do.
+    pub prices: PriceSpec,
+    /// Faults, in any order.
     pub fault: Vec<Fault>,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ClassOf {
-    /// Its part of the requests, beside the others' parts.
+pub struct ClassSpec {
+    /// Its weight among the classes' shares of the requests.
     pub share: f64,
     /// Mean work of a request.
     pub work: f64,
-    /// Its coefficient of variation (lognormal).
+    /// Coefficient of variation of the work (lognormal).
     pub cv: f64,
     /// An answer within this time has its worth.
     pub aim: f64,
-    /// The client waits so long.
+    /// How long the client waits.
     pub deadline: f64,
-    /// What an answer in time is worth.
+    /// Worth of an answer in time.
     pub worth: f64,
-    /// What it does when it runs twice.
-    pub effect: EffectOf,
+    /// The effect of running a request twice.
+    pub effect: EffectSpec,
 }
 
-/// What a request does when it runs twice.
+/// The effect of running a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum EffectOf {
-    /// Nothing.
+pub enum EffectSpec {
+    /// No effect.
     Safe,
-    /// Harm: it must not.
+    /// Harmful: it must not happen.
     Unsafe,
-    /// Nothing within its [`ClassOf::window`], at any server of the same cell.
+    /// No effect within [`ClassSpec::window`] at servers of the same cell.
     KeyedCell,
-    /// Nothing within its [`ClassOf::window`], anywhere.
+    /// No effect within [`ClassSpec::window`] at any server.
     KeyedAll,
 }
 
-impl ClassOf {
-    /// Seconds for which servers remember a key: long enough for a client to come again once in all its time.
+impl ClassSpec {
+    /// Seconds for which servers remember a key: enough for a client to retry once after its whole deadline.
     pub fn window(&self) -> f64 {
         (2.0 * self.deadline).max(2.0)
     }
 }
 
-impl EffectOf {
-    /// Whether repeats are told by their key.
+impl EffectSpec {
+    /// Whether repeats are recognized by their key.
     pub fn is_keyed(self) -> bool {
-        matches!(self, EffectOf::KeyedCell | EffectOf::KeyedAll)
+        matches!(self, EffectSpec::KeyedCell | EffectSpec::KeyedAll)
     }
 }
 
-/// How clients try again.
+/// Retry behaviour of clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Further tries after the first that is refused; a failed one is tried again only where repeats are dropped.
+    /// Retries after a refused first try; a failed try is retried only if repeats are deduplicated.
     pub retries: u32,
-    /// Seconds before a further try, where no wait was advised.
+    /// Seconds before a retry if no wait was advised.
     pub backoff: f64,
-    /// Whether an advised wait is kept to.
+    /// Whether clients honour an advised wait.
     pub honour: bool,
 }
 
@@ -175,59 +175,59 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Servers {
-    /// Cores of each.
+    /// Cores per server.
     pub cores: usize,
-    /// Cores of the servers in their order, and over again; none: `cores` of each.
+    /// Cores per server, cycling through the list; if empty, `cores` for all.
     pub cores_each: Vec<usize>,
-    /// Factors on their speeds in their order, and over again; none: 1.
+    /// Speed factors per server, cycling through the list; if empty, 1 for all.
     pub speeds: Vec<f64>,
-    /// How much longer work takes at an empty server, as a part: evenly less up to one that is busy on all cores.
+    /// Extra work on an idle server, as a fraction; falls linearly to 0 when all cores are busy.
     pub cold_cache: f64,
-    /// Requests that may wait at each core.
+    /// Queue capacity per core.
     pub queue: usize,
-    /// Coefficient of variation of their speeds (lognormal, mean 1).
+    /// Coefficient of variation of the speeds (lognormal, mean 1).
     pub speed_cv: f64,
-    /// Requests held for each core from which they are crowded; 0: never.
+    /// Held requests per core at which contention begins; 0 for never.
     pub crowd_from: usize,
-    /// The part of the speed lost at twice as many.
+    /// Fraction of the speed lost at twice as many.
     pub crowd_loss: f64,
-    /// The part of its speed that one starts with.
+    /// Fraction of the full speed after a start.
     pub cold_from: f64,
-    /// Seconds until it has all.
+    /// Seconds to full speed.
     pub warm_up: f64,
-    /// Servers to a cell.
+    /// Servers per cell.
     pub cell: u16,
 }
 
-/// What nodes are told of servers' load.
+/// The servers' load reports.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct ReportsOf {
-    /// Only to probes, or with every answer.
+pub struct ReportSpec {
+    /// Reports come only with probes instead of with every answer.
     pub by_probe: bool,
-    /// Seconds between two looks of a server at itself.
+    /// Seconds between two measurements of a server.
     pub period: f64,
-    /// Seconds that a report is old when it is told.
+    /// Age of a report in seconds when it is delivered.
     pub delay: f64,
-    /// They count requests (held, waiting, served a second) instead of telling the busy part of the cores.
+    /// Reports count requests (held, waiting, served per second) instead of giving the busy fraction of the cores.
     pub counts: bool,
     /// Work of a probe.
     pub probe_work: f64,
 }
 
-/// Delays between the parts.
+/// Network delays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// Halls; nodes and servers are spread over them evenly.
+    /// Number of zones; nodes and servers are spread evenly over them.
     pub halls: u8,
-    /// Seconds one way inside a hall.
+    /// One-way delay in seconds inside a zone.
     pub same: f64,
-    /// Seconds one way between halls.
+    /// One-way delay in seconds between zones.
     pub cross: f64,
-    /// Seconds until the registry has noticed a change.
+    /// Seconds until the registry detects a change.
     pub notice: f64,
-    /// Seconds over which it reaches the nodes.
+    /// Seconds over which a change reaches the nodes.
     pub spread: f64,
     /// Whether a new connection takes a round trip before its first request; it is counted either way.
     pub connect: bool,
@@ -236,48 +236,49 @@
 /// The nodes.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct NodesOf {
-    /// Coefficient of variation of their traffic (lognormal); 0: clients come to all alike.
+pub struct NodeSpec {
+    /// Coefficient of variation of the nodes' traffic (lognormal); 0 for equal traffic.
     pub skew: f64,
-    /// One node of each hall asks its servers for all, and the others spare questions to those that are silent.
+    /// One node per zone probes the zone's servers for all, and the others suppress probes to silent ones.
     pub health: bool,
-    /// One node of each hall judges servers by what all nodes of the hall met, as `[verdicts]` has it by default.
+    /// One node per zone ejects servers by the outcomes that all nodes of the zone report, with the defaults of
+    /// `[verdicts]`.
     pub verdicts: bool,
-    /// One node weighs servers for all, as `[tuner]` has it by default.
+    /// One node assigns weights to servers for all, with the defaults of `[tuner]`.
     pub tuned: bool,
-    /// The part of the exchanges with judge and tuner that come to nothing.
+    /// Fraction of the exchanges with the failure detector and the tuner that fail.
     pub unheard: f64,
-    /// Servers' weights in the list, in their order, and over again; none: nodes go by their own estimates.
+    /// Servers' weights in the list, cycling through it; if empty, nodes use their own estimates.
     pub weights: Vec<f64>,
 }
 
-/// What is taken off the worth kept, for each first try.
+/// Prices deducted from the worth kept, per first try.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct PricesOf {
-    /// For a probe.
+pub struct PriceSpec {
+    /// Price of a probe.
     pub probe: f64,
-    /// For a new connection.
+    /// Price of a new connection.
     pub handshake: f64,
-    /// For an attempt that crosses halls.
+    /// Price of an attempt to another zone.
     pub cross: f64,
 }
 
 impl Scenario {
-    /// Reads and checks one.
+    /// Parses and checks a scenario.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)?;
         scenario.check()?;
         Ok(scenario)
     }
 
-    /// One of [`STANDARD`] and [`FURTHER`] by its name.
+    /// Returns a built-in scenario by name.
     pub fn standard(name: &str) -> Result<Self, ScenarioError> {
-        let found = STANDARD.iter().chain(FURTHER).find(|s| s.0 == name);
+        let found = STANDARD.iter().chain(ADDITIONAL).find(|s| s.0 == name);
         Scenario::parse(found.ok_or_else(|| ScenarioError::Unknown(name.into()))?.1)
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn rate(&self, size: Size) -> f64 {
         let classes = self.classes();
         let work: f64 = classes.iter().map(|c| c.share * c.work).sum();
@@ -286,36 +287,36 @@
         self.load * all * shares / work
     }
 
-    /// The classes that are played.
-    pub fn classes(&self) -> Vec<ClassOf> {
+    /// The effective classes.
+    pub fn classes(&self) -> Vec<ClassSpec> {
         if !self.class.is_empty() {
             return self.class.clone();
         }
         let (work, cv, aim, deadline) = (self.work, self.work_cv, self.aim, self.deadline);
-        let class = |share, worth, effect| ClassOf { share, work, cv, aim, deadline, worth, effect };
-        let first = class(self.unsafe_part, 8.0, EffectOf::Unsafe);
-        vec![first, class(1.0 - self.unsafe_part, 10.0, EffectOf::KeyedCell)]
+        let class = |share, worth, effect| ClassSpec { share, work, cv, aim, deadline, worth, effect };
+        let first = class(self.unsafe_part, 8.0, EffectSpec::Unsafe);
+        vec![first, class(1.0 - self.unsafe_part, 10.0, EffectSpec::KeyedCell)]
     }
 
-    /// A server's cores, by its place among all.
+    /// The cores of a server.
     pub fn cores_of(&self, server: usize) -> usize {
         let each = &self.servers.cores_each;
         each.get(server % each.len().max(1)).copied().unwrap_or(self.servers.cores)
     }
 
-    /// Its weight in the list.
+    /// The weight of a server in the list.
     pub fn weight_of(&self, server: usize) -> f64 {
         let each = &self.nodes.weights;
         each.get(server % each.len().max(1)).copied().unwrap_or(1.0)
     }
 
-    /// The factor on its speed.
+    /// The speed factor of a server.
     pub fn speed_of(&self, server: usize) -> f64 {
         let each = &self.servers.speeds;
         each.get(server % each.len().max(1)).copied().unwrap_or(1.0)
     }
 
-    /// What one server of this speed can do.
+    /// The capacity of a server with this speed.
     pub fn capacity(&self, speed: f64, server: usize) -> Capacity {
         let (s, cores) = (&self.servers, self.cores_of(server));
         let contention = Contention { from: s.crowd_from * cores, loss: s.crowd_loss };
@@ -339,7 +340,7 @@
 /// The tenants' shares of the requests.
 pub const TENANTS: [f64; 2] = [0.73, 0.27];
 
-/// A time from seconds that were checked.
+/// Converts checked seconds to a duration.
 pub(crate) fn seconds(s: f64) -> Duration {
     Duration::from_secs_f64(s.max(0.0))
 }
@@ -350,7 +351,7 @@
 
     #[test]
     fn all_standard_scenarios_are_sound() {
-        for (name, text) in STANDARD.iter().chain(FURTHER) {
+        for (name, text) in STANDARD.iter().chain(ADDITIONAL) {
             let scenario = Scenario::parse(text).unwrap_or_else(|e| panic!("{name}: {e}"));
             assert!(!scenario.what.is_empty(), "{name} says what it is");
             scenario.settings(Size::TODAY, 0).check().unwrap_or_else(|e| panic!("{name}: {e}"));
--- a/crates/lab/src/scenario/settings.rs
+++ b/crates/lab/src/scenario/settings.rs
@@ -1,17 +1,17 @@
-//! A scenario as nodes are told it.
+//! Converts a scenario to the settings of its nodes.
 
-use super::{seconds, ClassOf, EffectOf, Scenario, Size, IDLE, TENANTS};
+use super::{seconds, ClassSpec, EffectSpec, Scenario, Size, IDLE, TENANTS};
 use finchvale::{Class, Effect, KeyScope, Prices, Reports, Rules, Settings, Tenant, ZoneId};
 
 impl Scenario {
-    /// What a node is told at its start.
+    /// The settings of a node.
     pub fn settings(&self, size: Size, node: u32) -> Settings {
-        let class = |c: &ClassOf| Class {
+        let class = |c: &ClassSpec| Class {
             effect: match c.effect {
-                EffectOf::Safe => Effect::Safe,
-                EffectOf::Unsafe => Effect::Unsafe,
-                EffectOf::KeyedCell => Effect::Keyed { scope: KeyScope::Cell, window: seconds(c.window()) },
-                EffectOf::KeyedAll => Effect::Keyed { scope: KeyScope::All, window: seconds(c.window()) },
+                EffectSpec::Safe => Effect::Safe,
+                EffectSpec::Unsafe => Effect::Unsafe,
+                EffectSpec::KeyedCell => Effect::Keyed { scope: KeyScope::Cell, window: seconds(c.window()) },
+                EffectSpec::KeyedAll => Effect::Keyed { scope: KeyScope::All, window: seconds(c.window()) },
             },
             aim: seconds(c.aim),
             aim_stretch: 0.0,
--- a/crates/lab/src/scenario/standard.rs
+++ b/crates/lab/src/scenario/standard.rs
@@ -1,6 +1,6 @@
-//! Names and texts of the scenarios that come with the laboratory.
+//! Names and texts of the built-in scenarios.
 
-/// The scenarios that come with the laboratory: name and text.
+/// The built-in scenarios: name and text.
 pub const STANDARD: &[(&str, &str)] = &[
     ("quiet", include_str!("../../scenarios/quiet.toml")),
     ("frozen", include_str!("../../scenarios/frozen.toml")),
@@ -44,8 +44,8 @@
     ("blind-late", include_str!("../../scenarios/blind-late.toml")),
 ];
 
-/// Further scenarios by name, for measurements of their own: in no table of all.
-pub const FURTHER: &[(&str, &str)] = &[
+/// Further built-in scenarios for separate measurements; they are not part of the full tables.
+pub const ADDITIONAL: &[(&str, &str)] = &[
     ("mix-cores", include_str!("../../scenarios/mix-cores.toml")),
     ("mix-speeds", include_str!("../../scenarios/mix-speeds.toml")),
     ("mix-neighbour", include_str!("../../scenarios/mix-neighbour.toml")),
--- a/crates/lab/src/world/health.rs
+++ b/crates/lab/src/world/health.rs
@@ -1,22 +1,23 @@
-//! One node of each hall asks silent servers for all of that hall's, where a scenario wants it: `birchswitch_health` as nodes wire it.
+//! One node per zone probes silent servers for all nodes of the zone, if the scenario enables it; wires
+//! `birchswitch_health` as nodes do.
 
 use super::World;
-use crate::agenda::Happening;
-use crate::hall::{since_origin, Life};
+use crate::event_queue::SimEvent;
+use crate::pool::{since_origin, Lifecycle};
 use crate::scenario::seconds;
 use birchswitch_health::{ProbeIntervals, ProbeScheduler, ShortId};
 use finchvale::Outcome;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between looks at who is due.
-const LOOK: Duration = Duration::from_millis(250);
-/// Until a member's value is known to all of a fleet of 300: `birchswitch-lab members value`.
-const SPREAD: Duration = Duration::from_millis(2100);
-/// Nodes that are told of a return ask within this time, each at its own moment.
-const BACK: Duration = Duration::from_millis(500);
+/// Interval between checks for probes that are due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Time until all members of a fleet of 300 know a published value: measured by `birchswitch-lab members value`.
+const PUBLISH_DELAY: Duration = Duration::from_millis(2100);
+/// Nodes that learn of a server's return probe it at a random moment within this time.
+const REPROBE_WITHIN: Duration = Duration::from_millis(500);
 
-/// A server's name, as hashes of names are: told apart by their upper half.
+/// A server's name as a hash, which is distinguished by its upper half.
 fn name(server: usize) -> u64 {
     (server as u64) << 32
 }
@@ -26,80 +27,82 @@
 }
 
 impl World {
-    pub(super) fn begin_rounds(&mut self) {
+    pub(super) fn start_probe_rounds(&mut self) {
         if !self.scenario.nodes.health {
             return;
         }
-        for hall in 0..self.scenario.network.halls {
-            self.rounds.push(ProbeScheduler::new(ProbeIntervals::default()));
-            self.agenda.put(self.now, Happening::Rounds(hall));
+        for zone in 0..self.scenario.network.halls {
+            self.probe_schedulers.push(ProbeScheduler::new(ProbeIntervals::default()));
+            self.queue.schedule(self.now, SimEvent::ProbeRound(zone));
         }
     }
 
-    /// Whether a question from that hall would get no answer now.
-    pub(super) fn mute(&self, zone: u8, server: usize) -> bool {
-        let m = &self.hall.borrow().machines[server];
-        self.severed(zone, server)
-            || matches!(m.life, Life::Dead { .. })
+    /// Whether a probe from that zone would get no answer now.
+    pub(super) fn is_unresponsive(&self, zone: u8, server: usize) -> bool {
+        let m = &self.pool.borrow().servers[server];
+        self.is_partitioned(zone, server)
+            || matches!(m.lifecycle, Lifecycle::Dead { .. })
             || m.model.frozen(since_origin(self.now))
     }
 
-    pub(super) fn round(&mut self, hall: u8) {
-        self.agenda.put(self.now + LOOK, Happening::Rounds(hall));
+    pub(super) fn probe_round(&mut self, zone: u8) {
+        self.queue.schedule(self.now + CHECK_INTERVAL, SimEvent::ProbeRound(zone));
         let at = since_origin(self.now);
-        let mut changed = false;
-        for asked in self.rounds[usize::from(hall)].due(at) {
-            self.book.probes += 1;
-            let mute = self.mute(hall, server(asked));
-            self.book.unheard += u64::from(mute);
-            // What comes back within a look comes at once here.
-            changed |= self.rounds[usize::from(hall)].record_answer(asked, !mute);
+        let mut any_changed = false;
+        for name in self.probe_schedulers[usize::from(zone)].due(at) {
+            self.stats.probes += 1;
+            let unresponsive = self.is_unresponsive(zone, server(name));
+            self.stats.unanswered_probes += u64::from(unresponsive);
+            // Answers that arrive within one check interval are simulated as immediate.
+            any_changed |= self.probe_schedulers[usize::from(zone)].record_answer(name, !unresponsive);
         }
-        if changed {
-            let silent = Rc::new(self.rounds[usize::from(hall)].silent().collect());
-            self.agenda.put(self.now + SPREAD, Happening::Silent(hall, silent));
+        if any_changed {
+            let silent = Rc::new(self.probe_schedulers[usize::from(zone)].silent().collect());
+            self.queue.schedule(self.now + PUBLISH_DELAY, SimEvent::SilentServers(zone, silent));
         }
     }
 
-    pub(super) fn told_silent(&mut self, hall: u8, silent: &[ShortId]) {
+    pub(super) fn apply_silent_servers(&mut self, zone: u8, silent: &[ShortId]) {
         for n in 0..self.nodes.len() {
             let node = &mut self.nodes[n];
-            if node.zone != hall || node.dead {
+            if node.zone != zone || node.dead {
                 continue;
             }
-            for name in node.spare.update_silent(silent.iter().copied()) {
-                let at = self.now + seconds(self.chance.unit() * BACK.as_secs_f64());
-                self.agenda.put(at, Happening::AskBack(n, name));
+            for name in node.suppressor.update_silent(silent.iter().copied()) {
+                let at = self.now + seconds(self.rng.unit() * REPROBE_WITHIN.as_secs_f64());
+                self.queue.schedule(at, SimEvent::ReprobeServer(n, name));
             }
         }
     }
 
-    /// A node's own question to a server that is said to be back.
-    pub(super) fn ask_back(&mut self, node: usize, name: u64) {
+    /// A node's own probe to a server that was reported to respond again.
+    pub(super) fn reprobe(&mut self, node: usize, name: u64) {
         if !self.nodes[node].dead {
             self.nodes[node].engine.probe_server(self.now, finchvale::ServerId(server(name) as u32));
-            self.pump(node);
+            self.run_commands(node);
         }
     }
 
-    pub(super) fn met(&mut self, node: usize, server: usize, outcome: Outcome) {
+    pub(super) fn record_contact(&mut self, node: usize, server: usize, outcome: Outcome) {
         if !self.scenario.nodes.health || !outcome.server_responded() && !outcome.server_unresponsive() {
             return;
         }
         let now = since_origin(self.now);
         let n = &mut self.nodes[node];
-        if n.spare.record_outcome(now, name(server), outcome.server_responded()) {
-            let hall = n.zone;
-            self.agenda
-                .put(self.now + seconds(self.scenario.network.same), Happening::Reported(hall, name(server)));
+        if n.suppressor.record_outcome(now, name(server), outcome.server_responded()) {
+            let zone = n.zone;
+            self.queue.schedule(
+                self.now + seconds(self.scenario.network.same),
+                SimEvent::SilenceReported(zone, name(server)),
+            );
         }
     }
 
-    /// Whether a node spares a question.
-    pub(super) fn spares(&mut self, node: usize, server: usize) -> bool {
-        let spares = self.scenario.nodes.health
-            && self.nodes[node].spare.should_suppress(since_origin(self.now), name(server));
-        self.book.spared += u64::from(spares);
-        spares
+    /// Whether a node suppresses a probe.
+    pub(super) fn suppresses_probe(&mut self, node: usize, server: usize) -> bool {
+        let suppressed = self.scenario.nodes.health
+            && self.nodes[node].suppressor.should_suppress(since_origin(self.now), name(server));
+        self.stats.suppressed_probes += u64::from(suppressed);
+        suppressed
     }
 }
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/lab/tests/hard_cases.rs
@@ -1,31 +1,31 @@
-//! Hard cases, each in the laboratory: a run of real engines and decisions in virtual time, the same to the last event
-//! wherever it is played. Floors lie between what the decisions keep and what they kept without the handling that
-//! the case is for, or what the best peer keeps; no rule may be broken.
+//! Hard cases in simulated time with real engines and policies; every run is reproducible to the last event. Each floor
+//! lies between the worth kept and the worth kept without the handling that the case covers, or by the best peer; no
+//! rule may be violated.
 
-use birchswitch_lab::book::{Book, Cause};
 use birchswitch_lab::policy::Peer;
 use birchswitch_lab::scenario::{Scenario, Size};
+use birchswitch_lab::stats::{LossCause, RunStats};
 use birchswitch_lab::world;
 
-/// Small enough for a run without optimisation, with the same requests for each server and node as in service.
+/// Small enough for unoptimized builds, with as many requests per server and node as in service.
 const SMALL: Size = Size { nodes: 90, servers: 24 };
 
-fn play(name: &str, size: Size, seed: u64, peer: Peer) -> Book {
+fn play(name: &str, size: Size, seed: u64, peer: Peer) -> RunStats {
     let scenario = Scenario::standard(name).expect("a standard scenario");
-    let book = world::run(&scenario, size, seed, peer).expect("sound settings");
+    let stats = world::run(&scenario, size, seed, peer).expect("sound settings");
     if peer == Peer::Own {
-        assert_eq!(book.broken.total(), 0, "{name}, seed {seed}: {:?}", book.broken);
+        assert_eq!(stats.violations.total(), 0, "{name}, seed {seed}: {:?}", stats.violations);
     }
-    book
+    stats
 }
 
 /// Mean worth kept over the seeds 1 to 3.
 fn kept(name: &str, peer: Peer) -> f64 {
-    (1..=3).map(|seed| play(name, SMALL, seed, peer).kept()).sum::<f64>() / 3.0
+    (1..=3).map(|seed| play(name, SMALL, seed, peer).worth_kept()).sum::<f64>() / 3.0
 }
 
-fn lost(book: &Book, cause: Cause) -> f64 {
-    book.lost.get(&cause).copied().unwrap_or(0.0) / book.offered
+fn lost(stats: &RunStats, cause: LossCause) -> f64 {
+    stats.lost.get(&cause).copied().unwrap_or(0.0) / stats.offered
 }
 
 #[test]
@@ -35,26 +35,32 @@
     assert_ne!(a.digest, play("release", SMALL, 8, Peer::Own).digest);
 }
 
-/// All meet the same arrivals, whatever decides.
+/// All policies receive the same arrivals.
 #[test]
 fn peers_are_asked_for_the_same() {
-    let books = Peer::ALL.map(|peer| play("frozen", SMALL, 1, peer));
-    for book in &books {
-        assert_eq!(book.offered, books[0].offered);
-        let sum: f64 = book.lost.values().sum::<f64>() + book.in_time;
-        assert!((sum - book.offered).abs() < 1e-6 * book.offered, "each worth is kept or has a cause");
+    let runs = Peer::ALL.map(|peer| play("frozen", SMALL, 1, peer));
+    for stats in &runs {
+        assert_eq!(stats.offered, runs[0].offered);
+        let sum: f64 = stats.lost.values().sum::<f64>() + stats.in_time;
+        assert!((sum - stats.offered).abs() < 1e-6 * stats.offered, "each worth is kept or has a cause");
     }
 }
 
-/// An idle server may do what a hint calls a little too heavy: 3% of the worth was refused on a quiet day for that.
+/// An idle server may complete work that its hint makes slightly too heavy: refusing it cost 3% of the worth without
+/// faults.
 #[test]
 fn on_a_quiet_day_little_is_refused() {
-    let book = play("quiet", SMALL, 1, Peer::Own);
-    assert!((book.refused as f64) < 0.006 * book.firsts as f64, "{} of {}", book.refused, book.firsts);
+    let stats = play("quiet", SMALL, 1, Peer::Own);
+    assert!(
+        (stats.refused as f64) < 0.006 * stats.first_tries as f64,
+        "{} of {}",
+        stats.refused,
+        stats.first_tries
+    );
 }
 
-/// Floors between what is kept with the handling that a case is for and what was kept without; see
-/// `docs/design/decisions.md` for both figures.
+/// Each floor lies between the worth kept with and without the handling that the case covers; see
+/// `docs/design/decisions.md` for both values.
 #[track_caller]
 fn keeps(name: &str, floor: f64) {
     let kept = kept(name, Peer::Own);
@@ -97,7 +103,7 @@
     keeps("start", 0.904);
 }
 
-/// The tenant within its share is not turned away for the other.
+/// A tenant within its share is not refused because of another tenant.
 #[test]
 fn a_tenant_beyond_its_share_and_a_rate_far_beyond_the_plan_leave_goodput() {
     for (name, floor) in [("tenant", 0.87), ("quadruple", 0.6)] {
@@ -106,36 +112,45 @@
     }
 }
 
-/// Clients that try again at once double and triple what is offered: goodput must not fall under what it was before the
-/// storm, and 5 s after it all must be as before.
+/// Clients that retry immediately double and triple the offered load: goodput must not fall below the level before the
+/// storm, and must recover within 5 s after it.
 #[test]
 fn retry_storms_do_not_lower_goodput_and_pass() {
     for name in ["storm-0.9", "storm-1.1", "storm-1.5", "storm-2.0"] {
-        let book = play(name, SMALL, 1, Peer::Own);
+        let stats = play(name, SMALL, 1, Peer::Own);
         let goodput = |seconds: std::ops::Range<usize>| {
-            book.seconds[seconds.clone()].iter().map(|s| s.in_time).sum::<f64>() / seconds.len() as f64
+            stats.seconds[seconds.clone()].iter().map(|s| s.in_time).sum::<f64>() / seconds.len() as f64
         };
         let (before, during) = (goodput(1..8), goodput(8..18));
         assert!(during > before, "{name}: {during} a second after {before}");
-        assert!(book.kept_in(23..30) > book.kept_in(0..8) - 0.05, "{name}: {}", book.kept_in(23..30));
+        assert!(
+            stats.worth_kept_in(23..30) > stats.worth_kept_in(0..8) - 0.05,
+            "{name}: {}",
+            stats.worth_kept_in(23..30)
+        );
     }
 }
 
-/// 86% of the fleet replaced in 21 s by successors at an eighth of their speed: none is pushed over, whatever chance brings,
-/// and none comes near. Seeds are those printed.
+/// 86% of the fleet is replaced within 21 s by successors at an eighth of their speed: none collapses for any seed, and
+/// none comes near. Failures print the seed.
 #[test]
 fn no_successor_is_pushed_over_in_fifty_releases() {
     for seed in 1..=50 {
-        let book = play("release", SMALL, seed, Peer::Own);
-        assert!(book.borne > 0.0 && book.borne < 0.7, "seed {seed}: {} of what one bears", book.borne);
+        let stats = play("release", SMALL, seed, Peer::Own);
+        assert!(
+            stats.peak_cold_load > 0.0 && stats.peak_cold_load < 0.7,
+            "seed {seed}: {} of what one bears",
+            stats.peak_cold_load
+        );
     }
 }
 
-/// The case does push servers over where nobody heeds that they are cold: the floor above means something.
+/// The scenario does make cold servers collapse under a policy that ignores warm-up, so the limit above is effective.
 #[test]
 fn a_peer_that_heeds_no_cold_pushes_successors_over() {
-    let broken: u64 = (1..=3).map(|seed| play("release", SMALL, seed, Peer::PeakEwma).broken.cold).sum();
-    assert!(broken > 0);
-    let book = play("release", SMALL, 1, Peer::Oracle);
-    assert!(book.broken.total() == 0 && lost(&book, Cause::ServerFailed) < 0.01);
+    let violations: u64 =
+        (1..=3).map(|seed| play("release", SMALL, seed, Peer::PeakEwma).violations.cold).sum();
+    assert!(violations > 0);
+    let stats = play("release", SMALL, 1, Peer::Oracle);
+    assert!(stats.violations.total() == 0 && lost(&stats, LossCause::ServerFailed) < 0.01);
 }
--- a/crates/lab/tests/leases.rs
+++ b/crates/lab/tests/leases.rs
@@ -1,4 +1,5 @@
-//! Two never hold a lease, whatever fails; and each safeguard is there for something: without it the same checks find what breaks.
+//! A lease never has two holders, whatever fails; and every safeguard is necessary: without it the same checks find a
+//! violation.
 
 use birchswitch_lab::leases::{play, Faults, Outcome};
 use birchswitch_lease::{Safeguards, Terms};
@@ -25,7 +26,7 @@
     let (mut grants, mut refused, mut lost) = (0, 0, 0);
     for seed in 0..300 {
         let outcome = run(Safeguards::ALL, &Faults::all(), seed);
-        assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
         grants += outcome.grants;
         refused += outcome.refused;
         lost += outcome.lost;
@@ -33,40 +34,40 @@
     assert!(grants > 300 && refused > 0 && lost > 100, "{grants} grants, {refused} refused, {lost} lost");
 }
 
-/// The first seed at which a check finds something.
-fn found(safeguards: Safeguards, faults: &Faults) -> Option<u64> {
-    (0..300).find(|seed| !run(safeguards, faults, *seed).broken.is_empty())
+/// The first seed with a violation.
+fn first_violation(safeguards: Safeguards, faults: &Faults) -> Option<u64> {
+    (0..300).find(|seed| !run(safeguards, faults, *seed).violations.is_empty())
 }
 
 #[test]
 fn each_safeguard_taken_away_is_found() {
     let all = Safeguards::ALL;
     let faults = Faults::all();
-    // What a start forgets shows where processes start often.
+    // Lost state matters only when processes restart often.
     let crashes = Faults { voters_every: 5.0, ..Faults::all() };
-    for (what, less, faults) in [
+    for (name, safeguards, faults) in [
         ("abstention", Safeguards { abstention: false, ..all }, &crashes),
         ("margin", Safeguards { margin: false, ..all }, &faults),
         ("majority", Safeguards { majority: false, ..all }, &faults),
         ("promises", Safeguards { promises: false, ..all }, &faults),
         ("floor", Safeguards { floor: false, ..all }, &faults),
     ] {
-        let seed = found(less, faults);
-        println!("{what}: {seed:?}");
-        assert!(seed.is_some(), "{what} is there for nothing");
+        let seed = first_violation(safeguards, faults);
+        println!("{name}: {seed:?}");
+        assert!(seed.is_some(), "{name} is there for nothing");
     }
     assert!(
-        found(all, &Faults { fenced: false, ..faults.clone() }).is_some(),
+        first_violation(all, &Faults { fenced: false, ..faults.clone() }).is_some(),
         "the token's check is there for nothing"
     );
 }
 
-/// Twice the drift that the terms allow breaks them; four fifths of it do not.
+/// Twice the drift that the terms allow causes violations; four fifths of it cause none.
 #[test]
 fn clocks_beyond_the_promised_drift_are_found() {
     let with = |drift| Faults { drift, ..Faults::all() };
-    assert_eq!(found(Safeguards::ALL, &with(40)), None);
-    assert!(found(Safeguards::ALL, &with(100)).is_some());
+    assert_eq!(first_violation(Safeguards::ALL, &with(40)), None);
+    assert!(first_violation(Safeguards::ALL, &with(100)).is_some());
 }
 
 #[test]
@@ -77,7 +78,7 @@
         assert_eq!((outcome.grants, outcome.lost), (1, 0), "seed {seed}: an hour of 10% loss");
         let crashes = Faults { crash_every: 30.0, ..Faults::none() };
         let outcome = play(&terms(Safeguards::ALL), 5, 3, 600, &crashes, seed);
-        assert!(outcome.gap < 6.5 && outcome.broken.is_empty(), "seed {seed}: {outcome:?}");
+        assert!(outcome.gap < 6.5 && outcome.violations.is_empty(), "seed {seed}: {outcome:?}");
     }
 }
 
@@ -86,8 +87,8 @@
     for seed in 0..5 {
         let outcome = play(&terms(Safeguards::ALL), 5, 50, 60, &Faults::none(), seed);
         assert_eq!((outcome.grants, outcome.lost), (1, 0), "seed {seed}: {outcome:?}");
-        assert!(outcome.broken.is_empty() && outcome.gap < 10.0, "seed {seed}: {outcome:?}");
-        // Who waits asks once a lease's time and is refused, with three questions of five voters at most.
+        assert!(outcome.violations.is_empty() && outcome.gap < 10.0, "seed {seed}: {outcome:?}");
+        // A waiting candidate asks once per lease lifetime and is refused, with at most three requests to five voters.
         assert!(outcome.messages < 50 * 60 * 15, "seed {seed}: {} messages", outcome.messages);
     }
 }
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -1,10 +1,10 @@
-//! The claims of `birchswitch_cluster` under faults, in virtual time: twelve members, every seed the same run again.
+//! Membership under faults in simulated time: twelve members; every seed gives a reproducible run.
 
 use birchswitch_cluster::wire::{self, Body, Message, Sender, Update};
 use birchswitch_cluster::{
     Action, Change, Core, Event, LocalEvent, MemberId, Record, Settings, Standing, State, Topic,
 };
-use birchswitch_lab::members::measure::{evenness, quiet, settings, Upheaval};
+use birchswitch_lab::members::measure::{evenness, idle_cost, settings, Disruption};
 use birchswitch_lab::members::{address, name, Fleet, Network};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 const SEEDS: std::ops::Range<u64> = 1..9;
 
 fn up(size: usize, seed: u64) -> Fleet {
-    let mut fleet = Fleet::up(size, settings(false), seed);
+    let mut fleet = Fleet::converged_fleet(size, settings(false), seed);
     fleet.run(3 * SECOND);
     fleet
 }
@@ -22,8 +22,8 @@
     Network { loss, ..Network::default() }
 }
 
-/// Places that anyone declared dead.
-fn condemned(fleet: &Fleet) -> BTreeSet<usize> {
+/// Members that any process declared dead.
+fn declared_dead(fleet: &Fleet) -> BTreeSet<usize> {
     let places = |id: MemberId| (0..fleet.size()).find(|n| MemberId::of(&name(*n)) == id);
     fleet.verdicts().filter_map(|(_, id)| places(id)).collect()
 }
@@ -33,7 +33,7 @@
 }
 
 fn noticed(fleet: &Fleet, n: usize, trouble: &LocalEvent) -> bool {
-    fleet.noted.iter().any(|x| x.by == n && matches!(&x.change, Change::Local(t) if t == trouble))
+    fleet.observations.iter().any(|x| x.by == n && matches!(&x.change, Change::Local(t) if t == trouble))
 }
 
 #[test]
@@ -45,7 +45,7 @@
         let known = fleet.run_for(12 * SECOND, |f| all_hold(f, 5, State::Dead));
         assert!(known.is_some(), "seed {seed}, loss {loss}");
         fleet.run(20 * SECOND);
-        assert_eq!(condemned(&fleet), BTreeSet::from([5]), "seed {seed}, loss {loss}");
+        assert_eq!(declared_dead(&fleet), BTreeSet::from([5]), "seed {seed}, loss {loss}");
     }
 }
 
@@ -55,44 +55,45 @@
         let mut fleet = up(12, seed);
         fleet.pause(3, 2 * SECOND);
         fleet.run(15 * SECOND);
-        assert_eq!(condemned(&fleet), BTreeSet::new(), "seed {seed}");
+        assert_eq!(declared_dead(&fleet), BTreeSet::new(), "seed {seed}");
         let before = fleet.core(3).expect("it runs").own().incarnation;
         fleet.pause(3, 20 * SECOND);
         fleet.run(20 * SECOND);
         assert!(all_hold(&fleet, 3, State::Dead), "seed {seed}");
-        let back = fleet.run_for(5 * SECOND, Fleet::agreed);
+        let back = fleet.run_for(5 * SECOND, Fleet::converged);
         assert!(back.is_some(), "seed {seed}");
         fleet.run(10 * SECOND);
-        assert_eq!(condemned(&fleet), BTreeSet::from([3]), "seed {seed}");
+        assert_eq!(declared_dead(&fleet), BTreeSet::from([3]), "seed {seed}");
         assert!(fleet.core(3).expect("it runs").own().incarnation > before, "seed {seed}");
         let held_up = |x: &&Change| matches!(x, Change::Local(LocalEvent::Stalled(d)) if *d > 19 * SECOND);
-        assert!(fleet.noted.iter().filter(|x| x.by == 3).map(|x| &x.change).any(|c| held_up(&c)));
+        assert!(fleet.observations.iter().filter(|x| x.by == 3).map(|x| &x.change).any(|c| held_up(&c)));
     }
 }
 
-/// The same run without its care condemns the living: the test can fail.
+/// Without safeguards the same run declares live members dead, so the check is effective.
 #[test]
 fn members_that_stutter_condemn_nobody_and_careless_ones_do() {
-    let run = |careless, seed| {
-        let mut fleet = Fleet::up(12, settings(careless), seed);
+    let run = |without_safeguards, seed| {
+        let mut fleet = Fleet::converged_fleet(12, settings(without_safeguards), seed);
         fleet.network = lossy(0.1);
         for n in [2, 6, 9] {
             fleet.stutter(n, SECOND * 2 / 5, 60 * SECOND);
         }
         fleet.run(70 * SECOND);
-        condemned(&fleet)
+        declared_dead(&fleet)
     };
     for seed in SEEDS {
         assert_eq!(run(false, seed), BTreeSet::new(), "seed {seed}");
     }
-    let paused_all = |careless, seed| {
-        let mut fleet = Fleet::up(12, settings(careless), seed);
+    let declared_dead_count = |without_safeguards, seed| {
+        let mut fleet = Fleet::converged_fleet(12, settings(without_safeguards), seed);
         fleet.network = lossy(0.3);
         (0..12).for_each(|n| fleet.stutter(n, SECOND * 7 / 10, 120 * SECOND));
         fleet.run(120 * SECOND);
-        condemned(&fleet).len()
+        declared_dead(&fleet).len()
     };
-    let all = |careless| SEEDS.map(|seed| paused_all(careless, seed)).sum::<usize>();
+    let all =
+        |without_safeguards| SEEDS.map(|seed| declared_dead_count(without_safeguards, seed)).sum::<usize>();
     assert_eq!(all(false), 0);
     assert!(all(true) > 0, "without own health and witnesses the living are condemned");
 }
@@ -100,34 +101,34 @@
 #[test]
 fn one_sided_cuts_condemn_nobody_with_a_road_through_a_third() {
     for seed in SEEDS {
-        // 0 hears nothing of 1.
+        // 0 receives nothing from 1.
         let mut fleet = up(12, seed);
         fleet.cut(|from, to| (from, to) == (1, 0));
         fleet.run(60 * SECOND);
-        assert_eq!(condemned(&fleet), BTreeSet::new(), "seed {seed}: one pair");
-        // 4 can send but hears nobody.
+        assert_eq!(declared_dead(&fleet), BTreeSet::new(), "seed {seed}: one pair");
+        // 4 can send but receives nothing.
         let mut fleet = up(12, seed);
         fleet.cut(|_, to| to == 4);
         fleet.run(60 * SECOND);
         assert!(fleet.verdicts().all(|(n, _)| n.by != 4), "seed {seed}: the deaf condemn nobody");
-        assert!(condemned(&fleet).is_subset(&BTreeSet::from([4])), "seed {seed}: deaf");
+        assert!(declared_dead(&fleet).is_subset(&BTreeSet::from([4])), "seed {seed}: deaf");
         assert!(noticed(&fleet, 4, &LocalEvent::CutOff), "seed {seed}");
         assert_eq!(fleet.core(4).expect("it runs").standing(), Standing::CutOff);
         fleet.heal();
-        assert!(fleet.run_for(5 * SECOND, Fleet::agreed).is_some(), "seed {seed}: back");
+        assert!(fleet.run_for(5 * SECOND, Fleet::converged).is_some(), "seed {seed}: back");
         assert!(noticed(&fleet, 4, &LocalEvent::Reconnected), "seed {seed}");
-        // A zone of three hears but isn't heard.
+        // A zone of three receives but isn't heard.
         let mut fleet = up(12, seed);
         fleet.cut(|from, to| from < 3 && to >= 3);
         fleet.run(60 * SECOND);
         assert!(
-            condemned(&fleet).is_subset(&BTreeSet::from([0, 1, 2])),
+            declared_dead(&fleet).is_subset(&BTreeSet::from([0, 1, 2])),
             "seed {seed}: {:?}",
-            condemned(&fleet)
+            declared_dead(&fleet)
         );
         assert!(fleet.verdicts().all(|(n, _)| n.by >= 3), "seed {seed}: who isn't heard condemns nobody");
         fleet.heal();
-        assert!(fleet.run_for(5 * SECOND, Fleet::agreed).is_some(), "seed {seed}: zone back");
+        assert!(fleet.run_for(5 * SECOND, Fleet::converged).is_some(), "seed {seed}: zone back");
     }
 }
 
@@ -138,13 +139,13 @@
             let mut fleet = up(12, seed);
             fleet.cut(move |from, to| from % parts != to % parts);
             fleet.run(280 * SECOND);
-            // Nobody goes on looking at those that are known to be dead, but for one ping a probe's time.
+            // Members known to be dead get no more traffic than one ping per probe interval.
             let before = fleet.sent[0];
             fleet.run(20 * SECOND);
             let each = (fleet.sent[0] - before) as f64 / 240.0;
             assert!(each < 9.0, "seed {seed}, {parts} parts: {each} datagrams a second");
             fleet.heal();
-            assert!(fleet.run_for(5 * SECOND, Fleet::agreed).is_some(), "seed {seed}, {parts} parts");
+            assert!(fleet.run_for(5 * SECOND, Fleet::converged).is_some(), "seed {seed}, {parts} parts");
         }
     }
 }
@@ -161,18 +162,19 @@
         }
         let verdicts = fleet.verdicts().count();
         assert!(verdicts <= 12 * 10, "seed {seed}: {verdicts}");
-        assert!(fleet.run_for(5 * SECOND, Fleet::agreed).is_some(), "seed {seed}");
+        assert!(fleet.run_for(5 * SECOND, Fleet::converged).is_some(), "seed {seed}");
         let most = (0..12).filter_map(|n| fleet.core(n)).map(|c| c.own().incarnation).max();
         assert!(most < Some(60), "seed {seed}: incarnation {most:?}");
     }
 }
 
-/// News of the first process's death are held back, doubled, and come after its successor's.
+/// Updates about the first process's death are delayed, duplicated, and arrive after those about its successor.
 #[test]
 fn a_quick_restart_survives_old_news_of_its_death() {
     for seed in SEEDS {
         let mut fleet = up(12, seed);
-        fleet.network = Network { held_back: 2 * SECOND, doubled: 0.3, loss: 0.1, ..Network::default() };
+        fleet.network =
+            Network { max_extra_delay: 2 * SECOND, duplicated: 0.3, loss: 0.1, ..Network::default() };
         for gap in [300, 3000, 5000] {
             fleet.kill(7);
             fleet.run(Duration::from_millis(gap));
@@ -180,7 +182,7 @@
             fleet.run(Duration::from_secs(10));
         }
         fleet.network = Network::default();
-        assert!(fleet.run_for(10 * SECOND, Fleet::agreed).is_some(), "seed {seed}");
+        assert!(fleet.run_for(10 * SECOND, Fleet::converged).is_some(), "seed {seed}");
     }
 }
 
@@ -188,14 +190,14 @@
 fn fleets_form_from_nothing_whatever_starts_first() {
     for seed in SEEDS {
         let mut fleet = Fleet::empty(30, settings(false), seed);
-        // The seeds are places 0 to 2: they come last.
+        // Processes 0 to 2 are the seeds; they start last.
         (3..30).rev().for_each(|n| fleet.start(n));
         fleet.run(3 * SECOND);
         (0..3).for_each(|n| fleet.start(n));
-        assert!(fleet.run_for(15 * SECOND, Fleet::agreed).is_some(), "seed {seed}");
+        assert!(fleet.run_for(15 * SECOND, Fleet::converged).is_some(), "seed {seed}");
         (0..30).for_each(|n| fleet.kill(n));
         (0..30).for_each(|n| fleet.start(n));
-        assert!(fleet.run_for(15 * SECOND, Fleet::agreed).is_some(), "seed {seed}: again");
+        assert!(fleet.run_for(15 * SECOND, Fleet::converged).is_some(), "seed {seed}: again");
         assert_eq!(fleet.verdicts().count(), 0, "seed {seed}");
     }
 }
@@ -206,7 +208,7 @@
         let mut fleet = Fleet::empty(13, settings(false), seed);
         (0..12).for_each(|n| fleet.start(n));
         fleet.run(15 * SECOND);
-        fleet.noted.clear();
+        fleet.observations.clear();
         fleet.start_as(12, 5);
         fleet.run(20 * SECOND);
         assert!(noticed(&fleet, 5, &LocalEvent::Yielded(address(12))), "seed {seed}");
@@ -215,30 +217,30 @@
         for n in (0..12).filter(|n| *n != 5) {
             let of =
                 |c: &Change| matches!(c, Change::Returned(m) | Change::Died { member: m, .. } if *m == id);
-            let changes = fleet.noted.iter().filter(|x| x.by == n && of(&x.change)).count();
+            let changes = fleet.observations.iter().filter(|x| x.by == n && of(&x.change)).count();
             assert_eq!(changes, 1, "seed {seed}, place {n}");
         }
-        assert_eq!(condemned(&fleet), BTreeSet::new(), "seed {seed}");
+        assert_eq!(declared_dead(&fleet), BTreeSet::new(), "seed {seed}");
     }
 }
 
-/// A clock that went back over a restart makes no ghost out of the predecessor.
+/// A restart with an earlier clock must not leave the predecessor's record in place.
 #[test]
 fn a_restart_under_a_clock_that_went_back_is_taken_in() {
     let mut fleet = up(12, 3);
     fleet.kill(4);
-    // The predecessor started a day later, by its own clock.
+    // By its own clock the predecessor started a day later.
     let mut record = fleet.core(5).expect("it runs").own().clone();
     (record.name, record.address) = (name(4), address(4));
     record.generation.started += 86_400_000;
-    let news = Update::Alive(record.clone()).encode();
+    let update = Update::Alive(record.clone()).encode();
     let sender = Sender { id: MemberId(1), generation: record.generation, incarnation: 1 };
     let body = Body::Records;
-    let message = Message { sender, body, updates: vec![news] };
+    let message = Message { sender, body, updates: vec![update] };
     fleet.inject(0, address(11), wire::encode("lab", &message));
     fleet.run(SECOND);
     fleet.start(4);
-    assert!(fleet.run_for(15 * SECOND, Fleet::agreed).is_some());
+    assert!(fleet.run_for(15 * SECOND, Fleet::converged).is_some());
     assert!(fleet.core(4).expect("it runs").own().generation > record.generation);
 }
 
@@ -248,12 +250,12 @@
     (0..8).for_each(|n| fleet.leave(n));
     let all = |f: &Fleet| (8..12).all(|n| f.core(n).is_some_and(|c| c.count(State::Left) == 8));
     assert!(fleet.run_for(10 * SECOND, all).is_some());
-    assert_eq!(condemned(&fleet), BTreeSet::new());
+    assert_eq!(declared_dead(&fleet), BTreeSet::new());
     assert!((8..12).all(|n| fleet.core(n).map(|c| c.standing()) == Some(Standing::Majority)));
     assert!((8..12).all(|n| fleet.core(n).map(|c| c.agreed_size()) == Some(4)));
 }
 
-/// Three tenths of a fleet see each other and no majority of it, until more are back.
+/// Three tenths of a fleet see each other but no majority, until more members are back.
 #[test]
 fn seven_in_ten_killed_are_known_and_leave_a_minority() {
     for seed in SEEDS {
@@ -268,7 +270,7 @@
             "a minority agrees on nothing"
         );
         (0..14).for_each(|n| fleet.start(n));
-        assert!(fleet.run_for(15 * SECOND, Fleet::agreed).is_some(), "seed {seed}: back");
+        assert!(fleet.run_for(15 * SECOND, Fleet::converged).is_some(), "seed {seed}: back");
         fleet.run(2 * SECOND);
         assert!((14..20).all(|n| fleet.core(n).map(|c| c.standing()) == Some(Standing::Majority)));
     }
@@ -279,8 +281,8 @@
     for seed in SEEDS {
         let mut fleet = up(60, seed);
         fleet.network = lossy(0.3);
-        fleet.tell(9, vec![1; 200]);
-        fleet.tell(9, vec![2; 200]);
+        fleet.publish(9, vec![1; 200]);
+        fleet.publish(9, vec![2; 200]);
         let id = MemberId::of(&name(9));
         let told = |f: &Fleet, n: usize| {
             let record = f.core(n).and_then(|c| c.member(id)).map(|m| m.record.clone());
@@ -288,8 +290,8 @@
         };
         let all = |f: &Fleet| (0..60).filter(|n| *n != 9).all(|n| told(f, n));
         assert!(fleet.run_for(20 * SECOND, all).is_some(), "seed {seed}");
-        // More than a member may tell is not told.
-        fleet.tell(9, vec![3; 300]);
+        // A value above the size limit is not published.
+        fleet.publish(9, vec![3; 300]);
         fleet.run(5 * SECOND);
         assert!(all(&fleet), "seed {seed}");
     }
@@ -299,20 +301,21 @@
 fn what_is_spoilt_on_the_way_changes_nothing() {
     for seed in SEEDS {
         let mut fleet = up(12, seed);
-        fleet.network = Network { spoilt: 0.2, doubled: 0.2, held_back: SECOND / 20, ..Network::default() };
+        fleet.network =
+            Network { corrupted: 0.2, duplicated: 0.2, max_extra_delay: SECOND / 20, ..Network::default() };
         fleet.run(60 * SECOND);
-        assert_eq!(condemned(&fleet), BTreeSet::new(), "seed {seed}");
+        assert_eq!(declared_dead(&fleet), BTreeSet::new(), "seed {seed}");
         assert!(
             (0..12).all(|n| fleet.core(n).is_some_and(|c| c.live_count() == 12 && c.counts().dropped > 0))
         );
     }
 }
 
-/// Two settings files of two clusters on one network.
+/// Two clusters with different names on one network.
 #[test]
 fn clusters_of_different_names_do_not_meet() {
     let mut fleet = up(5, 1);
-    let mut other = Fleet::up(5, Settings { cluster: "other".into(), ..settings(false) }, 2);
+    let mut other = Fleet::converged_fleet(5, Settings { cluster: "other".into(), ..settings(false) }, 2);
     other.run(2 * SECOND);
     let mut actions = Vec::new();
     let mut stranger = Core::new(
@@ -339,10 +342,10 @@
 fn the_same_seed_is_the_same_run() {
     let run = || {
         let mut fleet = up(12, 5);
-        fleet.network = Network { loss: 0.2, doubled: 0.1, held_back: SECOND / 10, spoilt: 0.01 };
+        fleet.network = Network { loss: 0.2, duplicated: 0.1, max_extra_delay: SECOND / 10, corrupted: 0.01 };
         fleet.kill(3);
         fleet.run(20 * SECOND);
-        (fleet.sent, fleet.noted)
+        (fleet.sent, fleet.observations)
     };
     assert_eq!(run(), run());
 }
@@ -350,20 +353,20 @@
 #[test]
 fn a_quiet_fleet_costs_the_same_at_every_size() {
     for size in [12, 100] {
-        let cost = quiet(size, 60, 0.0, 0.0, false, 1);
+        let cost = idle_cost(size, 60, 0.0, 0.0, false, 1);
         assert!(cost.datagrams < 7.0 && cost.bytes < 1000.0, "{size}: {cost:?}");
         assert_eq!(cost.false_verdicts, 0);
     }
 }
 
-/// Servers' loads by the members' places. Who keeps the places of before lies unevenly: the worst moment shows it.
+/// Server loads by the members' positions. Keeping the former positions would be uneven, as the worst ratio shows.
 #[test]
 fn servers_are_loaded_evenly_again_after_upheavals() {
-    for (size, upheaval, uneven) in
-        [(52, Upheaval::Join(8), true), (60, Upheaval::Kill(0.7), true), (60, Upheaval::Restart, false)]
+    for (size, disruption, uneven) in
+        [(52, Disruption::Join(8), true), (60, Disruption::Kill(0.7), true), (60, Disruption::Restart, false)]
     {
-        let even = evenness(size, upheaval, 1);
-        assert!(even.within.is_some_and(|s| s <= 15.0), "{upheaval:?}: {even:?}");
-        assert_eq!(even.worst > 1.3, uneven, "{upheaval:?}: {even:?}");
+        let even = evenness(size, disruption, 1);
+        assert!(even.within.is_some_and(|s| s <= 15.0), "{disruption:?}: {even:?}");
+        assert_eq!(even.worst > 1.3, uneven, "{disruption:?}: {even:?}");
     }
 }
