--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -113,9 +113,9 @@
             Ok(())
         }),
         Command::Run(run) => run_scenario(&run),
-        Command::Account(comparison) => account(&comparison),
-        Command::Table(comparison) => table(&comparison),
-        Command::Health(comparison) => health(&comparison),
+        Command::Account(args) => account(&args),
+        Command::Table(args) => table(&args),
+        Command::Health(args) => health(&args),
         Command::Verdicts(arguments) => adjustment_tables::verdicts(&arguments),
         Command::Weights(arguments) => adjustment_tables::weights(&arguments),
         Command::Limits(arguments) => {
@@ -193,20 +193,18 @@
 type Row = (String, PriceSpec, Vec<Vec<RunStats>>);
 
 /// Runs everything on all cores; the results are ordered by scenario, policy and seed.
-fn play(comparison: &Comparison, peers: &[Peer]) -> Result<Vec<Row>, Box<dyn Error>> {
-    let names: Vec<String> = match comparison.scenarios.is_empty() {
+fn play(args: &Comparison, peers: &[Peer]) -> Result<Vec<Row>, Box<dyn Error>> {
+    let names: Vec<String> = match args.scenarios.is_empty() {
         true => STANDARD.iter().map(|s| s.0.to_owned()).collect(),
-        false => comparison.scenarios.clone(),
+        false => args.scenarios.clone(),
     };
     let scenarios: Vec<Scenario> = names.iter().map(|n| load_scenario(n)).collect::<Result<_, _>>()?;
-    let seeds = comparison.seeds as usize;
-    let each = |scenario| {
-        peers.iter().flat_map(move |p| (1..=comparison.seeds).map(move |seed| (scenario, *p, seed)))
-    };
+    let seeds = args.seeds as usize;
+    let each =
+        |scenario| peers.iter().flat_map(move |p| (1..=args.seeds).map(move |seed| (scenario, *p, seed)));
     let inputs: Vec<(&Scenario, Peer, u64)> = scenarios.iter().flat_map(each).collect();
-    let runs = parallel::map(&inputs, |(scenario, peer, seed)| {
-        Some(world::run(scenario, comparison.size, *seed, *peer))
-    });
+    let runs =
+        parallel::map(&inputs, |(scenario, peer, seed)| Some(world::run(scenario, args.size, *seed, *peer)));
     let mut runs = runs.into_iter();
     let mut all = Vec::new();
     for (name, scenario) in names.into_iter().zip(&scenarios) {
@@ -221,15 +219,12 @@
 }
 
 /// Runs each scenario without and with one probing node per zone.
-fn health(comparison: &Comparison) -> Result<(), Box<dyn Error>> {
-    let names: Vec<String> = match comparison.scenarios.is_empty() {
+fn health(args: &Comparison) -> Result<(), Box<dyn Error>> {
+    let names: Vec<String> = match args.scenarios.is_empty() {
         true => ["cut-minute", "gone-minutes", "frozen", "death", "fleet-zone"].map(str::to_owned).to_vec(),
-        false => comparison.scenarios.clone(),
+        false => args.scenarios.clone(),
     };
-    println!(
-        "{} nodes, {} servers, {} seeds\n",
-        comparison.size.nodes, comparison.size.servers, comparison.seeds
-    );
+    println!("{} nodes, {} servers, {} seeds\n", args.size.nodes, args.size.servers, args.seeds);
     println!("| scenario | one asks | probes a first try | of these unheard | spared | kept | after prices | rules broken |");
     println!("| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
     let scenarios: Vec<Scenario> = names.iter().map(|n| load_scenario(n)).collect::<Result<_, _>>()?;
@@ -242,10 +237,10 @@
     };
     let scenarios: Vec<Scenario> = scenarios.iter().flat_map(both).collect();
     let inputs: Vec<(&Scenario, u64)> =
-        scenarios.iter().flat_map(|s| (1..=comparison.seeds).map(move |seed| (s, seed))).collect();
-    let runs = parallel::map(&inputs, |(s, seed)| Some(world::run(s, comparison.size, *seed, Peer::Own)));
+        scenarios.iter().flat_map(|s| (1..=args.seeds).map(move |seed| (s, seed))).collect();
+    let runs = parallel::map(&inputs, |(s, seed)| Some(world::run(s, args.size, *seed, Peer::Own)));
     let runs: Vec<RunStats> = runs.into_iter().flatten().collect::<Result<_, _>>()?;
-    for (k, (s, runs)) in scenarios.iter().zip(runs.chunks(comparison.seeds as usize)).enumerate() {
+    for (k, (s, runs)) in scenarios.iter().zip(runs.chunks(args.seeds as usize)).enumerate() {
         let each = |per_first_try: fn(&RunStats) -> u64| {
             mean(runs, |b| per_first_try(b) as f64 / b.first_tries.max(1) as f64)
         };
@@ -268,9 +263,9 @@
     runs.iter().map(figure).sum::<f64>() / runs.len().max(1) as f64
 }
 
-fn account(comparison: &Comparison) -> Result<(), Box<dyn Error>> {
-    let peers = if comparison.peer.is_empty() { vec![Peer::Own] } else { comparison.peer.clone() };
-    for (name, prices, rows) in play(comparison, &peers)? {
+fn account(args: &Comparison) -> Result<(), Box<dyn Error>> {
+    let peers = if args.peer.is_empty() { vec![Peer::Own] } else { args.peer.clone() };
+    for (name, prices, rows) in play(args, &peers)? {
         for (peer, runs) in peers.iter().zip(rows) {
             let mut losses: Vec<(LossCause, f64)> = LossCause::ALL
                 .into_iter()
@@ -295,11 +290,11 @@
     Ok(())
 }
 
-fn table(comparison: &Comparison) -> Result<(), Box<dyn Error>> {
-    let peers = if comparison.peer.is_empty() { Peer::ALL.to_vec() } else { comparison.peer.clone() };
+fn table(args: &Comparison) -> Result<(), Box<dyn Error>> {
+    let peers = if args.peer.is_empty() { Peer::ALL.to_vec() } else { args.peer.clone() };
     println!("| scenario | {} |", peers.iter().map(|p| p.name()).collect::<Vec<_>>().join(" | "));
     println!("| --- |{}", " ---: |".repeat(peers.len()));
-    let all = play(comparison, &peers)?;
+    let all = play(args, &peers)?;
     let cell = |runs: &Vec<RunStats>, prices: &PriceSpec| {
         let violations: u64 = runs.iter().map(|b| b.violations.total()).sum();
         let kept = 100.0 * mean(runs, |b| b.net_worth(prices));
--- a/crates/lab/src/members/measure.rs
+++ b/crates/lab/src/members/measure.rs
@@ -10,7 +10,7 @@
 
 /// The settings under measurement.
 pub fn settings(without_safeguards: bool) -> Settings {
-    Settings { without_safeguards: without_safeguards, ..Settings::new("lab", Vec::new()) }
+    Settings { without_safeguards, ..Settings::new("lab", Vec::new()) }
 }
 
 fn lossy(loss: f64) -> Network {
@@ -47,13 +47,11 @@
         let killed_process = rng.below(size);
         let id = MemberId::of(&name(killed_process));
         let killed = fleet.now;
-        fleet.observations.clear();
+        fleet.observed.clear();
         fleet.kill(killed_process);
-        fleet.run_for(60 * SECOND, |f| {
-            f.observations.iter().filter(|n| of(&n.change, id)).count() + 1 >= size
-        });
+        fleet.run_for(60 * SECOND, |f| f.observed.iter().filter(|n| of(&n.change, id)).count() + 1 >= size);
         let times: Vec<f64> = fleet
-            .observations
+            .observed
             .iter()
             .filter(|n| of(&n.change, id))
             .map(|n| (n.at - killed).as_secs_f64())
--- a/crates/lab/src/members/mod.rs
+++ b/crates/lab/src/members/mod.rs
@@ -73,7 +73,7 @@
     /// Faults of the network.
     pub network: Network,
     /// Observed changes that passed the filter.
-    pub observations: Vec<Observation>,
+    pub observed: Vec<Observation>,
     /// Selects the changes to record; all by default.
     pub filter: fn(&Change) -> bool,
     /// Datagrams and bytes sent by all processes.
@@ -120,7 +120,7 @@
         Fleet {
             now: Duration::from_secs(1000),
             network: Network::default(),
-            observations: Vec::new(),
+            observed: Vec::new(),
             filter: |_| true,
             sent: [0; 2],
             settings: Settings { seeds: (0..size.min(3)).map(address).collect(), ..settings },
@@ -263,7 +263,7 @@
 
     /// Verdicts of any process, with the member concerned.
     pub fn verdicts(&self) -> impl Iterator<Item = (&Observation, MemberId)> {
-        self.observations.iter().filter_map(|n| match n.change {
+        self.observed.iter().filter_map(|n| match n.change {
             Change::Died { member, own: true } => Some((n, member)),
             _ => None,
         })
@@ -379,9 +379,7 @@
                 Action::Send { to, bytes } => self.transmit(n, to, bytes),
                 Action::PayloadReceived { .. } => {}
                 Action::Changed(change) if !(self.filter)(&change) => {}
-                Action::Changed(change) => {
-                    self.observations.push(Observation { at: self.now, by: n, change })
-                }
+                Action::Changed(change) => self.observed.push(Observation { at: self.now, by: n, change }),
             }
         }
         self.actions = actions;
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -33,7 +33,7 @@
 }
 
 fn noticed(fleet: &Fleet, n: usize, trouble: &LocalEvent) -> bool {
-    fleet.observations.iter().any(|x| x.by == n && matches!(&x.change, Change::Local(t) if t == trouble))
+    fleet.observed.iter().any(|x| x.by == n && matches!(&x.change, Change::Local(t) if t == trouble))
 }
 
 #[test]
@@ -66,7 +66,7 @@
         assert_eq!(declared_dead(&fleet), BTreeSet::from([3]), "seed {seed}");
         assert!(fleet.core(3).expect("it runs").own().incarnation > before, "seed {seed}");
         let held_up = |x: &&Change| matches!(x, Change::Local(LocalEvent::Stalled(d)) if *d > 19 * SECOND);
-        assert!(fleet.observations.iter().filter(|x| x.by == 3).map(|x| &x.change).any(|c| held_up(&c)));
+        assert!(fleet.observed.iter().filter(|x| x.by == 3).map(|x| &x.change).any(|c| held_up(&c)));
     }
 }
 
@@ -208,7 +208,7 @@
         let mut fleet = Fleet::empty(13, settings(false), seed);
         (0..12).for_each(|n| fleet.start(n));
         fleet.run(15 * SECOND);
-        fleet.observations.clear();
+        fleet.observed.clear();
         fleet.start_as(12, 5);
         fleet.run(20 * SECOND);
         assert!(noticed(&fleet, 5, &LocalEvent::Yielded(address(12))), "seed {seed}");
@@ -217,7 +217,7 @@
         for n in (0..12).filter(|n| *n != 5) {
             let of =
                 |c: &Change| matches!(c, Change::Returned(m) | Change::Died { member: m, .. } if *m == id);
-            let changes = fleet.observations.iter().filter(|x| x.by == n && of(&x.change)).count();
+            let changes = fleet.observed.iter().filter(|x| x.by == n && of(&x.change)).count();
             assert_eq!(changes, 1, "seed {seed}, place {n}");
         }
         assert_eq!(declared_dead(&fleet), BTreeSet::new(), "seed {seed}");
@@ -345,7 +345,7 @@
         fleet.network = Network { loss: 0.2, duplicated: 0.1, max_extra_delay: SECOND / 10, corrupted: 0.01 };
         fleet.kill(3);
         fleet.run(20 * SECOND);
-        (fleet.sent, fleet.observations)
+        (fleet.sent, fleet.observed)
     };
     assert_eq!(run(), run());
 }
