--- a/crates/lab/benches/decide.rs
+++ b/crates/lab/benches/decide.rs
@@ -23,7 +23,7 @@
     fn new(servers: u32) -> Self {
         let settings = Scenario::default().settings(Size { nodes: servers * 4, servers }, 0);
         let now = Time(1_000_000_000_000);
-        let mut balancer = Balancer::new(settings, 7, now).expect("sound settings");
+        let mut balancer = Balancer::new(settings, 7, now).expect("valid settings");
         let entry = |s: u32| ServerEntry {
             server: ServerId(s),
             name: u64::from(s),
--- a/crates/lab/src/fleet_limit.rs
+++ b/crates/lab/src/fleet_limit.rs
@@ -111,9 +111,9 @@
     fn try_take(&mut self, now: f64) -> bool {
         self.level = (self.level + self.rate_and_burst.0 * (now - self.at)).min(self.rate_and_burst.1);
         self.at = now;
-        let try_take = self.level >= 1.0;
-        self.level -= f64::from(u8::from(try_take));
-        try_take
+        let has_token = self.level >= 1.0;
+        self.level -= f64::from(u8::from(has_token));
+        has_token
     }
 }
 
@@ -151,7 +151,7 @@
     let (mut admitted, mut offered, mut settled_offered) = (Vec::new(), [0u64; 2], 0u64);
     let (mut messages, mut bytes, mut renewals, mut allocator_time) = (0u64, 0.0, 0u64, Duration::ZERO);
     let faulty = |now: f64| (FAULT.0..FAULT.0 + FAULT.1).contains(&now);
-    let settled_use = |now: f64| now >= LOUD_PERIOD && now % LOUD_PERIOD >= SETTLE_TIME && !faulty(now);
+    let is_settled = |now: f64| now >= LOUD_PERIOD && now % LOUD_PERIOD >= SETTLE_TIME && !faulty(now);
     for step in 0..(SECONDS / STEP) as u64 {
         let now = step as f64 * STEP;
         let dead = fault == Fault::Death && (FAULT.0..FAULT.0 + TAKEOVER).contains(&now);
@@ -167,10 +167,10 @@
         for (n, node) in nodes.iter_mut().enumerate() {
             let cut = fault == Fault::Cut && faulty(now) && n % 3 == 0;
             let time = Time::from_secs_f64(now * node.clock);
-            if let Some((_, asked, response)) = node.response.take_if(|w| now >= w.0) {
+            if let Some((_, requested_at, response)) = node.response.take_if(|w| now >= w.0) {
                 if response.token >= node.highest_token && !cut {
                     node.highest_token = response.token;
-                    let until = asked + timing.ttl;
+                    let until = requested_at + timing.ttl;
                     for grant in &response.grants {
                         node.quota.set_grant(
                             time,
@@ -193,10 +193,10 @@
                     highest_token: node.highest_token,
                     limits: vec![LimitRequest { limit: 1, demand, held, in_flight: 0 }],
                 };
-                if let (Some(runs), false) = (&mut allocator, cut) {
+                if let (Some(active), false) = (&mut allocator, cut) {
                     let process = ProcessId { id: MemberId(n as u64), generation: Generation::default() };
                     let started = Instant::now();
-                    let grant = runs.renew(
+                    let grant = active.renew(
                         Time::from_secs_f64(now),
                         process,
                         request.highest_token,
@@ -215,15 +215,15 @@
             while tries > rng.unit() {
                 tries -= 1.0;
                 offered[usize::from(faulty(now))] += 1;
-                settled_offered += u64::from(settled_use(now));
+                settled_offered += u64::from(is_settled(now));
                 let admits = match scheme {
                     Scheme::Grants => node.quota.check(time, false).is_ok(),
                     Scheme::Even => fixed_shares[n].try_take(now),
                     Scheme::Counter => {
-                        let highest_token = !cut && !dead;
-                        messages += 2 * u64::from(highest_token);
-                        bytes += 2.0 * COUNTER_MESSAGE_BYTES * f64::from(u8::from(highest_token));
-                        highest_token && counter.try_take(now)
+                        let answered = !cut && !dead;
+                        messages += 2 * u64::from(answered);
+                        bytes += 2.0 * COUNTER_MESSAGE_BYTES * f64::from(u8::from(answered));
+                        answered && counter.try_take(now)
                     }
                 };
                 if scheme == Scheme::Grants {
@@ -240,13 +240,13 @@
     }
     let count = |when: &dyn Fn(f64) -> bool| admitted.iter().filter(|at| when(**at)).count() as f64;
     let settled_seconds =
-        (0..(SECONDS / STEP) as u64).filter(|s| settled_use(*s as f64 * STEP)).count() as f64 * STEP;
+        (0..(SECONDS / STEP) as u64).filter(|s| is_settled(*s as f64 * STEP)).count() as f64 * STEP;
     let allowed = |offered: u64, seconds: f64| (offered as f64).min(per_s * seconds);
     let each = SECONDS * setup.nodes as f64;
     LimitResults {
         excess: max_excess(admitted.iter().copied(), per_s, burst),
         used: count(&|_| true) / allowed(offered[0] + offered[1], SECONDS),
-        settled_use: count(&settled_use) / allowed(settled_offered, settled_seconds),
+        settled_use: count(&is_settled) / allowed(settled_offered, settled_seconds),
         use_during_fault: count(&faulty) / allowed(offered[1], FAULT.1),
         added_wait_s: if scheme == Scheme::Counter { 2.0 * setup.one_way_s } else { 0.0 },
         messages: messages as f64 / each,
--- a/crates/lab/src/lease_table.rs
+++ b/crates/lab/src/lease_table.rs
@@ -113,11 +113,11 @@
     println!("| taken away | runs that broke, of {} | first seed |\n| --- | ---: | ---: |", a.without);
     let seeds: Vec<u64> = (0..a.without).collect();
     let mut all_found = true;
-    for (what, safeguards, faults) in &cases {
-        let violations = map(&seeds, |seed| !a.run(*safeguards, faults, *seed).violations.is_empty());
-        let first = violations.iter().position(|b| *b).map_or("-".to_owned(), |n| n.to_string());
+    for (name, safeguards, faults) in &cases {
+        let violated = map(&seeds, |seed| !a.run(*safeguards, faults, *seed).violations.is_empty());
+        let first = violated.iter().position(|b| *b).map_or("-".to_owned(), |n| n.to_string());
         all_found &= first != "-";
-        println!("| {what} | {} | {first} |", violations.iter().filter(|b| **b).count());
+        println!("| {name} | {} | {first} |", violated.iter().filter(|b| **b).count());
     }
     all_found
 }
--- a/crates/lab/src/leases.rs
+++ b/crates/lab/src/leases.rs
@@ -205,7 +205,7 @@
         terms_checksum: terms.checksum(),
         terms,
         faults,
-        key: Key::new("task", 0).expect("a sound name"),
+        key: Key::new("task", 0).expect("a valid name"),
         voters,
         queue: BinaryHeap::new(),
         sequence: 0,
--- a/crates/lab/src/limit_table.rs
+++ b/crates/lab/src/limit_table.rs
@@ -31,24 +31,24 @@
     let mut rows = Vec::new();
     for nodes in &arguments.nodes {
         for fault in [Fault::None, Fault::Cut, Fault::Death] {
-            for way in [Scheme::Grants, Scheme::Even, Scheme::Counter] {
-                rows.push((*nodes, fault, way));
+            for scheme in [Scheme::Grants, Scheme::Even, Scheme::Counter] {
+                rows.push((*nodes, fault, scheme));
             }
         }
     }
     let inputs: Vec<_> =
         rows.iter().flat_map(|r| (1..=arguments.seeds).map(move |seed| (*r, seed))).collect();
-    let results = parallel::map(&inputs, |((nodes, fault, way), seed)| {
+    let results = parallel::map(&inputs, |((nodes, fault, scheme), seed)| {
         let setup = LimitSetup { nodes: *nodes, demand: arguments.demand, one_way_s: arguments.way / 1e3 };
-        Some(play(setup, *way, *fault, *seed))
+        Some(play(setup, *scheme, *fault, *seed))
     });
     let results: Vec<LimitResults> = results.into_iter().flatten().collect();
-    for ((nodes, fault, way), results) in rows.iter().zip(results.chunks(arguments.seeds as usize)) {
+    for ((nodes, fault, scheme), results) in rows.iter().zip(results.chunks(arguments.seeds as usize)) {
         let mean =
             |of: fn(&LimitResults) -> f64| results.iter().map(of).sum::<f64>() / results.len().max(1) as f64;
         let excess = results.iter().map(|c| c.excess).fold(f64::NEG_INFINITY, f64::max);
         println!(
-            "| {nodes} | {fault:?} | {way:?} | {excess:.1} | {:.2} | {:.2} | {:.2} | {:.1} ms | {:.1} | {:.0} | {:.0} | {:.1} us |",
+            "| {nodes} | {fault:?} | {scheme:?} | {excess:.1} | {:.2} | {:.2} | {:.2} | {:.1} ms | {:.1} | {:.0} | {:.0} | {:.1} us |",
             mean(|c| c.used),
             mean(|c| c.settled_use),
             mean(|c| c.use_during_fault),
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -124,7 +124,7 @@
         }
         Command::Leases(leases) => match lease_table::report(&leases) {
             true => Ok(()),
-            false => Err("something broke, or what was taken away was not found".into()),
+            false => Err("a rule was violated, or a disabled safeguard caused no violation".into()),
         },
         Command::Members(members) => {
             member_tables::report(&members);
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -369,7 +369,7 @@
     }
 
     #[test]
-    fn works_on_so_many_at_a_time_and_turns_the_rest_away() {
+    fn processes_up_to_cores_and_rejects_beyond_the_queue() {
         let mut model = ServerModel::new(capacity(2, 1), Duration::ZERO, false);
         let mut out = Vec::new();
         let accepted: Vec<_> = (0..4).map(|j| model.offer(Duration::ZERO, j, 0.010, &mut out)).collect();
@@ -386,7 +386,7 @@
     }
 
     #[test]
-    fn a_freeze_begins_and_ends_nothing() {
+    fn no_request_starts_or_completes_during_a_freeze() {
         let mut model = ServerModel::new(capacity(1, 4), Duration::ZERO, false);
         let mut out = Vec::new();
         model.offer(Duration::ZERO, 1, 0.010, &mut out);
@@ -419,7 +419,7 @@
     }
 
     #[test]
-    fn a_cold_server_is_pushed_over_by_too_much_and_only_then() {
+    fn a_cold_server_collapses_only_above_the_limit() {
         let mut out = Vec::new();
         let mut offer = |model: &mut ServerModel, times| {
             (0..times).for_each(|job| {
@@ -438,7 +438,7 @@
 
     /// The predicted completion is exact if nothing else happens, also across a freeze and under contention.
     #[test]
-    fn foresight_is_right_where_nothing_comes_between() {
+    fn predicted_completion_is_exact_without_other_events() {
         let mut model = ServerModel::new(Capacity { speed: 0.5, ..capacity(1, 9) }, Duration::ZERO, false);
         let mut out = Vec::new();
         model.offer(Duration::ZERO, 1, 0.010, &mut out);
@@ -457,7 +457,7 @@
     }
 
     #[test]
-    fn a_crowded_server_loses_speed_and_probes_delay_what_runs() {
+    fn contention_and_probes_slow_down_requests() {
         let took = |held: u64, probes: usize| {
             let contention = Some(Contention { from: 4, loss: 0.5 });
             let mut model =
@@ -481,7 +481,7 @@
         /// For any sequence of events: each accepted request starts once and completes once, no more requests run than
         /// there are cores, and the total work does not exceed the available core time.
         #[test]
-        fn all_that_is_taken_is_done_once(
+        fn every_accepted_request_completes_once(
             cores in 1usize..4,
             cold: bool,
             events in prop::collection::vec((0u64..20, 0u8..6, 1u64..30), 1..80),
@@ -506,7 +506,7 @@
             while let Some(next) = model.next_event() {
                 model.advance(next, &mut out);
                 steps += 1;
-                prop_assert!(steps < 100_000, "it never ends");
+                prop_assert!(steps < 100_000, "the model does not become idle");
             }
             for job in &accepted {
                 let at = |p| out.iter().position(|o| *o == p);
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -103,7 +103,7 @@
     ) -> Result<Box<dyn Policy>, SettingsError> {
         settings.check()?;
         let rng = Rng::new(seed, 77);
-        let select: Box<dyn Selector> = match self {
+        let selector: Box<dyn Selector> = match self {
             Peer::Own => return Ok(Box::new(Balancer::new(settings, seed, now)?)),
             Peer::Random => Box::new(Random),
             Peer::LeastOutstanding => Box::new(LeastOutstanding::default()),
@@ -116,7 +116,13 @@
             Peer::Bounded => Box::new(Bounded { shared: shared.clone(), pool: pool.clone() }),
             Peer::Oracle => Box::new(Oracle { pool: pool.clone() }),
         };
-        Ok(Box::new(PeerPolicy { settings, rng, select, ready: Vec::new(), requests: FxHashMap::default() }))
+        Ok(Box::new(PeerPolicy {
+            settings,
+            rng,
+            selector,
+            ready: Vec::new(),
+            requests: FxHashMap::default(),
+        }))
     }
 }
 
@@ -146,7 +152,7 @@
 
 /// A server selection algorithm.
 trait Selector {
-    /// Returns an index into `choice.servers`, which is not empty; None refuses the request.
+    /// Returns an index into `candidates.servers`, which is not empty; None refuses the request.
     fn select(&mut self, candidates: &Candidates, rng: &mut Rng) -> Option<usize>;
     /// An attempt was sent.
     fn sent(&mut self, _: Time, _: ServerId, _: f64) {}
@@ -158,7 +164,7 @@
 struct PeerPolicy {
     settings: Settings,
     rng: Rng,
-    select: Box<dyn Selector>,
+    selector: Box<dyn Selector>,
     ready: Vec<ServerEntry>,
     requests: FxHashMap<RequestId, PendingRequest>,
 }
@@ -170,14 +176,14 @@
             self.ready.iter().filter(|s| request.tried.iter().all(|t| t.0 != s.server)).cloned().collect();
         let class = &self.settings.classes[usize::from(request.arrival.class.0)];
         let candidates = Candidates { now, servers: &open, request, aim: request.arrived + class.aim };
-        let picked = (!open.is_empty()).then(|| self.select.select(&candidates, &mut self.rng)).flatten();
+        let picked = (!open.is_empty()).then(|| self.selector.select(&candidates, &mut self.rng)).flatten();
         let work = request.work();
         match (picked, self.requests.get_mut(&id)) {
             (Some(i), Some(request)) => {
                 let server = open[i].server;
                 request.tried.push((server, now));
                 request.out = true;
-                self.select.sent(now, server, work);
+                self.selector.sent(now, server, work);
                 actions.push(Action::Send { request: id, server, limit: None });
             }
             _ => self.give_up(id, actions),
@@ -223,7 +229,7 @@
                 request.out = false;
                 request.may_have_run |= !end.outcome.never_ran();
                 let (ran, tries, work) = (request.may_have_run, request.tried.len(), request.work());
-                self.select.ended(now, end.server, work, end.outcome, end.latency);
+                self.selector.ended(now, end.server, work, end.outcome, end.latency);
                 if end.closed || end.outcome == Outcome::Served {
                     self.requests.remove(&end.request);
                 } else if ran || tries as u32 >= self.settings.max_attempts {
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -350,16 +350,16 @@
     use super::*;
 
     #[test]
-    fn all_standard_scenarios_are_sound() {
+    fn all_standard_scenarios_are_valid() {
         for (name, text) in STANDARD.iter().chain(ADDITIONAL) {
             let scenario = Scenario::parse(text).unwrap_or_else(|e| panic!("{name}: {e}"));
-            assert!(!scenario.what.is_empty(), "{name} says what it is");
+            assert!(!scenario.what.is_empty(), "{name} has no description");
             scenario.settings(Size::TODAY, 0).check().unwrap_or_else(|e| panic!("{name}: {e}"));
         }
     }
 
     #[test]
-    fn what_is_wrong_is_named() {
+    fn errors_name_the_invalid_key() {
         let told = |text: &str| Scenario::parse(text).expect_err(text).to_string();
         assert!(told("load = 0").contains("load = 0"), "{}", told("load = 0"));
         assert!(told("lode = 0.5").contains("lode"));
--- a/crates/lab/src/world/adjustments.rs
+++ b/crates/lab/src/world/adjustments.rs
@@ -43,9 +43,9 @@
 }
 
 impl Coordinators {
-    pub(super) fn new(nodes: &NodeSpec, halls: u8) -> Self {
+    pub(super) fn new(nodes: &NodeSpec, zones: u8) -> Self {
         let detectors =
-            (0..halls).filter(|_| nodes.verdicts).map(|_| verdict::Detector::new(TOKEN)).collect();
+            (0..zones).filter(|_| nodes.verdicts).map(|_| verdict::Detector::new(TOKEN)).collect();
         let tuner = nodes.tuned.then(|| tuner::TuningSession::new(TUNER, TOKEN, Duration::ZERO));
         Coordinators { detectors, tuner }
     }
--- a/crates/lab/tests/blind.rs
+++ b/crates/lab/tests/blind.rs
@@ -13,7 +13,7 @@
 
 fn play(name: &str, seed: u64) -> RunStats {
     let scenario = Scenario::standard(name).expect("a standard scenario");
-    let stats = world::run(&scenario, FEW, seed, Peer::Own).expect("sound settings");
+    let stats = world::run(&scenario, FEW, seed, Peer::Own).expect("valid settings");
     assert_eq!(stats.violations.total(), 0, "{name}, seed {seed}: {:?}", stats.violations);
     stats
 }
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn with_nothing_wrong_nothing_is_refused() {
+fn nothing_is_refused_without_faults() {
     lets_in("blind", 0..30);
 }
 
@@ -47,7 +47,7 @@
 
 /// Reports that stop, are too low, too high or late cause no refusals while servers are idle.
 #[test]
-fn reports_that_mislead_do_not_refuse() {
+fn false_reports_cause_no_refusals() {
     for name in ["blind-stuck", "blind-low", "blind-high", "blind-late"] {
         lets_in(name, 0..28);
     }
@@ -62,7 +62,7 @@
 /// A load of 1.3 for 10 s, averaged over twelve fleets: goodput stays near capacity although rejected clients retry
 /// three times, and no backlog remains. Fails if admission grows with arrivals.
 #[test]
-fn an_overload_is_borne_and_passes() {
+fn an_overload_keeps_goodput_and_leaves_no_backlog() {
     let runs: Vec<RunStats> = (1..=12).map(|seed| play("blind-over", seed)).collect();
     let mean = |figure: &dyn Fn(&RunStats) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
     let goodput = mean(&|over| 1.3 * over.worth_kept_in(10..18));
@@ -73,7 +73,7 @@
 
 /// Work that earns nothing, at five times the load for 20 s, leaves no backlog.
 #[test]
-fn heavy_work_passes() {
+fn heavy_work_leaves_no_backlog() {
     for seed in SEEDS {
         let refused = play("blind-heavy", seed).refused_in(46..50);
         assert!(refused < 0.05, "seed {seed}: {refused:.3} refused");
--- a/crates/lab/tests/common.rs
+++ b/crates/lab/tests/common.rs
@@ -13,7 +13,7 @@
     let mut scenario = Scenario::standard(name).expect("a standard scenario");
     change(&mut scenario);
     let run = |seed| {
-        let stats = world::run(&scenario, size, seed, peer).expect("sound settings");
+        let stats = world::run(&scenario, size, seed, peer).expect("valid settings");
         assert_eq!(stats.violations.total(), 0, "{name}, seed {seed}: {:?}", stats.violations);
         stats
     };
@@ -28,18 +28,18 @@
 /// A tenth of the servers fails everything immediately. Fails if the detector restores a server merely because it saw
 /// no failures for a while, or if an ejected server is still drawn as a probing candidate.
 #[test]
-fn verdicts_win_back_what_fast_failures_cost() {
+fn verdicts_recover_the_worth_lost_to_fast_failures() {
     let (alone, _) = play("failers", SIZE, Peer::Own, |s| s.network.halls = 1);
     let (with, runs) = play("failers", SIZE, Peer::Own, with_verdicts);
     let (oracle, _) = play("failers", SIZE, Peer::Oracle, |s| s.network.halls = 1);
     let part = (with - alone) / (oracle - alone);
     assert!(part > 0.5, "{alone:.3} alone, {with:.3} with verdicts, {oracle:.3} the oracle: {part:.2}");
-    assert!(runs.iter().all(|b| b.ejected > 0 && b.wrongly_ejected == 0), "sound servers were condemned");
+    assert!(runs.iter().all(|b| b.ejected > 0 && b.wrongly_ejected == 0), "healthy servers were ejected");
 }
 
 /// Without faults no server is ejected, even if messages are lost.
 #[test]
-fn sound_servers_are_left_alone() {
+fn healthy_servers_are_not_ejected() {
     for name in ["quiet", "lossy-hour"] {
         let (_, runs) = play(name, Size { nodes: 20, servers: 12 }, Peer::Own, |s| {
             with_verdicts(s);
@@ -63,7 +63,7 @@
 /// A limit by grants is never exceeded, during cuts and deaths too, and leaves little unused where a fixed share per
 /// node leaves most.
 #[test]
-fn grants_keep_a_limit_and_use_what_fixed_parts_leave() {
+fn grants_hold_a_limit_and_use_more_of_it_than_fixed_shares() {
     let setup = LimitSetup { nodes: 24, demand: 2.0, one_way_s: 0.0005 };
     for fault in [Fault::None, Fault::Cut, Fault::Death] {
         let grants = fleet_limit::play(setup, Scheme::Grants, fault, 1);
--- a/crates/lab/tests/fleets.rs
+++ b/crates/lab/tests/fleets.rs
@@ -9,12 +9,12 @@
 const SMALL: Size = Size { nodes: 40, servers: 30 };
 
 fn play(scenario: &Scenario, seed: u64, peer: Peer) -> RunStats {
-    world::run(scenario, SMALL, seed, peer).expect("sound settings")
+    world::run(scenario, SMALL, seed, peer).expect("valid settings")
 }
 
 /// Nodes that sent five probes per request kept all rules and half of the worth: the price of probes counts.
 #[test]
-fn fleets_keep_the_rules_and_more_than_an_aperture_without_news() {
+fn fleets_violate_no_rule_and_beat_the_aperture() {
     for name in ["fleet-calm", "fleet-roll", "fleet-herd", "fleet-zone", "fleet-split", "fleet-join"] {
         let scenario = Scenario::standard(name).expect("a standard scenario");
         let own = play(&scenario, 1, Peer::Own);
@@ -29,7 +29,7 @@
 /// Nodes send fewer probes as the price rises, and the worth less all prices falls by less than the former number of
 /// probes would have cost.
 #[test]
-fn the_dearer_a_probe_the_fewer_a_fleet_sends() {
+fn a_fleet_sends_fewer_probes_as_their_price_rises() {
     let mut scenario = Scenario::standard("fleet-calm").expect("a standard scenario");
     scenario.seconds = 10.0;
     let mut before: Option<f64> = None;
@@ -47,12 +47,12 @@
 
 /// All nodes restart without state at the same moment, during a release.
 #[test]
-fn nodes_that_all_know_nothing_push_nobody_over() {
+fn restarted_nodes_without_state_make_no_server_collapse() {
     let mut scenario = Scenario::standard("fleet-roll").expect("a standard scenario");
     scenario.seconds = 12.0;
     scenario.fault.truncate(1);
     let all = "what = \"\"\n[[fault]]\nat = 7.0\nkind = \"restart\"\npart = 1.0\nbatch = 1.0\ndown = 0.2";
-    scenario.fault.extend(Scenario::parse(all).expect("sound").fault);
+    scenario.fault.extend(Scenario::parse(all).expect("a valid scenario").fault);
     for seed in 1..=6 {
         let stats = play(&scenario, seed, Peer::Own);
         assert_eq!(stats.violations.total(), 0, "seed {seed}: {:?}", stats.violations);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn killed_nodes_play_the_same_run_again() {
+fn runs_with_killed_nodes_are_reproducible() {
     let scenario = Scenario::standard("fleet-herd").expect("a standard scenario");
     let (a, b) = (play(&scenario, 5, Peer::Own), play(&scenario, 5, Peer::Own));
     assert_eq!(a, b);
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/lab/tests/hard_cases.rs
@@ -12,7 +12,7 @@
 
 fn play(name: &str, size: Size, seed: u64, peer: Peer) -> RunStats {
     let scenario = Scenario::standard(name).expect("a standard scenario");
-    let stats = world::run(&scenario, size, seed, peer).expect("sound settings");
+    let stats = world::run(&scenario, size, seed, peer).expect("valid settings");
     if peer == Peer::Own {
         assert_eq!(stats.violations.total(), 0, "{name}, seed {seed}: {:?}", stats.violations);
     }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_same_seed_plays_the_same_run() {
+fn the_same_seed_gives_the_same_run() {
     let (a, b) = (play("release", SMALL, 7, Peer::Own), play("release", SMALL, 7, Peer::Own));
     assert_eq!(a, b);
     assert_ne!(a.digest, play("release", SMALL, 8, Peer::Own).digest);
@@ -37,19 +37,22 @@
 
 /// All policies receive the same arrivals.
 #[test]
-fn peers_are_asked_for_the_same() {
+fn all_policies_receive_the_same_requests() {
     let runs = Peer::ALL.map(|peer| play("frozen", SMALL, 1, peer));
     for stats in &runs {
         assert_eq!(stats.offered, runs[0].offered);
         let sum: f64 = stats.lost.values().sum::<f64>() + stats.in_time;
-        assert!((sum - stats.offered).abs() < 1e-6 * stats.offered, "each worth is kept or has a cause");
+        assert!(
+            (sum - stats.offered).abs() < 1e-6 * stats.offered,
+            "worth kept and lost adds up to the worth offered"
+        );
     }
 }
 
 /// An idle server may complete work that its hint makes slightly too heavy: refusing it cost 3% of the worth without
 /// faults.
 #[test]
-fn on_a_quiet_day_little_is_refused() {
+fn few_requests_are_refused_without_faults() {
     let stats = play("quiet", SMALL, 1, Peer::Own);
     assert!(
         (stats.refused as f64) < 0.006 * stats.first_tries as f64,
@@ -68,19 +71,19 @@
 }
 
 #[test]
-fn frozen_servers_are_left_alone() {
+fn frozen_servers_are_avoided() {
     keeps("frozen", 0.915);
     keeps("frozen-late", 0.785);
 }
 
 #[test]
-fn servers_fast_to_refuse_or_fail_do_not_win_for_looking_idle() {
+fn servers_that_refuse_or_fail_fast_do_not_attract_traffic() {
     keeps("refusers", 0.944);
     keeps("failers", 0.904);
 }
 
 #[test]
-fn reports_that_mislead_are_found_out() {
+fn false_reports_are_detected() {
     keeps("stuck", 0.893);
     keeps("liars", 0.941);
     keeps("release-late", 0.6);
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn deaths_heavy_requests_and_loud_neighbours_are_borne() {
+fn deaths_heavy_requests_and_noisy_neighbours_are_tolerated() {
     keeps("death", 0.846);
     keeps("half-hall", 0.935);
     keeps("heavy", 0.738);
@@ -105,7 +108,7 @@
 
 /// A tenant within its share is not refused because of another tenant.
 #[test]
-fn a_tenant_beyond_its_share_and_a_rate_far_beyond_the_plan_leave_goodput() {
+fn goodput_survives_a_tenant_beyond_its_share_and_a_quadrupled_rate() {
     for (name, floor) in [("tenant", 0.87), ("quadruple", 0.6)] {
         keeps(name, floor);
         assert!(kept(name, Peer::Own) > kept(name, Peer::PeakEwma) + 0.1);
@@ -115,7 +118,7 @@
 /// Clients that retry immediately double and triple the offered load: goodput must not fall below the level before the
 /// storm, and must recover within 5 s after it.
 #[test]
-fn retry_storms_do_not_lower_goodput_and_pass() {
+fn retry_storms_do_not_lower_goodput_and_end() {
     for name in ["storm-0.9", "storm-1.1", "storm-1.5", "storm-2.0"] {
         let stats = play(name, SMALL, 1, Peer::Own);
         let goodput = |seconds: std::ops::Range<usize>| {
@@ -134,7 +137,7 @@
 /// 86% of the fleet is replaced within 21 s by successors at an eighth of their speed: none collapses for any seed, and
 /// none comes near. Failures print the seed.
 #[test]
-fn no_successor_is_pushed_over_in_fifty_releases() {
+fn no_successor_collapses_in_fifty_releases() {
     for seed in 1..=50 {
         let stats = play("release", SMALL, seed, Peer::Own);
         assert!(
@@ -147,7 +150,7 @@
 
 /// The scenario does make cold servers collapse under a policy that ignores warm-up, so the limit above is effective.
 #[test]
-fn a_peer_that_heeds_no_cold_pushes_successors_over() {
+fn a_peer_that_ignores_warm_up_makes_successors_collapse() {
     let violations: u64 =
         (1..=3).map(|seed| play("release", SMALL, seed, Peer::PeakEwma).violations.cold).sum();
     assert!(violations > 0);
--- a/crates/lab/tests/leases.rs
+++ b/crates/lab/tests/leases.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn two_never_hold_whatever_fails() {
+fn a_lease_never_has_two_holders() {
     let (mut grants, mut refused, mut lost) = (0, 0, 0);
     for seed in 0..300 {
         let outcome = run(Safeguards::ALL, &Faults::all(), seed);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn each_safeguard_taken_away_is_found() {
+fn disabling_any_safeguard_causes_a_violation() {
     let all = Safeguards::ALL;
     let faults = Faults::all();
     // Lost state matters only when processes restart often.
@@ -54,24 +54,24 @@
     ] {
         let seed = first_violation(safeguards, faults);
         println!("{name}: {seed:?}");
-        assert!(seed.is_some(), "{name} is there for nothing");
+        assert!(seed.is_some(), "disabling {name} caused no violation");
     }
     assert!(
         first_violation(all, &Faults { fenced: false, ..faults.clone() }).is_some(),
-        "the token's check is there for nothing"
+        "disabling the check of tokens caused no violation"
     );
 }
 
 /// Twice the drift that the terms allow causes violations; four fifths of it cause none.
 #[test]
-fn clocks_beyond_the_promised_drift_are_found() {
+fn drift_beyond_the_terms_causes_violations() {
     let with = |drift| Faults { drift, ..Faults::all() };
     assert_eq!(first_violation(Safeguards::ALL, &with(40)), None);
     assert!(first_violation(Safeguards::ALL, &with(100)).is_some());
 }
 
 #[test]
-fn a_lease_is_held_on_through_loss_and_by_another_soon_after_a_crash() {
+fn a_lease_survives_loss_and_moves_soon_after_a_crash() {
     for seed in 0..10 {
         let lossy = Faults { loss: 0.1, ..Faults::none() };
         let outcome = play(&terms(Safeguards::ALL), 3, 3, 3600, &lossy, seed);
--- a/crates/lab/tests/members.rs
+++ b/crates/lab/tests/members.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_death_is_known_to_all_and_nobody_else_is_condemned() {
+fn a_death_is_detected_by_all_and_no_other_member_is_declared_dead() {
     for (seed, loss) in SEEDS.flat_map(|seed| [(seed, 0.0), (seed, 0.2)]) {
         let mut fleet = up(12, seed);
         fleet.network = lossy(loss);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_pause_is_borne_for_2_s_and_a_longer_one_condemns_that_member_alone() {
+fn a_pause_of_2_s_is_tolerated_and_a_longer_one_affects_only_that_member() {
     for seed in SEEDS {
         let mut fleet = up(12, seed);
         fleet.pause(3, 2 * SECOND);
@@ -72,7 +72,7 @@
 
 /// Without safeguards the same run declares live members dead, so the check is effective.
 #[test]
-fn members_that_stutter_condemn_nobody_and_careless_ones_do() {
+fn stuttering_members_cause_false_verdicts_only_without_safeguards() {
     let run = |without_safeguards, seed| {
         let mut fleet = Fleet::converged_fleet(12, settings(without_safeguards), seed);
         fleet.network = lossy(0.1);
@@ -95,11 +95,11 @@
     let all =
         |without_safeguards| SEEDS.map(|seed| declared_dead_count(without_safeguards, seed)).sum::<usize>();
     assert_eq!(all(false), 0);
-    assert!(all(true) > 0, "without own health and witnesses the living are condemned");
+    assert!(all(true) > 0, "without own health and witnesses live members are declared dead");
 }
 
 #[test]
-fn one_sided_cuts_condemn_nobody_with_a_road_through_a_third() {
+fn asymmetric_cuts_cause_no_false_verdicts_with_an_indirect_path() {
     for seed in SEEDS {
         // 0 receives nothing from 1.
         let mut fleet = up(12, seed);
@@ -110,7 +110,7 @@
         let mut fleet = up(12, seed);
         fleet.cut(|_, to| to == 4);
         fleet.run(60 * SECOND);
-        assert!(fleet.verdicts().all(|(n, _)| n.by != 4), "seed {seed}: the deaf condemn nobody");
+        assert!(fleet.verdicts().all(|(n, _)| n.by != 4), "seed {seed}: a deaf member issues no verdicts");
         assert!(declared_dead(&fleet).is_subset(&BTreeSet::from([4])), "seed {seed}: deaf");
         assert!(noticed(&fleet, 4, &LocalEvent::CutOff), "seed {seed}");
         assert_eq!(fleet.core(4).expect("it runs").standing(), Standing::CutOff);
@@ -126,7 +126,10 @@
             "seed {seed}: {:?}",
             declared_dead(&fleet)
         );
-        assert!(fleet.verdicts().all(|(n, _)| n.by >= 3), "seed {seed}: who isn't heard condemns nobody");
+        assert!(
+            fleet.verdicts().all(|(n, _)| n.by >= 3),
+            "seed {seed}: members that are not heard issue no verdicts"
+        );
         fleet.heal();
         assert!(fleet.run_for(5 * SECOND, Fleet::converged).is_some(), "seed {seed}: zone back");
     }
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn flapping_does_not_run_away() {
+fn flapping_does_not_escalate() {
     for seed in SEEDS {
         let mut fleet = up(12, seed);
         for _ in 0..10 {
@@ -170,7 +173,7 @@
 
 /// Updates about the first process's death are delayed, duplicated, and arrive after those about its successor.
 #[test]
-fn a_quick_restart_survives_old_news_of_its_death() {
+fn a_quick_restart_survives_stale_updates_of_its_death() {
     for seed in SEEDS {
         let mut fleet = up(12, seed);
         fleet.network =
@@ -245,7 +248,7 @@
 }
 
 #[test]
-fn who_leaves_is_gone_at_once_and_makes_no_minority() {
+fn leaving_members_are_removed_at_once_and_cause_no_minority() {
     let mut fleet = up(12, 1);
     (0..8).for_each(|n| fleet.leave(n));
     let all = |f: &Fleet| (8..12).all(|n| f.core(n).is_some_and(|c| c.count(State::Left) == 8));
@@ -267,7 +270,7 @@
         fleet.run(60 * SECOND);
         assert!(
             (14..20).all(|n| fleet.core(n).map(|c| c.agreed_size()) == Some(20)),
-            "a minority agrees on nothing"
+            "a minority must not agree on a new size"
         );
         (0..14).for_each(|n| fleet.start(n));
         assert!(fleet.run_for(15 * SECOND, Fleet::converged).is_some(), "seed {seed}: back");
@@ -277,7 +280,7 @@
 }
 
 #[test]
-fn values_reach_all_and_are_repaired_where_news_were_lost() {
+fn values_reach_all_members_despite_loss() {
     for seed in SEEDS {
         let mut fleet = up(60, seed);
         fleet.network = lossy(0.3);
@@ -298,7 +301,7 @@
 }
 
 #[test]
-fn what_is_spoilt_on_the_way_changes_nothing() {
+fn corrupted_datagrams_change_nothing() {
     for seed in SEEDS {
         let mut fleet = up(12, seed);
         fleet.network =
@@ -313,7 +316,7 @@
 
 /// Two clusters with different names on one network.
 #[test]
-fn clusters_of_different_names_do_not_meet() {
+fn clusters_of_different_names_ignore_each_other() {
     let mut fleet = up(5, 1);
     let mut other = Fleet::converged_fleet(5, Settings { cluster: "other".into(), ..settings(false) }, 2);
     other.run(2 * SECOND);
@@ -324,7 +327,7 @@
         1,
         Duration::ZERO,
     )
-    .expect("sound settings");
+    .expect("valid settings");
     stranger.handle(SECOND, Event::Wake, &mut actions);
     let mut sent = 0;
     for action in actions {
