--- a/crates/lab/tests/blind.rs
+++ b/crates/lab/tests/blind.rs
@@ -8,19 +8,19 @@
 use birchswitch_lab::stats::RunStats;
 use birchswitch_lab::world;
 
-const FEW: Size = Size { nodes: 6, servers: 14 };
+const SMALL: Size = Size { nodes: 6, servers: 14 };
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
 
 fn play(name: &str, seed: u64) -> RunStats {
     let scenario = Scenario::standard(name).expect("a standard scenario");
-    let stats = world::run(&scenario, FEW, seed, Peer::Own).expect("valid settings");
+    let stats = world::run(&scenario, SMALL, seed, Peer::Own).expect("valid settings");
     assert_eq!(stats.violations.total(), 0, "{name}, seed {seed}: {:?}", stats.violations);
     stats
 }
 
 /// Fewer than 5% of the first tries in these seconds are refused, for each seed.
 #[track_caller]
-fn lets_in(name: &str, seconds: std::ops::Range<usize>) {
+fn assert_few_refused(name: &str, seconds: std::ops::Range<usize>) {
     for seed in SEEDS {
         let refused = play(name, seed).refused_in(seconds.clone());
         assert!(refused < 0.05, "{name}, seed {seed}: {refused:.3} refused in {seconds:?}");
@@ -29,34 +29,34 @@
 
 #[test]
 fn nothing_is_refused_without_faults() {
-    lets_in("blind", 0..30);
+    assert_few_refused("blind", 0..30);
 }
 
 /// Four in ten servers hang from 8 to 13.5 s; in the second case nodes restart meanwhile.
 #[test]
 fn servers_that_hang_and_come_back_are_found_within_seconds() {
-    lets_in("blind-hang", 18..24);
-    lets_in("blind-roll", 18..28);
+    assert_few_refused("blind-hang", 18..24);
+    assert_few_refused("blind-roll", 18..28);
 }
 
 /// A quarter of the servers drains from 5 s on.
 #[test]
 fn servers_that_drain_do_not_make_the_others_look_full() {
-    lets_in("blind-drain", 8..30);
+    assert_few_refused("blind-drain", 8..30);
 }
 
 /// Reports that stop, are too low, too high or late cause no refusals while servers are idle.
 #[test]
 fn false_reports_cause_no_refusals() {
     for name in ["blind-stuck", "blind-low", "blind-high", "blind-late"] {
-        lets_in(name, 0..28);
+        assert_few_refused(name, 0..28);
     }
 }
 
 /// Clients that were all told to retry in 2 s do so at the same time.
 #[test]
 fn clients_that_come_back_together_are_let_in() {
-    lets_in("blind-again", 15..30);
+    assert_few_refused("blind-again", 15..30);
 }
 
 /// A load of 1.3 for 10 s, averaged over twelve fleets: goodput stays near capacity although rejected clients retry
--- a/crates/lab/tests/fleets.rs
+++ b/crates/lab/tests/fleets.rs
@@ -19,7 +19,11 @@
         let scenario = Scenario::standard(name).expect("a standard scenario");
         let own = play(&scenario, 1, Peer::Own);
         assert_eq!(own.violations.total(), 0, "{name}: {:?}", own.violations);
-        assert!(own.peak_cold_load < 0.7, "{name}: {} of what a cold server bears", own.peak_cold_load);
+        assert!(
+            own.peak_cold_load < 0.7,
+            "{name}: {} of the collapse limit of a cold server",
+            own.peak_cold_load
+        );
         let (net, peer) =
             (own.net_worth(&scenario.prices), play(&scenario, 1, Peer::Aperture).net_worth(&scenario.prices));
         assert!(net > peer + 0.03, "{name}: {net:.3} for {peer:.3}");
@@ -58,7 +62,7 @@
         assert_eq!(stats.violations.total(), 0, "seed {seed}: {:?}", stats.violations);
         assert!(
             stats.peak_cold_load < 0.7,
-            "seed {seed}: {} of what a cold server bears",
+            "seed {seed}: {} of the collapse limit of a cold server",
             stats.peak_cold_load
         );
     }
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/lab/tests/hard_cases.rs
@@ -65,52 +65,52 @@
 /// Each floor lies between the worth kept with and without the handling that the case covers; see
 /// `docs/design/decisions.md` for both values.
 #[track_caller]
-fn keeps(name: &str, floor: f64) {
+fn assert_worth_kept(name: &str, floor: f64) {
     let kept = kept(name, Peer::Own);
     assert!(kept >= floor, "{name}: {kept:.4} kept, {floor} wanted");
 }
 
 #[test]
 fn frozen_servers_are_avoided() {
-    keeps("frozen", 0.915);
-    keeps("frozen-late", 0.785);
+    assert_worth_kept("frozen", 0.915);
+    assert_worth_kept("frozen-late", 0.785);
 }
 
 #[test]
 fn servers_that_refuse_or_fail_fast_do_not_attract_traffic() {
-    keeps("refusers", 0.944);
-    keeps("failers", 0.904);
+    assert_worth_kept("refusers", 0.944);
+    assert_worth_kept("failers", 0.904);
 }
 
 #[test]
 fn false_reports_are_detected() {
-    keeps("stuck", 0.893);
-    keeps("liars", 0.941);
-    keeps("release-late", 0.6);
+    assert_worth_kept("stuck", 0.893);
+    assert_worth_kept("liars", 0.941);
+    assert_worth_kept("release-late", 0.6);
 }
 
 #[test]
 fn releases_and_returns_cost_little() {
-    keeps("release", 0.85);
-    keeps("registry", 0.925);
-    keeps("return", 0.908);
+    assert_worth_kept("release", 0.85);
+    assert_worth_kept("registry", 0.925);
+    assert_worth_kept("return", 0.908);
 }
 
 #[test]
 fn deaths_heavy_requests_and_noisy_neighbours_are_tolerated() {
-    keeps("death", 0.846);
-    keeps("half-hall", 0.935);
-    keeps("heavy", 0.738);
-    keeps("neighbours", 0.888);
-    keeps("loud", 0.94);
-    keeps("start", 0.904);
+    assert_worth_kept("death", 0.846);
+    assert_worth_kept("half-hall", 0.935);
+    assert_worth_kept("heavy", 0.738);
+    assert_worth_kept("neighbours", 0.888);
+    assert_worth_kept("loud", 0.94);
+    assert_worth_kept("start", 0.904);
 }
 
 /// A tenant within its share is not refused because of another tenant.
 #[test]
 fn goodput_survives_a_tenant_beyond_its_share_and_a_quadrupled_rate() {
     for (name, floor) in [("tenant", 0.87), ("quadruple", 0.6)] {
-        keeps(name, floor);
+        assert_worth_kept(name, floor);
         assert!(kept(name, Peer::Own) > kept(name, Peer::PeakEwma) + 0.1);
     }
 }
@@ -142,7 +142,7 @@
         let stats = play("release", SMALL, seed, Peer::Own);
         assert!(
             stats.peak_cold_load > 0.0 && stats.peak_cold_load < 0.7,
-            "seed {seed}: {} of what one bears",
+            "seed {seed}: {} of the collapse limit",
             stats.peak_cold_load
         );
     }
