--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -3,7 +3,7 @@
 //! A [`scenario`] describes servers, clients and faults as data. The [`world`] runs it: each node is a real
 //! [`birchswitch_engine::Engine`] with a policy, each server a [`model::ServerModel`], the network a delay. The
 //! [`policy`] is birchswitch's own, a peer from the literature, or an oracle with information that no node has. All of
-//! them receive the same arrivals, work and faults. The [`stats`] holds the results: worth answered in time, the causes
+//! them receive the same arrivals, work and faults. [`stats`] holds the results: worth answered in time, the causes
 //! of losses, and rule violations.
 //!
 //! [`members`] simulates membership in the same way, [`leases`] the election of lease holders, and [`fleet_limit`] a
