--- a/node/src/lease_run.rs
+++ b/node/src/lease_run.rs
@@ -1,7 +1,8 @@
 //! `birchswitch lease`: a client of a running node, for cron jobs and rolling restarts.
 //!
-//! The command runs in a process group of its own and is ended before the lease's guard is: told so as soon as the lease is lost, killed
-//! when the guard ends. Times are counted from before the node was asked, so that the way there makes them shorter and never longer.
+//! The command runs in a process group of its own and ends before the lease's guard expires: it gets SIGTERM as soon as the lease is
+//! lost and SIGKILL when the guard expires. Times are counted from before the request to the node, so that network delay makes them
+//! shorter and never longer.
 
 use clap::Subcommand;
 use rustix::process::{kill_process_group, Pid, Signal};
@@ -16,28 +17,28 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How often the node is asked.
+/// Interval between requests for the lease's state.
 const POLL: Duration = Duration::from_millis(200);
-/// For an answer of the node's.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// The lease did not come within `--wait`: sysexits' EX_TEMPFAIL.
+/// Timeout of the node's reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Exit code if the lease was not granted within `--wait`: EX_TEMPFAIL of sysexits.
 const NOT_HELD: u8 = 75;
-/// The lease was lost and the command was ended.
+/// Exit code if the lease was lost and the command was ended.
 const LOST: u8 = 76;
-/// No node answers, or it refuses: sysexits' EX_UNAVAILABLE.
+/// Exit code if no node answers or it refuses: EX_UNAVAILABLE of sysexits.
 const UNAVAILABLE: u8 = 69;
 
-/// What is wanted of leases.
+/// Subcommands of `birchswitch lease`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Wait for a lease, run a command under it, and give it back.
+    /// Wait for a lease, run a command while holding it, and release it.
     Run {
         /// The lease's name.
         name: String,
-        /// How many may hold it at once.
+        /// How many may hold the lease at once.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..))]
         slots: u16,
-        /// Give up after so many seconds of waiting; wait for good without.
+        /// Give up after waiting for this many seconds; without it, wait forever.
         #[arg(long)]
         wait: Option<u64>,
         /// Where the node is called by operators.
@@ -47,13 +48,13 @@
         #[arg(last = true, required = true)]
         command: Vec<String>,
     },
-    /// What a node holds, waits for and has voted for.
+    /// List the leases that a node holds, waits for and has voted for.
     List {
         /// Where the node is called by operators.
         #[arg(long, env = "GW_OPS")]
         ops: SocketAddr,
     },
-    /// Tell whoever holds a lease through that node to end what it does.
+    /// Tell the holders of a lease through that node to end their work.
     Release {
         /// The lease's name.
         name: String,
@@ -63,12 +64,12 @@
     },
 }
 
-/// Carries it out.
+/// Runs a subcommand.
 pub async fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         Command::Run { name, slots, wait, ops, command } => {
             let wait = wait.map(|s| Instant::now() + Duration::from_secs(s));
-            hold(&name, slots, wait, ops, &command).await
+            run_under_lease(&name, slots, wait, ops, &command).await
         }
         Command::List { ops } => call(ops, "LEASES").await,
         Command::Release { name, ops } => call(ops, &format!("ENDLEASE {name}")).await,
@@ -79,52 +80,54 @@
     let mut stream = TcpStream::connect(ops).await.map_err(|e| format!("no node answers at {ops}: {e}"))?;
     stream.write_all(format!("{line}\n").as_bytes()).await?;
     let mut answer = String::new();
-    timeout(PATIENCE, stream.read_to_string(&mut answer)).await??;
+    timeout(REPLY_TIMEOUT, stream.read_to_string(&mut answer)).await??;
     print!("{}", answer.trim_end_matches("EOT\n"));
     Ok(if answer.starts_with("FAILURE") { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-/// What a node told.
+/// A node's reply about a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Told {
+enum LeaseReply {
     Waiting,
-    /// Token, slot, and when all has to be over.
+    /// Token, slot, and the time by which all work under the lease must end.
     Held(String, String, Instant),
     Lost,
     Refused(String),
 }
 
-fn read(line: &str, asked: Instant) -> Told {
+fn parse_reply(line: &str, sent_at: Instant) -> LeaseReply {
     match line.split_ascii_whitespace().collect::<Vec<_>>()[..] {
-        ["WAITING", ..] => Told::Waiting,
+        ["WAITING", ..] => LeaseReply::Waiting,
         ["HELD", token, slot, left] => match left.parse() {
-            Ok(left) => Told::Held(token.to_owned(), slot.to_owned(), asked + Duration::from_millis(left)),
-            Err(_) => Told::Lost,
+            Ok(left) => {
+                LeaseReply::Held(token.to_owned(), slot.to_owned(), sent_at + Duration::from_millis(left))
+            }
+            Err(_) => LeaseReply::Lost,
         },
-        ["FAILURE", ..] => Told::Refused(line.trim_start_matches("FAILURE ").trim().to_owned()),
-        _ => Told::Lost,
+        ["FAILURE", ..] => LeaseReply::Refused(line.trim_start_matches("FAILURE ").trim().to_owned()),
+        _ => LeaseReply::Lost,
     }
 }
 
 struct Node(BufReader<TcpStream>);
 
 impl Node {
-    /// Asks by a line. A node that doesn't answer has nothing to say for the lease any more.
-    async fn ask(&mut self, line: &str) -> Told {
-        let asked = Instant::now();
+    /// Sends a line and reads the reply. Without a reply in time the lease counts as lost.
+    async fn ask(&mut self, line: &str) -> LeaseReply {
+        let sent_at = Instant::now();
         let mut answer = String::new();
         let exchange = async {
             self.0.write_all(line.as_bytes()).await?;
             self.0.read_line(&mut answer).await
         };
-        match timeout(PATIENCE, exchange).await {
-            Ok(Ok(length)) if length > 0 => read(&answer, asked),
-            _ => Told::Lost,
+        match timeout(REPLY_TIMEOUT, exchange).await {
+            Ok(Ok(length)) if length > 0 => parse_reply(&answer, sent_at),
+            _ => LeaseReply::Lost,
         }
     }
 }
 
-async fn hold(
+async fn run_under_lease(
     name: &str,
     slots: u16,
     wait: Option<Instant>,
@@ -138,30 +141,30 @@
         return Ok(UNAVAILABLE.into());
     };
     let mut node = Node(BufReader::new(stream));
-    let mut told = node.ask(&format!("LEASE {name} {slots}\n")).await;
+    let mut reply = node.ask(&format!("LEASE {name} {slots}\n")).await;
     let (token, slot, mut guard) = loop {
-        match told {
-            Told::Held(token, slot, guard) => break (token, slot, guard),
-            Told::Refused(why) => {
+        match reply {
+            LeaseReply::Held(token, slot, guard) => break (token, slot, guard),
+            LeaseReply::Refused(why) => {
                 eprintln!("birchswitch lease: {why}");
                 return Ok(UNAVAILABLE.into());
             }
-            Told::Lost => {
-                eprintln!("birchswitch lease: the node at {ops} answers no more");
+            LeaseReply::Lost => {
+                eprintln!("birchswitch lease: the node at {ops} no longer answers");
                 return Ok(UNAVAILABLE.into());
             }
-            Told::Waiting => {}
+            LeaseReply::Waiting => {}
         }
-        let over = tokio::select! {
+        let give_up = tokio::select! {
             _ = terminate.recv() => true,
             _ = interrupt.recv() => true,
             () = tokio::time::sleep(POLL) => wait.is_some_and(|until| Instant::now() >= until),
         };
-        if over {
+        if give_up {
             release(node).await;
             return Ok(NOT_HELD.into());
         }
-        told = node.ask("\n").await;
+        reply = node.ask("\n").await;
     };
     let mut child = tokio::process::Command::new(&command[0])
         .args(&command[1..])
@@ -180,18 +183,18 @@
             status = child.wait() => break Some(status?),
             _ = terminate.recv() => drop(send(Signal::TERM)),
             _ = interrupt.recv() => drop(send(Signal::INT)),
-            // A node that does not answer in half of the time that is left says nothing for it any more: the other half is the command's, to end.
+            // If the node does not answer within half of the time left, the lease counts as lost: the other half is for the command to end.
             () = tokio::time::sleep(POLL.min(left / 4)) => match timeout(left / 2, node.ask("\n")).await {
-                Ok(Told::Held(_, _, later)) => guard = guard.max(later),
-                _ => break end(&mut child, guard, send).await?,
+                Ok(LeaseReply::Held(_, _, extended)) => guard = guard.max(extended),
+                _ => break end_command(&mut child, guard, send).await?,
             },
         }
     };
-    // What it forked is of its group, and ends with the lease.
+    // Processes that the command forked belong to its group and end with the lease.
     let _ = send(Signal::KILL);
     release(node).await;
     Ok(match status {
-        Some(status) => code(status),
+        Some(status) => exit_code(status),
         None => {
             eprintln!("birchswitch lease: {name} was lost, the command was ended");
             LOST.into()
@@ -199,8 +202,9 @@
     })
 }
 
-/// The lease is lost: tells the command, and kills it by the guard's end. None: it was ended so.
-async fn end<R>(
+/// Ends the command after the lease was lost: sends SIGTERM, and SIGKILL when the guard expires. Returns `None`, as the command has no
+/// exit status of its own to pass on.
+async fn end_command<R>(
     child: &mut Child,
     guard: Instant,
     send: impl Fn(Signal) -> Option<R>,
@@ -216,13 +220,13 @@
     Ok(None)
 }
 
-/// What was done under it is over. A node that is gone lets it run out.
+/// Releases the lease. If the node is gone, the lease expires.
 async fn release(mut node: Node) {
     let _ = node.0.write_all(b"RELEASE\n").await;
     let _ = node.0.shutdown().await;
 }
 
-fn code(status: ExitStatus) -> ExitCode {
+fn exit_code(status: ExitStatus) -> ExitCode {
     let code = status.code().or(status.signal().map(|s| 128 + s)).unwrap_or(1);
     ExitCode::from(u8::try_from(code).unwrap_or(1))
 }
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -1,5 +1,6 @@
-//! The structured log: JSON lines with the system's monotonic clock, which all processes of a machine share. Off without a `[log]`
-//! table. Lines go through a bounded queue to a thread of their own; what does not fit is dropped, so that nobody waits.
+//! The structured log: JSON lines with timestamps of the system's monotonic clock, which all processes of a machine share. Disabled
+//! without a `[log]` table. A thread of its own writes the lines from a bounded queue; lines that do not fit are dropped, so that
+//! logging never blocks.
 
 use crate::operator::{Log, Sink};
 use rustix::time::{clock_gettime, ClockId};
@@ -11,7 +12,7 @@
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::FormatTime;
 
-/// Nanoseconds of CLOCK_MONOTONIC.
+/// Writes timestamps as nanoseconds of CLOCK_MONOTONIC.
 struct Monotonic;
 
 impl FormatTime for Monotonic {
@@ -21,7 +22,7 @@
     }
 }
 
-/// Starts it. What is still in the queue when the guard is dropped is written then.
+/// Starts the log. Lines still in the queue are written when the guard is dropped.
 pub fn start(log: &Log) -> Result<WorkerGuard, Box<dyn Error>> {
     let sink: Box<dyn Write + Send> = match &log.json {
         Sink::Standard => Box::new(std::io::stderr()),
