--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start: the `GW_*` variables and the JSON file that one of them names.
+//! The node's configuration: the `GW_*` environment variables and the JSON file named by `GW_CONFIG`.
 
 use crate::operator::{Budget, Operator, OperatorError};
 use birchswitch_membership::list::ServerList;
@@ -9,7 +9,7 @@
 use std::os::fd::RawFd;
 use std::path::PathBuf;
 
-/// Why a node cannot start with what it was told.
+/// Errors in the node's configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// No configuration file is named.
@@ -20,10 +20,10 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The file is not what it should be.
+    /// The file can't be parsed.
     #[error("{path}: {source}")]
     Json {
         /// The file.
@@ -31,7 +31,7 @@
         /// What is wrong, and where.
         source: serde_json::Error,
     },
-    /// The settings inside it are not what they should be.
+    /// The site's settings in the file can't be parsed.
     #[error("{path}: {source}")]
     Settings {
         /// The file.
@@ -39,64 +39,64 @@
         /// What is wrong, and where.
         source: settings::ConfigError,
     },
-    /// The settings can be read but don't make sense.
+    /// The site's settings are inconsistent.
     #[error("{path}: {source}")]
-    Figures {
+    InvalidSettings {
         /// The file.
         path: String,
-        /// What makes no sense.
+        /// What is inconsistent.
         source: finchvale::SettingsError,
     },
-    /// The operator's file is not what it should be.
+    /// The operator's file is invalid.
     #[error(transparent)]
     Operator(#[from] OperatorError),
-    /// A value that is given neither as a variable nor in the file.
-    #[error("neither {variable} nor the configuration's `{key}` is given")]
+    /// A required value is set neither by a variable nor in the file.
+    #[error("neither {variable} nor the configuration's `{key}` is set")]
     Missing {
         /// The variable.
         variable: &'static str,
         /// The file's key.
         key: &'static str,
     },
-    /// A value that makes no sense.
-    #[error("{what} {value:?} is not {wanted}")]
-    Senseless {
-        /// What it is for.
+    /// A value is invalid.
+    #[error("{what} {value:?} is not {expected}")]
+    Invalid {
+        /// The key or the variable.
         what: &'static str,
-        /// What was given.
+        /// The value.
         value: String,
-        /// What it should be.
-        wanted: &'static str,
+        /// What is expected.
+        expected: &'static str,
     },
 }
 
 /// A node's configuration.
 pub struct Config {
-    /// Its name, for its log.
+    /// The node's name in its log.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The file's word on that, which counts when the file is read again.
+    /// The address of discovery in the file, which is used when the file is read again.
     pub discovery_in_file: Option<SocketAddr>,
-    /// Where operators call, if anywhere.
+    /// Address for operators' calls, if any.
     pub ops: Option<SocketAddr>,
-    /// The descriptor under which the process inherits the clients' listening socket, if it does.
+    /// The descriptor of the inherited listening socket for clients, if any.
     pub socket: Option<RawFd>,
-    /// Where what outlives this process is kept, if anything is.
+    /// Folder for state that outlives this process, if any.
     pub state: Option<PathBuf>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Memory that it may use, in bytes.
+    /// Memory that the process may use, in bytes.
     pub memory: usize,
-    /// The servers as last known, if they are.
+    /// The last known list of servers, if any.
     pub known: Option<ServerList>,
     /// The site's settings.
     pub site: settings::Config,
-    /// What the operator wants beside that.
+    /// The operator's settings.
     pub operator: Operator,
 }
 
@@ -128,13 +128,13 @@
     }
 }
 
-/// Fewer descriptors than this leave no room to serve anyone.
-const LEAST_SOCKETS: usize = 64;
-/// Descriptors for all that is no client and no server: standard streams, listener, discovery, the runtime.
+/// Minimum number of descriptors: with fewer too few are left for clients and servers.
+const MIN_SOCKETS: usize = 64;
+/// Descriptors reserved for everything but clients and servers: standard streams, listener, discovery, the runtime.
 pub const RESERVED_SOCKETS: usize = 32;
 
 impl Config {
-    /// Reads the process's variables and the file that they name.
+    /// Reads the environment variables and the file named by `GW_CONFIG`.
     pub fn from_env() -> Result<Self, ConfigError> {
         let variable = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
         let path = variable("GW_CONFIG").ok_or(ConfigError::NoFile)?;
@@ -145,19 +145,19 @@
         Self::read(&path, &text, variable)
     }
 
-    /// The variables, where set, prevail over the file.
+    /// Builds the configuration from the file's text. Variables that are set take precedence over the file.
     fn read(path: &str, text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let path = || path.to_owned();
         let file: File =
             serde_json::from_str(text).map_err(|source| ConfigError::Json { path: path(), source })?;
         let site = settings::parse(file.settings.get().as_bytes())
             .map_err(|source| ConfigError::Settings { path: path(), source })?;
-        site.settings.check().map_err(|source| ConfigError::Figures { path: path(), source })?;
-        // Both are checked wherever they are given: what is not used now may be at the next reading.
+        site.settings.check().map_err(|source| ConfigError::InvalidSettings { path: path(), source })?;
+        // The file's addresses are checked even if a variable overrides them, because a reload may use them.
         let address = |key: &'static str, value: Option<String>| {
-            let wanted = "an address and port";
+            let expected = "an address and port";
             value
-                .map(|v| v.parse().map_err(|_| ConfigError::Senseless { what: key, value: v, wanted }))
+                .map(|v| v.parse().map_err(|_| ConfigError::Invalid { what: key, value: v, expected }))
                 .transpose()
         };
         let either = |name: &'static str, key: &'static str, in_file: Option<SocketAddr>| {
@@ -169,23 +169,23 @@
         let in_file = address("ops", file.ops)?;
         let ops = address("GW_OPS", variable("GW_OPS"))?.or(in_file);
         if let Some(twice) = ops.filter(|ops| *ops == listen && ops.port() != 0) {
-            let wanted = "another address than where clients connect";
-            return Err(ConfigError::Senseless { what: "ops", value: twice.to_string(), wanted });
+            let expected = "an address that differs from the clients' one";
+            return Err(ConfigError::Invalid { what: "ops", value: twice.to_string(), expected });
         }
         let socket = variable("GW_SOCKET_FD").map(|value| {
-            let wanted = "the number of a descriptor";
-            value.parse().map_err(|_| ConfigError::Senseless { what: "GW_SOCKET_FD", value, wanted })
+            let expected = "the number of a descriptor";
+            value.parse().map_err(|_| ConfigError::Invalid { what: "GW_SOCKET_FD", value, expected })
         });
         let socket = socket.transpose()?;
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Senseless {
+        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Invalid {
             what: "seed",
             value: file.seed.clone(),
-            wanted: "a hexadecimal number of at most 16 digits",
+            expected: "a hexadecimal number of at most 16 digits",
         })?;
         let sockets = file.limits.sockets;
-        if sockets < LEAST_SOCKETS {
-            let (value, wanted) = (sockets.to_string(), "at least 64");
-            return Err(ConfigError::Senseless { what: "limits.sockets", value, wanted });
+        if sockets < MIN_SOCKETS {
+            let (value, expected) = (sockets.to_string(), "at least 64");
+            return Err(ConfigError::Invalid { what: "limits.sockets", value, expected });
         }
         let memory = file.limits.memory_mb.saturating_mul(1 << 20);
         let budget = Budget { sockets: sockets - RESERVED_SOCKETS, memory };
