--- a/node/src/fleet/health.rs
+++ b/node/src/fleet/health.rs
@@ -1,4 +1,4 @@
-//! One node of a zone asks the servers that fell silent whether they are back, and tells the others of that zone.
+//! Shared health checks: one node of each zone probes the servers that stopped answering, and publishes the silent ones to its zone.
 
 use birchswitch_cluster::{Record, Topic};
 use birchswitch_cluster_host::{Cluster, HumanDuration, SettingError, SettingSpans};
@@ -16,59 +16,62 @@
 use tokio::time::Instant;
 use toml::Spanned;
 
-/// The cluster's lane for words of servers that fell silent.
+/// The cluster's lane for reports of silent servers.
 const LANE: u8 = 2;
-/// Between looks at who is due, and at what is told.
-const LOOK: Duration = Duration::from_millis(250);
-/// For a server's answer.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Interval between checks for due probes and for published changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The `[health]` table of an operator's file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Table {
+pub struct HealthTable {
     least: Option<Spanned<HumanDuration>>,
     most: Option<Spanned<HumanDuration>>,
 }
 
-/// Checks the table beside what else there is.
-pub fn compile(table: Spanned<Table>, leases: bool, may_probe: bool) -> Result<ProbeIntervals, SettingError> {
-    let mut places = SettingSpans::new("health", &table);
+/// Checks the table against the rest of the configuration.
+pub fn compile(
+    table: Spanned<HealthTable>,
+    leases: bool,
+    may_probe: bool,
+) -> Result<ProbeIntervals, SettingError> {
+    let mut spans = SettingSpans::new("health", &table);
     if !leases {
         return Err(
-            places.error_at("health", "[health] is a task of the whole fleet: it wants a [lease] table")
+            spans.error_at("health", "[health] is a task of the whole fleet and requires a [lease] table")
         );
     }
     if !may_probe {
-        return Err(
-            places.error_at("health", "[health] asks servers for their load, which this site does not allow")
-        );
+        return Err(spans
+            .error_at("health", "[health] probes servers for their load, which this site does not allow"));
     }
-    let (mut times, table) = (ProbeIntervals::default(), table.get_ref());
-    places.apply_duration("least", &table.least, &mut times.least);
-    places.apply_duration("most", &table.most, &mut times.most);
-    if !(Duration::from_millis(500)..=Duration::from_secs(60)).contains(&times.least) {
-        return Err(places.error_at("least", "`least` has to be 500ms to 60s"));
+    let (mut intervals, table) = (ProbeIntervals::default(), table.get_ref());
+    spans.apply_duration("least", &table.least, &mut intervals.least);
+    spans.apply_duration("most", &table.most, &mut intervals.most);
+    if !(Duration::from_millis(500)..=Duration::from_secs(60)).contains(&intervals.least) {
+        return Err(spans.error_at("least", "`least` must be between 500ms and 60s"));
     }
-    if !(times.least..=Duration::from_secs(300)).contains(&times.most) {
-        return Err(places.error_at("most", "`most` has to be at least `least` and at most 5m"));
+    if !(intervals.least..=Duration::from_secs(300)).contains(&intervals.most) {
+        return Err(spans.error_at("most", "`most` must be at least `least` and at most 5m"));
     }
-    Ok(times)
+    Ok(intervals)
 }
 
-struct Asks<U: Upstream> {
+struct Prober<U: Upstream> {
     host: Rc<Host<U>>,
     cluster: Rc<Cluster>,
-    times: ProbeIntervals,
+    intervals: ProbeIntervals,
     began: Instant,
-    /// While this node asks for its zone.
-    rounds: RefCell<Option<ProbeScheduler>>,
+    /// Set while this node probes for its zone.
+    scheduler: RefCell<Option<ProbeScheduler>>,
     task: Task,
 }
 
-/// Takes part from now on, for good.
-pub fn attend<U: Upstream>(
-    times: ProbeIntervals,
+/// Starts reporting silent servers and following the zone's published ones, and probes while this node holds the task's lease.
+pub fn start<U: Upstream>(
+    intervals: ProbeIntervals,
     host: &Rc<Host<U>>,
     cluster: &Rc<Cluster>,
     tasks: &Rc<Tasks>,
@@ -76,95 +79,103 @@
     let zone = cluster.core().own().zone.clone();
     let task = Task { name: format!("health/{zone}"), zone, standbys: 0 };
     let (host, cluster, began) = (host.clone(), cluster.clone(), Instant::now());
-    let asks = Rc::new(Asks { host, cluster, times, began, rounds: RefCell::default(), task: task.clone() });
-    let reports = asks.clone();
-    asks.host.on_server_silent(move |name| reports.report(name));
-    let takes = asks.clone();
-    asks.cluster.open_lane(
+    let prober = Rc::new(Prober {
+        host,
+        cluster,
+        intervals,
+        began,
+        scheduler: RefCell::default(),
+        task: task.clone(),
+    });
+    let reporter = prober.clone();
+    prober.host.on_server_silent(move |name| reporter.report(name));
+    let receiver = prober.clone();
+    prober.cluster.open_lane(
         LANE,
         Rc::new(move |_, bytes| {
-            // Whatever comes from wherever: only servers that are listed are asked, each no more often than its turn comes.
+            // Reports need no check of their sender: only listed servers are probed, each no more often than its schedule allows.
             if let Ok(name) = bytes.try_into() {
-                takes.reported(u64::from_le_bytes(name));
+                receiver.record_report(u64::from_le_bytes(name));
             }
         }),
     );
-    tasks.register(task, Asking(asks.clone()));
-    spawn_local(asks.listen());
+    tasks.register(task, ProbeTask(prober.clone()));
+    spawn_local(prober.follow_published());
 }
 
-impl<U: Upstream> Asks<U> {
+impl<U: Upstream> Prober<U> {
     fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
-    /// What the one that asks for this zone says, if one does: whether it is this node, where it is, and who is silent.
-    fn asker<T>(&self, of: impl FnOnce(&Record) -> T) -> Option<T> {
+    /// Reads the record of the node that probes for this zone, which may be this node. Returns `None` if no node does.
+    fn with_prober<T>(&self, read: impl FnOnce(&Record) -> T) -> Option<T> {
         let core = self.cluster.core();
         let id = self.task.id();
-        let asks = |r: &Record| r.zone == self.task.zone && running_tasks(r).contains(&id);
-        if asks(core.own()) {
-            return Some(of(core.own()));
+        let probes = |r: &Record| r.zone == self.task.zone && running_tasks(r).contains(&id);
+        if probes(core.own()) {
+            return Some(read(core.own()));
         }
-        let other = core.members().find(|(_, m)| m.state.is_live() && asks(&m.record));
-        other.map(|(_, m)| of(&m.record))
+        let other = core.members().find(|(_, m)| m.state.is_live() && probes(&m.record));
+        other.map(|(_, m)| read(&m.record))
     }
 
-    /// A server fell silent for this node: whoever asks for its zone is told.
+    /// Reports a server that stopped answering this node to the node that probes for the zone.
     fn report(&self, name: u64) {
-        if self.rounds.borrow().is_some() {
-            self.reported(name);
-        } else if let Some(address) = self.asker(|r| r.address) {
+        if self.scheduler.borrow().is_some() {
+            self.record_report(name);
+        } else if let Some(address) = self.with_prober(|r| r.address) {
             self.cluster.send_payload(address, LANE, name.to_le_bytes().to_vec());
         }
     }
 
-    fn reported(&self, name: u64) {
-        if let Some(rounds) = self.rounds.borrow_mut().as_mut() {
-            rounds.report(self.now(), name);
+    fn record_report(&self, name: u64) {
+        if let Some(scheduler) = self.scheduler.borrow_mut().as_mut() {
+            scheduler.report(self.now(), name);
         }
     }
 
-    /// Takes up what is told.
-    async fn listen(self: Rc<Self>) {
-        let mut every = tokio::time::interval(LOOK);
+    /// Applies the silent servers that the probing node publishes.
+    async fn follow_published(self: Rc<Self>) {
+        let mut every = tokio::time::interval(POLL_INTERVAL);
         let mut known: Vec<ShortId> = Vec::new();
         loop {
             every.tick().await;
-            let told =
-                self.asker(|r| r.value(Topic::Silent).map(decode).unwrap_or_default()).unwrap_or_default();
-            if told != known {
-                self.host.set_silent_servers(&told);
-                known = told;
+            let published = self
+                .with_prober(|r| r.value(Topic::Silent).map(decode).unwrap_or_default())
+                .unwrap_or_default();
+            if published != known {
+                self.host.set_silent_servers(&published);
+                known = published;
             }
         }
     }
 
-    fn tell(&self) {
+    fn publish(&self) {
         let silent =
-            self.rounds.borrow().as_ref().map(|r| r.silent().collect::<Vec<_>>()).unwrap_or_default();
+            self.scheduler.borrow().as_ref().map(|r| r.silent().collect::<Vec<_>>()).unwrap_or_default();
         tracing::info!(target: "health", kind = "silent", servers = silent.len());
         self.cluster.publish(Topic::Silent, encode(silent.into_iter()));
     }
 
-    async fn ask(self: Rc<Self>, mut term: TaskLease) {
-        *self.rounds.borrow_mut() = Some(ProbeScheduler::new(self.times));
-        let _ended = Ended(self.clone());
-        let mut questions = JoinSet::new();
-        let mut every = tokio::time::interval(LOOK);
+    async fn probe_silent(self: Rc<Self>, mut term: TaskLease) {
+        *self.scheduler.borrow_mut() = Some(ProbeScheduler::new(self.intervals));
+        let _withdraw = WithdrawOnDrop(self.clone());
+        let mut probes = JoinSet::new();
+        let mut every = tokio::time::interval(POLL_INTERVAL);
         loop {
             tokio::select! {
                 () = term.stop_requested() => return,
-                Some(Ok((name, answer))) = questions.join_next() => {
-                    let mut rounds = self.rounds.borrow_mut();
-                    let changed = match (rounds.as_mut(), answer) {
-                        (Some(rounds), Some(spoke)) => rounds.record_answer(name, spoke),
-                        // It was not asked.
+                Some(Ok((name, answer))) = probes.join_next() => {
+                    let mut scheduler = self.scheduler.borrow_mut();
+                    let changed = match (scheduler.as_mut(), answer) {
+                        (Some(scheduler), Some(answered)) => scheduler.record_answer(name, answered),
+                        // The probe was not sent.
                         _ => false,
                     };
-                    drop(rounds);
+                    drop(scheduler);
                     if changed {
-                        self.tell();
+                        self.publish();
                     }
                 }
                 _ = every.tick() => {
@@ -172,13 +183,13 @@
                         return;
                     }
                     let listed = self.host.servers_to_probe();
-                    let due = self.rounds.borrow_mut().as_mut().map(|rounds| {
-                        rounds.retain_listed(&listed);
-                        rounds.due(self.now())
+                    let due = self.scheduler.borrow_mut().as_mut().map(|scheduler| {
+                        scheduler.retain_listed(&listed);
+                        scheduler.due(self.now())
                     });
                     for name in due.into_iter().flatten() {
                         let host = self.host.clone();
-                        questions.spawn_local(async move { (name, host.probe_for_others(name, PATIENCE).await) });
+                        probes.spawn_local(async move { (name, host.probe_for_others(name, PROBE_TIMEOUT).await) });
                     }
                 }
             }
@@ -186,21 +197,21 @@
     }
 }
 
-/// Takes back what was told once this node asks no more, wherever it was stopped.
-struct Ended<U: Upstream>(Rc<Asks<U>>);
+/// Withdraws the published servers when this node stops probing, wherever the task is stopped.
+struct WithdrawOnDrop<U: Upstream>(Rc<Prober<U>>);
 
-impl<U: Upstream> Drop for Ended<U> {
+impl<U: Upstream> Drop for WithdrawOnDrop<U> {
     fn drop(&mut self) {
-        *self.0.rounds.borrow_mut() = None;
-        self.0.tell();
+        *self.0.scheduler.borrow_mut() = None;
+        self.0.publish();
     }
 }
 
-struct Asking<U: Upstream>(Rc<Asks<U>>);
+struct ProbeTask<U: Upstream>(Rc<Prober<U>>);
 
-impl<U: Upstream> SingletonTask for Asking<U> {
+impl<U: Upstream> SingletonTask for ProbeTask<U> {
     fn run(&self, term: TaskLease) -> Pin<Box<dyn Future<Output = ()>>> {
-        Box::pin(self.0.clone().ask(term))
+        Box::pin(self.0.clone().probe_silent(term))
     }
 }
 
@@ -210,7 +221,7 @@
 
     #[derive(Deserialize)]
     struct File {
-        health: Spanned<Table>,
+        health: Spanned<HealthTable>,
     }
 
     fn compiled(text: &str, leases: bool, may_probe: bool) -> Result<ProbeIntervals, String> {
@@ -220,7 +231,7 @@
     }
 
     #[test]
-    fn mistakes_are_told_where_they_are() {
+    fn errors_carry_their_place() {
         assert_eq!(compiled("[health]", true, true), Ok(ProbeIntervals::default()));
         let given = compiled("[health]\nleast = \"2s\"\nmost = \"3s\"", true, true).expect("it is right");
         assert_eq!((given.least, given.most), (Duration::from_secs(2), Duration::from_secs(3)));
--- a/node/src/fleet/leases.rs
+++ b/node/src/fleet/leases.rs
@@ -1,16 +1,17 @@
-//! Leases as operators' calls and figures have them.
+//! Operators' calls and metrics for leases.
 
-use crate::operations::Part;
+use crate::operations::Subsystem;
 use birchswitch_figures::{LeaseMetrics, Metrics};
 use birchswitch_lease_host::{LeaseHandle, Leases, State};
 use birchswitch_operations::{Call, LeaseSession};
 use std::rc::Rc;
 
-/// A lease that a caller waits for or holds.
-pub struct Held(pub LeaseHandle);
+/// A lease that an operator's connection waits for or holds.
+pub struct OperatorLease(pub LeaseHandle);
 
-impl LeaseSession for Held {
-    /// `WAITING why`, `HELD token slot milliseconds`, or `LOST` for good. The time is that of the guard, by which all has to be over.
+impl LeaseSession for OperatorLease {
+    /// `WAITING why`, `HELD token slot milliseconds`, or finally `LOST`. The time left is that of the guard: all work under the lease
+    /// must end by then.
     fn state(&self) -> String {
         match (self.0.guard(), self.0.state()) {
             (Some((held, left)), _) => {
@@ -28,8 +29,8 @@
     }
 }
 
-/// What figures tell of them.
-fn metrics(leases: &Leases) -> LeaseMetrics {
+/// Collects the metrics of leases.
+fn lease_metrics(leases: &Leases) -> LeaseMetrics {
     let (counts, [held, waiting]) = (leases.counts(), leases.held_and_waiting());
     LeaseMetrics {
         held,
@@ -38,15 +39,15 @@
     }
 }
 
-/// Them, for operators.
-pub struct Asked(pub Rc<Leases>);
+/// Metrics and calls for leases.
+pub struct LeaseOperations(pub Rc<Leases>);
 
-impl Part for Asked {
-    fn metrics(&self, all: &Metrics) {
-        all.set_leases(&metrics(&self.0));
+impl Subsystem for LeaseOperations {
+    fn metrics(&self, metrics: &Metrics) {
+        metrics.set_leases(&lease_metrics(&self.0));
     }
 
-    fn answers(&self, call: &Call) -> Option<Result<String, String>> {
+    fn answer(&self, call: &Call) -> Option<Result<String, String>> {
         match call {
             Call::Leases => Some(Ok(self.0.status_text())),
             Call::EndLease(name) => Some(Ok(format!("{} told to end", self.0.request_end(Some(name))))),
@@ -55,6 +56,10 @@
     }
 
     fn lease(&self, name: &str, slots: u16) -> Option<Result<Box<dyn LeaseSession>, String>> {
-        Some(self.0.acquire(name, slots).map(|hold| Box::new(Held(hold)) as Box<dyn LeaseSession>))
+        Some(
+            self.0
+                .acquire(name, slots)
+                .map(|handle| Box::new(OperatorLease(handle)) as Box<dyn LeaseSession>),
+        )
     }
 }
--- a/node/src/fleet/links.rs
+++ b/node/src/fleet/links.rs
@@ -1,6 +1,6 @@
-//! The mesh, told by membership who lives and where.
+//! The mesh between nodes, fed with the live members and their addresses.
 
-use crate::operations::Part;
+use crate::operations::Subsystem;
 use birchswitch_cluster::{Record, Standing, Topic};
 use birchswitch_cluster_host::Cluster;
 use birchswitch_figures::Metrics;
@@ -13,40 +13,40 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Between looks at who lives.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between checks for changes of membership.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Starts the mesh under the member's name, and tells the others where it is.
-pub fn open(compiled: &MeshSettings, cluster: &Cluster, clock: Clock) -> Result<Mesh, MeshError> {
+/// Starts the mesh under the member's name, and publishes its address to the other members.
+pub fn open(settings: &MeshSettings, cluster: &Cluster, clock: Clock) -> Result<Mesh, MeshError> {
     let (name, generation) = {
         let core = cluster.core();
         (core.own().name.clone(), core.own().generation)
     };
-    let mesh = Mesh::start(compiled, &Identity { cluster: cluster.name(), name: &name, generation, clock })?;
+    let mesh = Mesh::start(settings, &Identity { cluster: cluster.name(), name: &name, generation, clock })?;
     cluster.publish(Topic::Mesh, mesh.address().to_string().into_bytes());
     Ok(mesh)
 }
 
-/// Tells the mesh who lives, for good, and the door how many.
-pub fn follow(cluster: &Rc<Cluster>, mesh: &Mesh, door: Option<Rc<Limiter>>) {
+/// Keeps the mesh's view of the membership and the limiter's fleet size up to date.
+pub fn follow(cluster: &Rc<Cluster>, mesh: &Mesh, limiter: Option<Rc<Limiter>>) {
     let (cluster, mesh) = (cluster.clone(), mesh.clone());
     spawn_local(async move {
-        let mut every = tokio::time::interval(LOOK);
+        let mut every = tokio::time::interval(POLL_INTERVAL);
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut told = MembershipView::default();
+        let mut current = MembershipView::default();
         loop {
             every.tick().await;
-            let now = roster(&cluster);
-            if now != told {
-                door.iter().for_each(|door| door.set_fleet_size(now.agreed));
+            let now = membership_view(&cluster);
+            if now != current {
+                limiter.iter().for_each(|limiter| limiter.set_fleet_size(now.agreed));
                 mesh.set_membership(now.clone());
-                told = now;
+                current = now;
             }
         }
     });
 }
 
-fn roster(cluster: &Cluster) -> MembershipView {
+fn membership_view(cluster: &Cluster) -> MembershipView {
     let core = cluster.core();
     let member = |record: &Record| {
         let address = record.value(Topic::Mesh).and_then(|b| std::str::from_utf8(b).ok()?.parse().ok());
@@ -57,22 +57,22 @@
         )
     };
     let others = core.members().filter(|(_, m)| m.state.is_live()).map(|(_, m)| member(&m.record));
-    // Who has met nobody yet, and is to, knows nothing of the fleet's size.
+    // A node with seeds that has not met another member yet does not know the fleet's size.
     let unknown = core.standing() == Standing::Alone && core.seed_count() > 0;
     let agreed = if unknown { 0 } else { core.agreed_size() as u32 };
     MembershipView { members: others.chain([member(core.own())]).collect(), agreed }
 }
 
-/// It, for operators.
-pub struct Asked(pub Mesh);
+/// Metrics and status of the mesh.
+pub struct MeshOperations(pub Mesh);
 
-impl Part for Asked {
+impl Subsystem for MeshOperations {
     fn metrics(&self, metrics: &Metrics) {
-        let ([open, ever], [asked, heard, told, replaced, unreached]) =
+        let ([open, total], [asked, heard, told, replaced, unreached]) =
             (self.0.counters().connections(), self.0.counters().messages());
         let values = [
             ("open", open),
-            ("connected", ever),
+            ("connected", total),
             ("asked", asked),
             ("heard", heard),
             ("told", told),
@@ -83,12 +83,12 @@
         metrics.set_gauges(("mesh", "Connections to other nodes, and what goes over them.", "of"), values);
     }
 
-    fn answers(&self, call: &Call) -> Option<Result<String, String>> {
+    fn answer(&self, call: &Call) -> Option<Result<String, String>> {
         if *call != Call::Mesh {
             return None;
         }
-        let [open, ever] = self.0.counters().connections();
-        let mut text = format!("# {open} connections are open, {ever} were\n# name zone address tasks\n");
+        let [open, total] = self.0.counters().connections();
+        let mut text = format!("# {open} connections are open, {total} were\n# name zone address tasks\n");
         for member in self.0.membership().members.values() {
             let address = member.address.map_or("-".to_owned(), |a| a.to_string());
             // Writing to a string never fails.
--- a/node/src/fleet/members.rs
+++ b/node/src/fleet/members.rs
@@ -1,6 +1,6 @@
-//! This node among the others: what it tells them, and its place on the ring of servers.
+//! Cluster membership of this node: what it publishes, and its position on the ring of servers.
 
-use crate::operations::Part;
+use crate::operations::Subsystem;
 use birchswitch_cluster::{State, Topic};
 use birchswitch_cluster_host::{Cluster, ClusterSettings, Identity};
 use birchswitch_figures::{ClusterMetrics, Metrics};
@@ -11,47 +11,49 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// How often the revision of the list of servers is told, where it changed: every such change goes to all members.
-const TELL: Duration = Duration::from_secs(10);
+/// How often a changed revision of the list of servers is published. It is limited because each change is sent to all members.
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Binds the member's socket.
-pub fn open(compiled: &ClusterSettings, name: &str, seed: u64) -> Result<Rc<Cluster>, Box<dyn Error>> {
-    let who = Identity { name, program: env!("CARGO_PKG_VERSION"), seed };
-    Ok(Cluster::open(compiled, &who)?)
+pub fn open(settings: &ClusterSettings, name: &str, seed: u64) -> Result<Rc<Cluster>, Box<dyn Error>> {
+    let identity = Identity { name, program: env!("CARGO_PKG_VERSION"), seed };
+    Ok(Cluster::open(settings, &identity)?)
 }
 
-/// Takes part for good; the node's place goes to all that send to servers.
-pub fn run<U: Upstream>(cluster: &Rc<Cluster>, host: &Rc<Host<U>>, placed: Vec<Rc<dyn Placed>>) {
-    spawn_local(cluster.clone().run(move |begins, nodes| placed.iter().for_each(|p| p.place(begins, nodes))));
+/// Starts the membership protocol and the publishing of list revisions. Every host in `hosts` gets the node's ring position.
+pub fn run<U: Upstream>(cluster: &Rc<Cluster>, host: &Rc<Host<U>>, hosts: Vec<Rc<dyn RingPositioned>>) {
+    spawn_local(
+        cluster.clone().run(move |start, nodes| hosts.iter().for_each(|h| h.set_position(start, nodes))),
+    );
     let (cluster, host) = (cluster.clone(), host.clone());
     spawn_local(async move {
-        let mut every = tokio::time::interval(TELL);
-        let mut told = None;
+        let mut every = tokio::time::interval(PUBLISH_INTERVAL);
+        let mut published = None;
         loop {
             every.tick().await;
             let revision = host.revision();
-            if told != Some(revision) && host.ready() {
-                told = Some(revision);
+            if published != Some(revision) && host.ready() {
+                published = Some(revision);
                 cluster.publish(Topic::ServerList, revision.to_le_bytes().to_vec());
             }
         }
     });
 }
 
-/// What has a place on the ring of servers.
-pub trait Placed {
-    /// Takes it up.
-    fn place(&self, begins: f64, nodes: u32);
+/// A host with a position on the ring of servers.
+pub trait RingPositioned {
+    /// Sets where the node's part of the ring starts, and the number of nodes.
+    fn set_position(&self, start: f64, nodes: u32);
 }
 
-impl<U: Upstream> Placed for Host<U> {
-    fn place(&self, begins: f64, nodes: u32) {
-        Host::set_ring_position(self, begins, nodes);
+impl<U: Upstream> RingPositioned for Host<U> {
+    fn set_position(&self, start: f64, nodes: u32) {
+        Host::set_ring_position(self, start, nodes);
     }
 }
 
-/// What figures tell of it.
-fn metrics(cluster: &Cluster) -> ClusterMetrics {
+/// Collects the metrics of the cluster.
+fn cluster_metrics(cluster: &Cluster) -> ClusterMetrics {
     let core = cluster.core();
     let counts = core.counts();
     ClusterMetrics {
@@ -64,15 +66,15 @@
     }
 }
 
-/// It, for operators.
-pub struct Asked(pub Rc<Cluster>);
+/// Metrics and calls for membership.
+pub struct MembershipOperations(pub Rc<Cluster>);
 
-impl Part for Asked {
-    fn metrics(&self, all: &Metrics) {
-        all.set_cluster(&metrics(&self.0));
+impl Subsystem for MembershipOperations {
+    fn metrics(&self, metrics: &Metrics) {
+        metrics.set_cluster(&cluster_metrics(&self.0));
     }
 
-    fn answers(&self, call: &Call) -> Option<Result<String, String>> {
+    fn answer(&self, call: &Call) -> Option<Result<String, String>> {
         match call {
             Call::Members => Some(Ok(self.0.members_text())),
             Call::Leave if self.0.leave() => Some(Ok("left".to_owned())),
--- a/node/src/fleet/mod.rs
+++ b/node/src/fleet/mod.rs
@@ -1,26 +1,26 @@
-//! What this node has in common with the others: membership, leases, and what rests on them.
+//! Subsystems shared by all nodes of the fleet: membership, leases and the services built on them.
 //!
 //! ```text
-//!   members ── who lives ──┐
-//!   leases  ── who may ────┼── links: the mesh, told who lives ─┬─ limits: the door's grants
-//!   health                 │                                    ├─ wallet: allotments
-//!                          │                                    └─ verdicts, tuner ── advice: one input of the decisions
-//!   gate: what each request passes, on the node's own thread
+//!   members ── live nodes ───────┐
+//!   leases  ── task leadership ──┼── links: mesh, fed with live nodes ─┬─ limits: grants for the limiter
+//!   health                       │                                     ├─ wallet: allotments
+//!                                │                                     └─ verdicts, tuner ── adjustments: input of the engine
+//!   gate: admission control for each request, on the node's own thread
 //! ```
 
-mod advice;
+mod adjustments;
 mod gate;
 pub mod health;
+mod leadership;
 pub mod leases;
 mod limits;
 mod links;
 pub mod members;
-mod reign;
 mod tuner;
 mod verdicts;
 mod wallet;
 
-use crate::operations::Part;
+use crate::operations::Subsystem;
 use birchswitch_cluster_host::Cluster;
 use birchswitch_host::{Host, Upstream};
 use birchswitch_lease_host::{Leases, Tasks};
@@ -31,11 +31,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Thousandths by which clocks may be off, where no lease says it.
-const DRIFT: u32 = 50;
+/// Clock drift, in thousandths, that is assumed without a `[lease]` table.
+const DEFAULT_DRIFT: u32 = 50;
 
-/// What is wanted of it, checked.
-pub struct Wanted<'a> {
+/// Checked settings of the fleet's subsystems.
+pub struct FleetSettings<'a> {
     /// `[mesh]`.
     pub mesh: Option<&'a birchswitch_mesh::MeshSettings>,
     /// `[[limits]]`.
@@ -46,93 +46,94 @@
     pub verdicts: Option<birchswitch_verdict::VerdictSettings>,
     /// `[tuner]`.
     pub tuner: Option<birchswitch_tuner::TunerSettings>,
-    /// The settings' classes.
+    /// Classes of requests from the site's settings.
     pub classes: &'a [finchvale::Class],
-    /// The settings' tenants.
+    /// Tenants from the site's settings.
     pub tenants: &'a [String],
-    /// The clock's rate in drills, and its drift.
+    /// The clock's rate, other than 1000 only in drills, and its drift.
     pub clock: Option<(u32, u32)>,
 }
 
-/// What is on of it.
-pub struct Common {
+/// The fleet's subsystems that are enabled at this node.
+pub struct Fleet {
     cluster: Rc<Cluster>,
     mesh: Mesh,
     tasks: Option<Rc<Tasks>>,
     limits: Option<limits::Limits>,
     wallet: Option<wallet::Wallet>,
     verdicts: Option<Rc<verdicts::Verdicts>>,
-    tuned: Option<Rc<tuner::Tuned>>,
+    tuner: Option<Rc<tuner::Tuner>>,
 }
 
-impl Common {
-    /// Takes up the mesh and what rests on it; none: nothing is wanted.
+impl Fleet {
+    /// Opens the mesh and the subsystems that use it. Returns `None` without a `[mesh]` table or a cluster.
     pub fn open(
-        wanted: &Wanted,
+        settings: &FleetSettings,
         cluster: Option<&Rc<Cluster>>,
         leases: Option<&Rc<Leases>>,
-    ) -> Result<Option<Common>, MeshError> {
-        let (Some(compiled), Some(cluster)) = (wanted.mesh, cluster) else { return Ok(None) };
-        let (rate, drift) = wanted.clock.unwrap_or((1000, DRIFT));
+    ) -> Result<Option<Fleet>, MeshError> {
+        let (Some(compiled), Some(cluster)) = (settings.mesh, cluster) else { return Ok(None) };
+        let (rate, drift) = settings.clock.unwrap_or((1000, DEFAULT_DRIFT));
         let mesh = links::open(compiled, cluster, Clock::new(rate, drift))?;
-        let worths: Vec<f64> = wanted.classes.iter().map(|c| c.worth).collect();
-        let limits = wanted.limits.map(|compiled| limits::Limits::open(compiled, &worths, &mesh));
-        let windows = wanted.classes.iter().map(|c| match c.effect {
+        let worths: Vec<f64> = settings.classes.iter().map(|c| c.worth).collect();
+        let limits = settings.limits.map(|compiled| limits::Limits::open(compiled, &worths, &mesh));
+        let windows = settings.classes.iter().map(|c| match c.effect {
             Effect::Keyed { window, .. } => window,
             Effect::Safe | Effect::Unsafe => Duration::ZERO,
         });
         let windows: Vec<Duration> = windows.collect();
-        let hold = wanted.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let open = |compiled| wallet::Wallet::open(compiled, wanted.tenants, &windows, hold, &mesh);
-        let wallet = wanted.wallet.map(open);
-        let verdicts = wanted.verdicts.map(|terms| Rc::new(verdicts::Verdicts::open(terms, &mesh)));
-        let tuned = wanted.tuner.map(|terms| Rc::new(tuner::Tuned::open(terms, &mesh)));
+        let longest_deadline = settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+        let open =
+            |compiled| wallet::Wallet::open(compiled, settings.tenants, &windows, longest_deadline, &mesh);
+        let wallet = settings.wallet.map(open);
+        let verdicts = settings.verdicts.map(|settings| Rc::new(verdicts::Verdicts::open(settings, &mesh)));
+        let tuner = settings.tuner.map(|settings| Rc::new(tuner::Tuner::open(settings, &mesh)));
         let tasks = leases.map(|leases| Tasks::new(leases, cluster));
-        Ok(Some(Common { cluster: cluster.clone(), mesh, tasks, limits, wallet, verdicts, tuned }))
+        Ok(Some(Fleet { cluster: cluster.clone(), mesh, tasks, limits, wallet, verdicts, tuner }))
     }
 
-    /// What each request passes; none: nothing that is on wants to.
+    /// Returns the admission control, or `None` if neither limits nor prepaid accounts are enabled.
     pub fn gate(&self) -> Option<Rc<Gate>> {
-        let limits = self.limits.as_ref().map(limits::Limits::door);
-        let accounts = self.wallet.as_ref().map(wallet::Wallet::guard);
+        let limits = self.limits.as_ref().map(limits::Limits::limiter);
+        let accounts = self.wallet.as_ref().map(wallet::Wallet::account_guard);
         (limits.is_some() || accounts.is_some()).then(|| Rc::new(Gate { limits, accounts }))
     }
 
-    /// Hears how a host's attempts end. To be called before any list comes.
-    pub fn watch<U: Upstream>(&self, host: &Host<U>) {
-        let (verdicts, tuned) = (self.verdicts.clone(), self.tuned.clone());
-        if verdicts.is_none() && tuned.is_none() {
+    /// Records the outcomes of a host's attempts. Must be called before the host gets its first list of servers.
+    pub fn observe_attempts<U: Upstream>(&self, host: &Host<U>) {
+        let (verdicts, tuner) = (self.verdicts.clone(), self.tuner.clone());
+        if verdicts.is_none() && tuner.is_none() {
             return;
         }
         host.on_attempt_end(move |end| {
-            verdicts.iter().for_each(|v| v.met(end));
+            verdicts.iter().for_each(|v| v.record_attempt(end));
             if end.outcome == Outcome::Served {
-                tuned.iter().for_each(|t| t.served(end.name, end.latency));
+                tuner.iter().for_each(|t| t.record_latency(end.name, end.latency));
             }
         });
     }
 
-    /// Takes part from now on, for good.
+    /// Starts the background tasks of all enabled subsystems.
     pub fn run<U: Upstream>(&self, host: &Rc<Host<U>>) {
-        links::follow(&self.cluster, &self.mesh, self.limits.as_ref().map(limits::Limits::door));
+        links::follow(&self.cluster, &self.mesh, self.limits.as_ref().map(limits::Limits::limiter));
         if let (Some(limits), Some(tasks)) = (&self.limits, &self.tasks) {
             limits.run(&self.mesh, tasks);
         }
         if let (Some(wallet), Some(tasks)) = (&self.wallet, &self.tasks) {
             wallet.run(tasks);
         }
-        let advised = Rc::new(advice::Advised::default());
-        advised.add(host);
-        if let (Some(tuned), Some(tasks)) = (&self.tuned, &self.tasks) {
-            tuned.run(tasks, host, &advised);
+        let adjustments = Rc::new(adjustments::ServerAdjustments::default());
+        adjustments.add_host(host);
+        if let (Some(tuner), Some(tasks)) = (&self.tuner, &self.tasks) {
+            tuner.run(tasks, host, &adjustments);
         }
         if let (Some(verdicts), Some(tasks)) = (&self.verdicts, &self.tasks) {
             let zone = self.cluster.core().own().zone.clone();
-            verdicts.run(&zone, tasks, host, &advised);
+            verdicts.run(&zone, tasks, host, &adjustments);
         }
     }
 
-    /// Gives back what others could use, before the node ends.
+    /// Returns unspent allotments to the fleet and stops the mesh. Called before the node ends.
     pub async fn leave(&self) {
         if let Some(wallet) = &self.wallet {
             wallet.return_allotments().await;
@@ -140,16 +141,18 @@
         self.mesh.stop();
     }
 
-    /// For operators.
-    pub fn parts(&self) -> Vec<Rc<dyn Part>> {
-        let mut parts: Vec<Rc<dyn Part>> = vec![Rc::new(links::Asked(self.mesh.clone()))];
-        parts.extend(self.limits.iter().map(|l| Rc::new(limits::Asked(l.door())) as Rc<dyn Part>));
-        parts.extend(self.wallet.iter().map(|w| Rc::new(w.operations()) as Rc<dyn Part>));
-        parts
+    /// Returns the subsystems that operators can query.
+    pub fn subsystems(&self) -> Vec<Rc<dyn Subsystem>> {
+        let mut subsystems: Vec<Rc<dyn Subsystem>> = vec![Rc::new(links::MeshOperations(self.mesh.clone()))];
+        subsystems.extend(
+            self.limits.iter().map(|l| Rc::new(limits::LimitOperations(l.limiter())) as Rc<dyn Subsystem>),
+        );
+        subsystems.extend(self.wallet.iter().map(|w| Rc::new(w.operations()) as Rc<dyn Subsystem>));
+        subsystems
     }
 }
 
-/// Lets what is on stand before a host's decisions.
-pub fn guard<U: Upstream>(host: &Host<U>, gate: Option<&Rc<Gate>>) {
+/// Installs the admission control, if there is one, on a host.
+pub fn install_gate<U: Upstream>(host: &Host<U>, gate: Option<&Rc<Gate>>) {
     gate.iter().for_each(|gate| host.set_admission((*gate).clone()));
 }
--- a/node/src/fleet/tuner.rs
+++ b/node/src/fleet/tuner.rs
@@ -1,7 +1,7 @@
-//! Tuned weights: what this node's requests took is told to the tuner, whose weights go to the decisions by degrees.
+//! Tuner weights: this node reports its requests' latencies to the tuner and moves gradually to the weights it gets back.
 
-use super::advice::Advised;
-use super::reign::Reigning;
+use super::adjustments::ServerAdjustments;
+use super::leadership::LeadershipTask;
 use birchswitch_host::{Host, Upstream};
 use birchswitch_lease::{task_id, Task};
 use birchswitch_lease_host::Tasks;
@@ -13,63 +13,68 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Nodes beside the first that stand ready to tune.
+/// Standby nodes for the tuner.
 const STANDBYS: usize = 2;
-/// Between two degrees.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval between two steps towards new weights.
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a node has of them.
-pub struct Tuned {
-    terms: TunerSettings,
+/// The tuner's state at this node.
+pub struct Tuner {
+    settings: TunerSettings,
     sketches: Rc<RefCell<ServerSketches>>,
     mesh: Mesh,
 }
 
-impl Tuned {
-    /// With nothing seen yet.
-    pub fn open(terms: TunerSettings, mesh: &Mesh) -> Self {
-        Tuned { terms, sketches: Rc::default(), mesh: mesh.clone() }
+impl Tuner {
+    /// Starts with empty latency sketches.
+    pub fn open(settings: TunerSettings, mesh: &Mesh) -> Self {
+        Tuner { settings, sketches: Rc::default(), mesh: mesh.clone() }
     }
 
-    /// A server answered.
-    pub fn served(&self, name: u64, latency: Duration) {
+    /// Records the latency of a served attempt.
+    pub fn record_latency(&self, name: u64, latency: Duration) {
         self.sketches.borrow_mut().record(name, latency.as_secs_f64());
     }
 
-    /// Reports, weighs, and tunes whenever the lease is this node's.
-    pub fn run<U: Upstream>(&self, tasks: &Rc<Tasks>, host: &Rc<Host<U>>, advised: &Rc<Advised>) {
-        let (terms, mesh) = (self.terms, self.mesh.clone());
+    /// Reports latencies, applies weights, and leads the tuning while this node holds the lease.
+    pub fn run<U: Upstream>(
+        &self,
+        tasks: &Rc<Tasks>,
+        host: &Rc<Host<U>>,
+        adjustments: &Rc<ServerAdjustments>,
+    ) {
+        let (settings, mesh) = (self.settings, self.mesh.clone());
         let task = Task { name: TASK.to_owned(), zone: String::new(), standbys: STANDBYS };
-        tasks.register(task, Reigning::over(&mesh, serve(&mesh, terms)));
-        let (errands, mut todo) = mpsc::unbounded_channel();
-        let to = ReportSettings {
+        tasks.register(task, LeadershipTask::for_service(&mesh, serve(&mesh, settings)));
+        let (steps, mut next_steps) = mpsc::unbounded_channel();
+        let report_settings = ReportSettings {
             task: task_id(TASK),
             lane: LANE,
-            interval: terms.interval,
-            timeout: terms.interval,
+            interval: settings.interval,
+            timeout: settings.interval,
         };
-        mesh.spawn(report_periodically(mesh.clone(), to, errands));
-        let (sketches, host, advised) = (self.sketches.clone(), host.clone(), advised.clone());
+        mesh.spawn(report_periodically(mesh.clone(), report_settings, steps));
+        let (sketches, host, adjustments) = (self.sketches.clone(), host.clone(), adjustments.clone());
         spawn_local(async move {
             let mut weights = AppliedWeights::default();
-            let mut every = tokio::time::interval(LOOK);
+            let mut every = tokio::time::interval(STEP_INTERVAL);
             loop {
                 tokio::select! {
-                    errand = todo.recv() => match errand {
-                        Some(ReportStep::Collect(tell)) => {
+                    step = next_steps.recv() => match step {
+                        Some(ReportStep::Collect(reply)) => {
                             let mut sketches = sketches.borrow_mut().take();
-                            sketches.retain(|(name, _)| host.is_warm_server(*name) && !advised.withholds(*name));
-                            // Whoever asked is gone with the mesh.
-                            let _ = tell.send((mesh.clock().now(), Report { known_version: weights.version(), sketches }));
+                            sketches.retain(|(name, _)| host.is_warm_server(*name) && !adjustments.is_ejected(*name));
+                            // The receiver may have ended with the mesh.
+                            let _ = reply.send((mesh.clock().now(), Report { known_version: weights.version(), sketches }));
                         }
-                        Some(ReportStep::Apply(asked, word)) => {
-                            if !weights.apply(terms.ttl, asked, &word) {
-                                tracing::warn!(target: "tuner", kind = "lower", token = word.version.0, count = word.version.1);
+                        Some(ReportStep::Apply(prepared_at, response)) => {
+                            if !weights.apply(settings.ttl, prepared_at, &response) {
+                                tracing::warn!(target: "tuner", kind = "lower", token = response.version.0, count = response.version.1);
                             }
                         }
                         None => return,
                     },
-                    _ = every.tick() => advised.weighed(weights.current(mesh.clock().now())),
+                    _ = every.tick() => adjustments.set_weights(weights.current(mesh.clock().now())),
                 }
             }
         });
--- a/node/src/fleet/verdicts.rs
+++ b/node/src/fleet/verdicts.rs
@@ -1,7 +1,7 @@
-//! Verdicts on servers: what this node's attempts met is told to its zone's judge, whose word goes to the decisions.
+//! Verdicts on servers: this node reports the outcomes of its attempts to its zone's leader and applies the leader's ejections.
 
-use super::advice::Advised;
-use super::reign::Reigning;
+use super::adjustments::ServerAdjustments;
+use super::leadership::LeadershipTask;
 use birchswitch_host::{AttemptRecord, Host, Upstream};
 use birchswitch_lease::{task_id, Task};
 use birchswitch_lease_host::Tasks;
@@ -16,83 +16,89 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Nodes of the zone beside the first that stand ready to judge.
+/// Standby nodes of the zone for its leader.
 const STANDBYS: usize = 2;
-/// Between looks at whether a word has ended.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval between checks for ejections that have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a node has of them.
+/// The verdicts' state at this node.
 pub struct Verdicts {
-    terms: VerdictSettings,
-    tally: Rc<RefCell<OutcomeWindow>>,
+    settings: VerdictSettings,
+    outcomes: Rc<RefCell<OutcomeWindow>>,
     mesh: Mesh,
 }
 
 impl Verdicts {
-    /// With nothing met yet.
-    pub fn open(terms: VerdictSettings, mesh: &Mesh) -> Self {
-        Verdicts { terms, tally: Rc::default(), mesh: mesh.clone() }
+    /// Starts with an empty window of outcomes.
+    pub fn open(settings: VerdictSettings, mesh: &Mesh) -> Self {
+        Verdicts { settings, outcomes: Rc::default(), mesh: mesh.clone() }
     }
 
-    /// An attempt ended.
-    pub fn met(&self, AttemptRecord { name, outcome, latency, warm }: AttemptRecord) {
-        let met = match outcome {
-            // One that has just started is slow by itself.
+    /// Records the outcome of an attempt.
+    pub fn record_attempt(&self, AttemptRecord { name, outcome, latency, warm }: AttemptRecord) {
+        let observation = match outcome {
+            // A server in slow start is slower than usual without being at fault.
             Outcome::Served if !warm => return,
             Outcome::Served => AttemptObservation::Answered(latency.as_secs_f64()),
             Outcome::Error | Outcome::Broken | Outcome::TimedOut | Outcome::Unreachable => {
                 AttemptObservation::Failed
             }
-            // Full is no failure, and the others say nothing of the server.
+            // A server at capacity has not failed, and the other outcomes say nothing about the server.
             Outcome::Rejected | Outcome::NotSent | Outcome::Cancelled => return,
         };
-        self.tally.borrow_mut().record(self.mesh.clock().now(), name, met);
+        self.outcomes.borrow_mut().record(self.mesh.clock().now(), name, observation);
     }
 
-    /// Reports, obeys, and judges whenever its zone's lease is this node's.
-    pub fn run<U: Upstream>(&self, zone: &str, tasks: &Rc<Tasks>, host: &Rc<Host<U>>, advised: &Rc<Advised>) {
-        let (terms, mesh) = (self.terms, self.mesh.clone());
+    /// Reports outcomes, applies ejections, and leads while this node holds its zone's lease.
+    pub fn run<U: Upstream>(
+        &self,
+        zone: &str,
+        tasks: &Rc<Tasks>,
+        host: &Rc<Host<U>>,
+        adjustments: &Rc<ServerAdjustments>,
+    ) {
+        let (settings, mesh) = (self.settings, self.mesh.clone());
         let name = format!("verdict/{zone}");
         let task = Task { name: name.clone(), zone: zone.to_owned(), standbys: STANDBYS };
-        tasks.register(task, Reigning::over(&mesh, Leader::serve(&mesh, terms)));
-        let (errands, mut todo) = mpsc::unbounded_channel();
-        let to = ReportSettings {
+        tasks.register(task, LeadershipTask::for_service(&mesh, Leader::serve(&mesh, settings)));
+        let (steps, mut next_steps) = mpsc::unbounded_channel();
+        let report_settings = ReportSettings {
             task: task_id(&name),
             lane: LANE,
-            interval: terms.renew,
-            timeout: terms.ttl / 2,
+            interval: settings.renew,
+            timeout: settings.ttl / 2,
         };
-        mesh.spawn(report_periodically(mesh.clone(), to, errands));
-        let (tally, host, advised) = (self.tally.clone(), host.clone(), advised.clone());
+        mesh.spawn(report_periodically(mesh.clone(), report_settings, steps));
+        let (outcomes, host, adjustments) = (self.outcomes.clone(), host.clone(), adjustments.clone());
         spawn_local(async move {
-            let mut obeyed = ActiveEjections::default();
-            let mut every = tokio::time::interval(LOOK);
+            let mut ejections = ActiveEjections::default();
+            let mut every = tokio::time::interval(POLL_INTERVAL);
             loop {
                 tokio::select! {
-                    errand = todo.recv() => match errand {
-                        Some(ReportStep::Collect(tell)) => {
+                    step = next_steps.recv() => match step {
+                        Some(ReportStep::Collect(reply)) => {
                             let now = mesh.clock().now();
-                            let counts = tally.borrow_mut().counts(now);
-                            let report = Report { known_version: obeyed.version(), listed: host.ready_server_count() as u32, counts };
-                            // Whoever asked is gone with the mesh.
-                            let _ = tell.send((now, report));
+                            let counts = outcomes.borrow_mut().counts(now);
+                            let report = Report { known_version: ejections.version(), listed: host.ready_server_count() as u32, counts };
+                            // The receiver may have ended with the mesh.
+                            let _ = reply.send((now, report));
                         }
-                        Some(ReportStep::Apply(asked, word)) => {
-                            if !obeyed.apply(&terms, asked, &word) {
-                                tracing::warn!(target: "verdict", kind = "lower", token = word.version.0, count = word.version.1);
+                        Some(ReportStep::Apply(prepared_at, response)) => {
+                            if !ejections.apply(&settings, prepared_at, &response) {
+                                tracing::warn!(target: "verdict", kind = "lower", token = response.version.0, count = response.version.1);
                             }
                         }
                         None => return,
                     },
                     _ = every.tick() => {}
                 }
-                let open = obeyed.current(
-                    &terms,
+                let share_limits = ejections.current(
+                    &settings,
                     mesh.clock().now(),
                     &|name| host.is_ready_server(name),
                     host.ready_server_count(),
                 );
-                advised.withheld(open);
+                adjustments.set_ejections(share_limits);
             }
         });
     }
--- a/node/src/fleet/wallet.rs
+++ b/node/src/fleet/wallet.rs
@@ -1,7 +1,7 @@
 //! Prepaid accounts: this node's allotments on its own thread; renewal, leadership and the ledger's replica on the mesh's.
 
-use super::reign::Reigning;
-use crate::operations::Part;
+use super::leadership::LeadershipTask;
+use crate::operations::Subsystem;
 use birchswitch_cluster::MemberId;
 use birchswitch_figures::Metrics;
 use birchswitch_lease::Task;
@@ -37,7 +37,7 @@
 }
 
 impl Wallet {
-    /// With nothing to spend yet. `windows` are the classes' windows for keys, `longest_request` the longest that a request may run.
+    /// Starts without allotments. `windows` are the classes' replay windows, `longest_request` is the longest time that a request may run.
     pub fn open(
         compiled: &WalletSettings,
         tenants: &[String],
@@ -50,8 +50,8 @@
         Wallet { compiled: compiled.clone(), longest_request, mesh: mesh.clone(), allotments, short }
     }
 
-    /// What charges requests.
-    pub fn guard(&self) -> AccountGuard {
+    /// Returns the guard that charges requests.
+    pub fn account_guard(&self) -> AccountGuard {
         let once = self.compiled.safeguards[2];
         AccountGuard {
             allotments: self.allotments.clone(),
@@ -77,11 +77,11 @@
         spawn_local(async move {
             while let Some(step) = next_steps.recv().await {
                 match step {
-                    RenewalStep::Prepare(tell) => {
+                    RenewalStep::Prepare(reply) => {
                         let now = clock.now();
                         let request = allotments.borrow_mut().prepare_renewal(now);
                         // The receiver may have ended with the mesh.
-                        let _ = tell.send(request.map(|request| (now, request)));
+                        let _ = reply.send(request.map(|request| (now, request)));
                     }
                     RenewalStep::Apply(prepared_at, request, response) => {
                         allotments.borrow_mut().apply(prepared_at, &request, &response);
@@ -94,11 +94,11 @@
         let (ttl, longest_request) = (c.ttl, self.longest_request);
         let settings = LeaderSettings { ttl, longest_request, keep_in_doubt, unique_top_ups };
         let leader = Leader::serve(mesh, c.accounts.clone(), settings, nodes);
-        let tell = move |reign: Option<birchswitch_mesh::LeadershipTerm>| {
-            leader.set_term(reign.map(|reign| LeadershipTerm { token: reign.token }));
+        let on_term = move |term: Option<birchswitch_mesh::LeadershipTerm>| {
+            leader.set_term(term.map(|term| LeadershipTerm { token: term.token }));
         };
         let task = Task { name: TASK.to_owned(), zone: String::new(), standbys: STANDBYS };
-        tasks.register(task, Reigning { mesh: mesh.clone(), tell: Rc::new(tell) });
+        tasks.register(task, LeadershipTask { mesh: mesh.clone(), on_term: Rc::new(on_term) });
     }
 
     /// Returns what is not spent, before the node ends.
@@ -131,13 +131,13 @@
 
 impl AccountGuard {
     /// Reserves a request's price, if it has one.
-    pub fn enter(
+    pub fn reserve(
         &self,
-        entering: &birchswitch_host::AdmissionRequest,
+        request: &birchswitch_host::AdmissionRequest,
     ) -> Result<Option<Charge>, birchswitch_host::Rejection> {
-        let who = (entering.tenant.0, entering.class.0);
+        let who = (request.tenant.0, request.class.0);
         let now = self.mesh.clock().now();
-        let reserved = self.allotments.borrow_mut().reserve(now, who, entering.key, entering.work);
+        let reserved = self.allotments.borrow_mut().reserve(now, who, request.key, request.work);
         let charge =
             |reservation| Charge { allotments: self.allotments.clone(), reservation, once: self.once };
         match reserved {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// What a client is told.
+    /// Converts a reason to the response for the client.
     fn rejection(&self, reason: RejectionReason) -> birchswitch_host::Rejection {
         let (retry_after, message) = match reason {
             RejectionReason::Paused => (RETRY_PAUSED, "refused: the prepaid balance has run out"),
@@ -180,14 +180,14 @@
 
 /// Prepaid accounts for operators: figures and commands.
 pub struct WalletOperations {
-    /// The way to the leader.
+    /// Carries commands to the leader.
     pub mesh: Mesh,
     /// This node's allotments.
     pub allotments: Rc<RefCell<LocalAllotments>>,
 }
 
 impl Wallet {
-    /// What operators see and command.
+    /// Returns the operators' view of the accounts.
     pub fn operations(&self) -> WalletOperations {
         WalletOperations { mesh: self.mesh.clone(), allotments: self.allotments.clone() }
     }
@@ -197,19 +197,19 @@
 fn parse(words: &[String]) -> Result<AdminCommand, String> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let units = |text: &str| text.parse::<u64>().map_err(|_| format!("{text:?} is no whole number"));
-    let own = |text: &str| text.to_owned();
+    let owned = |text: &str| text.to_owned();
     match words[..] {
         [] => Ok(AdminCommand::Show),
         ["DOUBTS"] => Ok(AdminCommand::InDoubt),
-        ["TOPUP", account, id, amount] => Ok(AdminCommand::TopUp(own(account), own(id), units(amount)?)),
-        ["FREEZE", account] => Ok(AdminCommand::Freeze(own(account), true)),
-        ["THAW", account] => Ok(AdminCommand::Freeze(own(account), false)),
-        ["SETTLE", account, part, spent] => Ok(AdminCommand::Settle(own(account), units(part)?, units(spent)?)),
+        ["TOPUP", account, id, amount] => Ok(AdminCommand::TopUp(owned(account), owned(id), units(amount)?)),
+        ["FREEZE", account] => Ok(AdminCommand::Freeze(owned(account), true)),
+        ["THAW", account] => Ok(AdminCommand::Freeze(owned(account), false)),
+        ["SETTLE", account, part, spent] => Ok(AdminCommand::Settle(owned(account), units(part)?, units(spent)?)),
         _ => Err("WALLET wants nothing more, DOUBTS, TOPUP TENANT ID UNITS, FREEZE TENANT, THAW TENANT or SETTLE TENANT PART SPENT".to_owned()),
     }
 }
 
-impl Part for WalletOperations {
+impl Subsystem for WalletOperations {
     fn metrics(&self, metrics: &Metrics) {
         let totals: Vec<_> = self.allotments.borrow().totals().collect();
         let of = |value: fn(&(String, u64, u64, u64)) -> u64| {
@@ -238,13 +238,13 @@
     use super::*;
 
     #[test]
-    fn calls_are_words() {
-        let read = |text: &str| parse(&text.split_whitespace().map(str::to_owned).collect::<Vec<_>>());
-        assert_eq!(read(""), Ok(AdminCommand::Show));
-        assert_eq!(read("TOPUP t pay-1 500"), Ok(AdminCommand::TopUp("t".into(), "pay-1".into(), 500)));
-        assert_eq!(read("SETTLE t 7 0"), Ok(AdminCommand::Settle("t".into(), 7, 0)));
+    fn parses_commands() {
+        let parse_line = |text: &str| parse(&text.split_whitespace().map(str::to_owned).collect::<Vec<_>>());
+        assert_eq!(parse_line(""), Ok(AdminCommand::Show));
+        assert_eq!(parse_line("TOPUP t pay-1 500"), Ok(AdminCommand::TopUp("t".into(), "pay-1".into(), 500)));
+        assert_eq!(parse_line("SETTLE t 7 0"), Ok(AdminCommand::Settle("t".into(), 7, 0)));
         for wrong in ["TOPUP t pay-1", "TOPUP t pay-1 -5", "TOPUP t pay-1 5 6", "SETTLE t x 1", "all"] {
-            assert!(read(wrong).is_err_and(|why| !why.contains('\n')), "{wrong}");
+            assert!(parse_line(wrong).is_err_and(|why| !why.contains('\n')), "{wrong}");
         }
     }
 }
--- a/node/src/lists.rs
+++ b/node/src/lists.rs
@@ -1,4 +1,4 @@
-//! Lets a host follow a discovery.
+//! Connects a host to discovery.
 
 use birchswitch_host::{Host, Upstream};
 use birchswitch_membership::list::ServerList;
@@ -6,39 +6,39 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Takes in what is known and follows discovery from there: on its own, or where lists come only when `asked` for, when the
-/// decisions say so.
+/// Loads the cached list and follows discovery from its revision. If lists are sent only to subscribers (`subscribe`), the engine
+/// decides when to open a watch.
 pub fn follow<U: Upstream>(
     host: &Rc<Host<U>>,
     address: SocketAddr,
     known: Option<&ServerList>,
-    asked: bool,
+    subscribe: bool,
 ) -> Rc<Discovery> {
-    let telling = host.clone();
+    let receiver = host.clone();
     let revision = known.map_or(0, |list| list.revision);
-    let patience = if asked { DiscoveryTimeouts::SERVICE } else { DiscoveryTimeouts::AGENT };
-    let discovery = Discovery::new(address, patience, revision, move |told| match told {
-        DiscoveryEvent::List(list) => telling.apply_list(&list),
+    let timeouts = if subscribe { DiscoveryTimeouts::SERVICE } else { DiscoveryTimeouts::AGENT };
+    let discovery = Discovery::new(address, timeouts, revision, move |event| match event {
+        DiscoveryEvent::List(list) => receiver.apply_list(&list),
         DiscoveryEvent::Reconnecting(error, pause) => {
-            telling.log(format_args!("watch: {error}; again in {} ms", pause.as_millis()));
+            receiver.log(format_args!("watch: {error}; again in {} ms", pause.as_millis()));
         }
         DiscoveryEvent::WatchFailed(error) => {
-            telling.log(format_args!("watch: {error}"));
-            telling.watch_failed();
+            receiver.log(format_args!("watch: {error}"));
+            receiver.watch_failed();
         }
     });
-    let watching = discovery.clone();
-    host.on_watch(move || watch(&watching, asked));
+    let watched = discovery.clone();
+    host.on_watch(move || watch(&watched, subscribe));
     host.load_cached_list(known);
-    if !asked {
+    if !subscribe {
         discovery.follow();
     }
     discovery
 }
 
-/// Opens the watch anew.
-pub fn watch(discovery: &Rc<Discovery>, asked: bool) {
-    if asked {
+/// Opens a new watch.
+pub fn watch(discovery: &Rc<Discovery>, subscribe: bool) {
+    if subscribe {
         discovery.watch_once();
     } else {
         discovery.follow();
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `birchswitch`: a reverse-proxy node. Reads its configuration, wires the parts together, and ends on a signal.
+//! `birchswitch`: a reverse-proxy node. Reads its configuration, starts its subsystems, and shuts down on a signal.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -19,7 +19,7 @@
 use birchswitch_membership::{Directory, Discovery};
 use clap::{Parser, Subcommand};
 use config::{Config, RESERVED_SOCKETS};
-use fleet::{health, leases, members, Common, Wanted};
+use fleet::{health, leases, members, Fleet, FleetSettings};
 use std::error::Error;
 use std::future::Future;
 use std::process::ExitCode;
@@ -31,25 +31,25 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::Instant;
 
-/// Clients go on coming for this long after a signal.
-const LEAVE: Duration = Duration::from_millis(500);
-/// After that it accepts none, and what has come on connections is read for this long.
-const LAST_CHANCE: Duration = Duration::from_millis(100);
-/// The platform kills a process that is to end no sooner than so long after what it has taken could be due, but waits for no
-/// deadline that is longer.
-const LONGEST_STAY: Duration = Duration::from_secs(3);
-/// Beyond the longest deadline, for the last answers to be written.
-const LAST_WRITES: Duration = Duration::from_millis(100);
-/// Most that one request may hold: its body and answer, and the buffers of both connections. Measured with bodies of the
-/// largest kind at every place.
+/// Clients may still open connections for this long after a signal.
+const LEAVE_DELAY: Duration = Duration::from_millis(500);
+/// After that no connection is accepted, and requests that have arrived on open ones are still read for this long.
+const CLOSE_DELAY: Duration = Duration::from_millis(100);
+/// Longest wait for accepted requests during shutdown. The platform kills a process only after its requests' deadlines could have
+/// passed, but does not wait for deadlines beyond this.
+const MAX_FINISH_WAIT: Duration = Duration::from_secs(3);
+/// Time beyond the longest deadline for the last responses to be written.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(100);
+/// Maximum memory of one request: its body and response, and the buffers of both connections. Measured with bodies of the largest
+/// size in each of them.
 const REQUEST_MEMORY: usize = 200 << 10;
-/// The part of memory in which large bodies are kept for further attempts, and the same for large answers that clients have not
-/// taken yet.
-const PASSING_PART: usize = 8;
-/// Connections that the system holds until they are accepted.
+/// One part in so many of the memory buffers large bodies for further attempts, and another large responses that clients have not
+/// read yet.
+const LARGE_BODY_DIVISOR: usize = 8;
+/// Length of the listening socket's accept queue.
 const BACKLOG: u32 = 1024;
 
-/// A reverse-proxy node. Without a command it runs, configured by variables (README.md).
+/// A reverse-proxy node. Without a command it runs the node, configured by environment variables (README.md).
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -59,9 +59,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Read and check the whole configuration, and start nothing.
+    /// Read and check the whole configuration without starting the node.
     Check,
-    /// Leases for tasks of the whole fleet, asked of a running node.
+    /// Use leases for tasks of the whole fleet through a running node.
     #[command(subcommand)]
     Lease(lease_run::Command),
 }
@@ -88,7 +88,7 @@
     })
 }
 
-/// Runs a future to its end on this thread.
+/// Runs a future to completion on this thread.
 fn block_on<T>(future: impl Future<Output = Result<T, Box<dyn Error>>>) -> Result<T, Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, future)
@@ -98,30 +98,30 @@
     let _log = config.operator.log.as_ref().map(log::start).transpose()?;
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    // Without a handler SIGHUP ends the process; with one it is borne to the very end.
+    // Without a handler SIGHUP ends the process, so the handler stays installed until the end.
     let mut hangup = signal(SignalKind::hangup())?;
     let settings = config.site.settings;
-    let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+    let longest_deadline = settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
     let effects = settings.classes.iter().map(|c| c.effect).collect();
-    // What the operator's listeners may take is theirs.
-    let taken = config.operator.taken();
-    let (sockets, memory) = (config.sockets - taken.sockets, config.memory - taken.memory);
-    // Five eighths of memory are for requests, two for large ones that pass through; clients and backends share what descriptors there are. That is more
-    // than the third that clients need for requests: the rest is for those that say nothing.
+    // The operator's listeners have their share of sockets and memory reserved.
+    let reserved = config.operator.reserved();
+    let (sockets, memory) = (config.sockets - reserved.sockets, config.memory - reserved.memory);
+    // Five eighths of the memory are for requests, two for large bodies and responses. Clients and servers share the descriptors
+    // equally. That is more than the third that clients need for requests: the rest is for idle connections.
     let clients = ((sockets - RESERVED_SOCKETS) / 2).min(memory / 8 * 5 / REQUEST_MEMORY).max(1);
     let limits = UpstreamLimits {
         connections: sockets - RESERVED_SOCKETS - clients,
-        connect_timeout: or(settings.connect_timeout, Duration::from_millis(250)),
-        conn_idle: or(settings.conn_idle, Duration::from_secs(5)),
+        connect_timeout: or_default(settings.connect_timeout, Duration::from_millis(250)),
+        conn_idle: or_default(settings.conn_idle, Duration::from_secs(5)),
     };
     let names = Rc::new(config.site.names);
     let upstream = HttpUpstream::new(
         limits,
         names.clone(),
         config.site.fields,
-        BufferBudget::new(memory / PASSING_PART),
+        BufferBudget::new(memory / LARGE_BODY_DIVISOR),
     );
-    let asked = settings.subscribe_to_lists;
+    let subscribe = settings.subscribe_to_lists;
     let directory = Directory::new(names.clone());
     let metrics = Metrics::new(&names.classes)?;
     let host = Host::new(
@@ -134,7 +134,7 @@
     )?;
     let inherited = config.socket.is_some();
     let listener = match config.socket {
-        Some(number) => take_up(number).map_err(|e| format!("GW_SOCKET_FD: {e}"))?,
+        Some(number) => adopt_listener(number).map_err(|e| format!("GW_SOCKET_FD: {e}"))?,
         None => listen(config.listen).map_err(|e| format!("cannot listen on {}: {e}", config.listen))?,
     };
     host.log(format_args!("listening on {}", listener.local_addr()?));
@@ -144,7 +144,7 @@
     let leases = config.operator.lease.as_ref().zip(cluster.as_ref());
     let leases = leases.map(|(lease, cluster)| Leases::open(lease, cluster, config.seed));
     let lease = config.operator.lease.as_ref();
-    let wanted = Wanted {
+    let fleet_settings = FleetSettings {
         mesh: config.operator.mesh.as_ref(),
         limits: config.operator.limits.as_ref(),
         clock: lease.map(|l| (l.rate, l.terms.drift)),
@@ -154,27 +154,40 @@
         classes: &settings.classes,
         tenants: &names.tenants,
     };
-    let common = Common::open(&wanted, cluster.as_ref(), leases.as_ref())?;
-    let gate = common.as_ref().and_then(Common::gate);
-    fleet::guard(&host, gate.as_ref());
-    common.iter().for_each(|c| c.watch(&host));
-    let mut parts: Vec<Rc<dyn operations::Part>> = Vec::new();
-    parts.extend(cluster.iter().map(|c| Rc::new(members::Asked(c.clone())) as Rc<dyn operations::Part>));
-    parts.extend(leases.iter().map(|l| Rc::new(leases::Asked(l.clone())) as Rc<dyn operations::Part>));
-    parts.extend(common.iter().flat_map(Common::parts));
-    let desk = operations::Desk::open(config.ops, config.state, &host, &metrics, phases.clone(), parts)?;
-    let discovery = lists::follow(&host, config.discovery, config.known.as_ref(), asked);
+    let fleet = Fleet::open(&fleet_settings, cluster.as_ref(), leases.as_ref())?;
+    let gate = fleet.as_ref().and_then(Fleet::gate);
+    fleet::install_gate(&host, gate.as_ref());
+    fleet.iter().for_each(|f| f.observe_attempts(&host));
+    let mut subsystems: Vec<Rc<dyn operations::Subsystem>> = Vec::new();
+    subsystems.extend(
+        cluster
+            .iter()
+            .map(|c| Rc::new(members::MembershipOperations(c.clone())) as Rc<dyn operations::Subsystem>),
+    );
+    subsystems.extend(
+        leases.iter().map(|l| Rc::new(leases::LeaseOperations(l.clone())) as Rc<dyn operations::Subsystem>),
+    );
+    subsystems.extend(fleet.iter().flat_map(Fleet::subsystems));
+    let operator_server = operations::OperatorServer::open(
+        config.ops,
+        config.state,
+        &host,
+        &metrics,
+        phases.clone(),
+        subsystems,
+    )?;
+    let discovery = lists::follow(&host, config.discovery, config.known.as_ref(), subscribe);
     let reloading = host.clone();
     spawn_local(async move {
         while hangup.recv().await.is_some() {
             if reload(&reloading, &discovery) {
-                lists::watch(&discovery, asked);
+                lists::watch(&discovery, subscribe);
             }
         }
     });
     spawn_local(async move { upstream.retire_idle().await });
     let (close, closing) = watch::channel(false);
-    let shared = thrift::Shared {
+    let context = thrift::ListenerContext {
         name: &config.name,
         site: &settings,
         names: &names,
@@ -183,38 +196,38 @@
         closing: &closing,
     };
     let started = config.operator.thrift.into_iter().enumerate();
-    let started = started.map(|(n, compiled)| thrift::Running::start(compiled, n, &shared));
+    let started = started.map(|(n, compiled)| thrift::ThriftListener::start(compiled, n, &context));
     let mut listeners = started.collect::<Result<Vec<_>, _>>()?;
-    listeners.iter().for_each(|l| fleet::guard(&**l.host(), gate.as_ref()));
+    listeners.iter().for_each(|l| fleet::install_gate(&**l.host(), gate.as_ref()));
     if let Some(cluster) = &cluster {
-        let mut placed: Vec<Rc<dyn members::Placed>> = vec![host.clone()];
-        placed.extend(listeners.iter().map(|l| l.host().clone() as Rc<dyn members::Placed>));
-        members::run(cluster, &host, placed);
+        let mut hosts: Vec<Rc<dyn members::RingPositioned>> = vec![host.clone()];
+        hosts.extend(listeners.iter().map(|l| l.host().clone() as Rc<dyn members::RingPositioned>));
+        members::run(cluster, &host, hosts);
     }
     leases.iter().for_each(|l| drop(spawn_local(l.clone().run())));
-    common.iter().for_each(|c| c.run(&host));
-    if let (Some(times), Some(cluster), Some(leases)) = (config.operator.health, &cluster, &leases) {
-        health::attend(times, &host, cluster, &Tasks::new(leases, cluster));
+    fleet.iter().for_each(|c| c.run(&host));
+    if let (Some(intervals), Some(cluster), Some(leases)) = (config.operator.health, &cluster, &leases) {
+        health::start(intervals, &host, cluster, &Tasks::new(leases, cluster));
     }
-    if let Some(desk) = desk {
-        listeners.iter().for_each(|l| desk.add(l.host().clone()));
-        desk.serve()?;
+    if let Some(operator_server) = operator_server {
+        listeners.iter().for_each(|l| operator_server.add_host(l.host().clone()));
+        operator_server.serve()?;
     }
     let front = HttpFrontend::new(
         host.clone(),
         names.clone(),
         effects,
         clients as u32,
-        BufferBudget::new(memory / PASSING_PART),
+        BufferBudget::new(memory / LARGE_BODY_DIVISOR),
         phases,
     );
     let waiting = host.clone();
     let served = spawn_local(async move {
-        // Another process may serve from the same queue: what is taken before there are servers would be lost to it.
+        // Another process may accept from the same socket: connections accepted before there is a list of servers would be lost to it.
         if inherited {
             waiting.until_ready().await;
         }
-        // That process, or the next, takes what comes once this one leaves.
+        // That process, or the next, accepts new connections once this one leaves.
         let last = if inherited { ShutdownPhase::Leaving } else { ShutdownPhase::Closing };
         front.serve(listener, last).await;
     });
@@ -223,42 +236,42 @@
         _ = interrupt.recv() => {}
     }
     host.log(format_args!("leaving"));
-    let end = Instant::now() + LEAVE + LAST_CHANCE + longest.min(LONGEST_STAY);
+    let end = Instant::now() + LEAVE_DELAY + CLOSE_DELAY + longest_deadline.min(MAX_FINISH_WAIT);
     host.cap_deadlines(end);
     listeners.iter().for_each(|l| l.host().cap_deadlines(end));
     if let Some(leases) = &leases {
         leases.close();
     }
     phase.send_replace(ShutdownPhase::Leaving);
-    tokio::time::sleep(LEAVE).await;
+    tokio::time::sleep(LEAVE_DELAY).await;
     phase.send_replace(ShutdownPhase::Closing);
     close.send_replace(true);
-    tokio::time::sleep(LAST_CHANCE).await;
+    tokio::time::sleep(CLOSE_DELAY).await;
     phase.send_replace(ShutdownPhase::Finishing);
-    // What was taken last is due within the longest deadline.
+    // The requests accepted last are due within the longest deadline.
     let ended = async {
         let _ = served.await;
         for listener in &mut listeners {
-            listener.ended().await;
+            listener.finished().await;
         }
     };
-    let _ = tokio::time::timeout(longest.min(LONGEST_STAY) + LAST_WRITES, ended).await;
-    if let Some(common) = &common {
-        common.leave().await;
+    let _ = tokio::time::timeout(longest_deadline.min(MAX_FINISH_WAIT) + FINAL_WRITE_TIME, ended).await;
+    if let Some(fleet) = &fleet {
+        fleet.leave().await;
     }
-    // Last: the others hear no more from whoever has left, and leases and units of accounts had to be given back before.
+    // Membership ends last: leases and units of accounts must be returned before, and members ignore a node that has left.
     if let Some(cluster) = &cluster {
         cluster.leave();
     }
     host.log(format_args!("left"));
     host.close();
-    listeners.iter().for_each(thrift::Running::close);
+    listeners.iter().for_each(thrift::ThriftListener::close);
     Ok(())
 }
 
-/// Reads the configuration again. The whole file is checked before anything of it is used: one that is bad changes
-/// nothing. What the file says prevails now over what the environment said at the start. True: discovery has moved, and
-/// wants a new watch.
+/// Reads the configuration again. The whole file is checked before any of it is applied: an invalid one changes nothing. The file's
+/// address of discovery now takes precedence over the environment's at the start. Returns true if that address has changed, which
+/// requires a new watch.
 fn reload(host: &Host<HttpUpstream>, discovery: &Discovery) -> bool {
     let config = match Config::from_env() {
         Ok(config) => config,
@@ -278,16 +291,16 @@
     moved
 }
 
-fn or(figure: Duration, otherwise: Duration) -> Duration {
-    if figure.is_zero() {
-        otherwise
+fn or_default(value: Duration, default: Duration) -> Duration {
+    if value.is_zero() {
+        default
     } else {
-        figure
+        value
     }
 }
 
-/// The listening socket that the process was started with.
-fn take_up(number: std::os::fd::RawFd) -> Result<TcpListener, Box<dyn Error>> {
+/// Adopts the listening socket that the process inherited.
+fn adopt_listener(number: std::os::fd::RawFd) -> Result<TcpListener, Box<dyn Error>> {
     let listener = birchswitch_handover::inherited_listener(number)?;
     listener.set_nonblocking(true)?;
     Ok(TcpListener::from_std(listener)?)
--- a/node/src/thrift.rs
+++ b/node/src/thrift.rs
@@ -1,6 +1,6 @@
-//! Starts a Thrift listener of the operator's.
+//! Starts the Thrift listeners of the operator's file.
 
-use crate::{listen, lists, or};
+use crate::{listen, lists, or_default};
 use birchswitch_figures::Metrics;
 use birchswitch_host::Host;
 use birchswitch_membership::Directory;
@@ -12,63 +12,71 @@
 use tokio::sync::watch;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// What all listeners share.
-pub struct Shared<'a> {
+/// Values that all listeners share.
+pub struct ListenerContext<'a> {
     /// The node's name.
     pub name: &'a str,
     /// The site's settings.
     pub site: &'a finchvale::Settings,
     /// The site's names.
     pub names: &'a Rc<Names>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// What the node counts.
+    /// The node's metrics.
     pub metrics: &'a Rc<Metrics>,
-    /// Up once the node closes.
+    /// Becomes true once the node accepts no more connections.
     pub closing: &'a watch::Receiver<bool>,
 }
 
-/// A listener that serves.
-pub struct Running {
+/// A running Thrift listener.
+pub struct ThriftListener {
     host: Rc<Host<ThriftUpstream>>,
     served: JoinHandle<()>,
 }
 
-impl Running {
+impl ThriftListener {
     /// Listens, follows the servers' list, and serves.
-    pub fn start(compiled: ThriftSettings, number: usize, shared: &Shared) -> Result<Self, Box<dyn Error>> {
+    pub fn start(
+        compiled: ThriftSettings,
+        index: usize,
+        context: &ListenerContext,
+    ) -> Result<Self, Box<dyn Error>> {
         let compiled = Rc::new(compiled);
         let settings = &compiled.settings;
-        let site = compiled.site_settings(shared.site.clone());
-        let name = format!("{} thrift {}", shared.name, settings.name);
-        let connect_timeout = or(site.connect_timeout, Duration::from_millis(250));
-        let conn_idle = or(site.conn_idle, Duration::from_secs(5));
+        let site = compiled.site_settings(context.site.clone());
+        let name = format!("{} thrift {}", context.name, settings.name);
+        let connect_timeout = or_default(site.connect_timeout, Duration::from_millis(250));
+        let conn_idle = or_default(site.conn_idle, Duration::from_secs(5));
         let upstream = ThriftUpstream::new(compiled.clone(), connect_timeout, conn_idle);
-        let directory = Directory::new(shared.names.clone());
-        let seed = shared.seed ^ (number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let host = Host::new(name, site, seed, directory, upstream.clone(), shared.metrics.clone())?;
+        let directory = Directory::new(context.names.clone());
+        let seed = context.seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let host = Host::new(name, site, seed, directory, upstream.clone(), context.metrics.clone())?;
         let listener = listen(settings.listen).map_err(|e| {
             format!("thrift listener {:?}: cannot listen on {}: {e}", settings.name, settings.listen)
         })?;
         host.log(format_args!("listening on {}", listener.local_addr()?));
         lists::follow(&host, settings.servers.discovery, None, false);
         spawn_local(async move { upstream.retire_idle().await });
-        let front =
-            ThriftFrontend::new(host.clone(), compiled.clone(), shared.names.clone(), shared.closing.clone());
-        Ok(Running { host, served: spawn_local(front.serve(listener)) })
+        let front = ThriftFrontend::new(
+            host.clone(),
+            compiled.clone(),
+            context.names.clone(),
+            context.closing.clone(),
+        );
+        Ok(ThriftListener { host, served: spawn_local(front.serve(listener)) })
     }
 
-    /// What follows the servers' list.
+    /// The listener's host, which follows its list of servers.
     pub fn host(&self) -> &Rc<Host<ThriftUpstream>> {
         &self.host
     }
 
     /// Waits until the last connection has ended.
-    pub async fn ended(&mut self) {
+    pub async fn finished(&mut self) {
         let _ = (&mut self.served).await;
     }
 
-    /// Begins nothing more.
+    /// Stops the host from starting new work.
     pub fn close(&self) {
         self.host.close();
     }
