--- a/node/src/fleet/health.rs
+++ b/node/src/fleet/health.rs
@@ -153,7 +153,7 @@
 
     fn publish(&self) {
         let silent =
-            self.scheduler.borrow().as_ref().map(|r| r.silent().collect::<Vec<_>>()).unwrap_or_default();
+            self.scheduler.borrow().as_ref().map(|s| s.silent().collect::<Vec<_>>()).unwrap_or_default();
         tracing::info!(target: "health", kind = "silent", servers = silent.len());
         self.cluster.publish(Topic::Silent, encode(silent.into_iter()));
     }
--- a/node/src/lease_run.rs
+++ b/node/src/lease_run.rs
@@ -87,7 +87,7 @@
 
 /// A node's reply about a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum LeaseReply {
+enum Reply {
     Waiting,
     /// Token, slot, and the time by which all work under the lease must end.
     Held(String, String, Instant),
@@ -95,17 +95,15 @@
     Refused(String),
 }
 
-fn parse_reply(line: &str, sent_at: Instant) -> LeaseReply {
+fn parse_reply(line: &str, sent_at: Instant) -> Reply {
     match line.split_ascii_whitespace().collect::<Vec<_>>()[..] {
-        ["WAITING", ..] => LeaseReply::Waiting,
+        ["WAITING", ..] => Reply::Waiting,
         ["HELD", token, slot, left] => match left.parse() {
-            Ok(left) => {
-                LeaseReply::Held(token.to_owned(), slot.to_owned(), sent_at + Duration::from_millis(left))
-            }
-            Err(_) => LeaseReply::Lost,
+            Ok(left) => Reply::Held(token.to_owned(), slot.to_owned(), sent_at + Duration::from_millis(left)),
+            Err(_) => Reply::Lost,
         },
-        ["FAILURE", ..] => LeaseReply::Refused(line.trim_start_matches("FAILURE ").trim().to_owned()),
-        _ => LeaseReply::Lost,
+        ["FAILURE", ..] => Reply::Refused(line.trim_start_matches("FAILURE ").trim().to_owned()),
+        _ => Reply::Lost,
     }
 }
 
@@ -113,7 +111,7 @@
 
 impl Node {
     /// Sends a line and reads the reply. Without a reply in time the lease counts as lost.
-    async fn ask(&mut self, line: &str) -> LeaseReply {
+    async fn ask(&mut self, line: &str) -> Reply {
         let sent_at = Instant::now();
         let mut answer = String::new();
         let exchange = async {
@@ -122,7 +120,7 @@
         };
         match timeout(REPLY_TIMEOUT, exchange).await {
             Ok(Ok(length)) if length > 0 => parse_reply(&answer, sent_at),
-            _ => LeaseReply::Lost,
+            _ => Reply::Lost,
         }
     }
 }
@@ -144,16 +142,16 @@
     let mut reply = node.ask(&format!("LEASE {name} {slots}\n")).await;
     let (token, slot, mut guard) = loop {
         match reply {
-            LeaseReply::Held(token, slot, guard) => break (token, slot, guard),
-            LeaseReply::Refused(why) => {
+            Reply::Held(token, slot, guard) => break (token, slot, guard),
+            Reply::Refused(why) => {
                 eprintln!("birchswitch lease: {why}");
                 return Ok(UNAVAILABLE.into());
             }
-            LeaseReply::Lost => {
+            Reply::Lost => {
                 eprintln!("birchswitch lease: the node at {ops} no longer answers");
                 return Ok(UNAVAILABLE.into());
             }
-            LeaseReply::Waiting => {}
+            Reply::Waiting => {}
         }
         let give_up = tokio::select! {
             _ = terminate.recv() => true,
@@ -185,7 +183,7 @@
             _ = interrupt.recv() => drop(send(Signal::INT)),
             // If the node does not answer within half of the time left, the lease counts as lost: the other half is for the command to end.
             () = tokio::time::sleep(POLL.min(left / 4)) => match timeout(left / 2, node.ask("\n")).await {
-                Ok(LeaseReply::Held(_, _, extended)) => guard = guard.max(extended),
+                Ok(Reply::Held(_, _, extended)) => guard = guard.max(extended),
                 _ => break end_command(&mut child, guard, send).await?,
             },
         }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -205,7 +205,7 @@
         members::run(cluster, &host, hosts);
     }
     leases.iter().for_each(|l| drop(spawn_local(l.clone().run())));
-    fleet.iter().for_each(|c| c.run(&host));
+    fleet.iter().for_each(|f| f.run(&host));
     if let (Some(intervals), Some(cluster), Some(leases)) = (config.operator.health, &cluster, &leases) {
         health::start(intervals, &host, cluster, &Tasks::new(leases, cluster));
     }
--- a/node/src/operations.rs
+++ b/node/src/operations.rs
@@ -137,11 +137,11 @@
     /// Passes a call to the subsystem that answers it.
     fn query(&self, call: &Call) -> Result<String, String> {
         let missing = || Err(format!("no {} in the operator's file", required_table(call)));
-        self.subsystems.iter().find_map(|p| p.answer(call)).unwrap_or_else(missing)
+        self.subsystems.iter().find_map(|s| s.answer(call)).unwrap_or_else(missing)
     }
 
     fn apply(&self, server: &str, suspended: bool, why: &str) {
-        self.hosts.borrow().iter().for_each(|f| f.set_suspended(server, suspended));
+        self.hosts.borrow().iter().for_each(|h| h.set_suspended(server, suspended));
         let what = if suspended { "out" } else { "in use again" };
         self.host.log(format_args!("server {server:?} is {what}: {why}"));
     }
@@ -162,7 +162,7 @@
         let (listed, out) = self.host.server_counts();
         self.metrics.discovered.set(listed as i64);
         self.metrics.ejected.set(out as i64);
-        self.subsystems.iter().for_each(|p| p.metrics(&self.metrics));
+        self.subsystems.iter().for_each(|s| s.metrics(&self.metrics));
         self.host.spared_probes().iter().for_each(|n| self.metrics.set_probes_spared(*n));
         self.metrics.encode()
     }
@@ -186,12 +186,12 @@
     fn wallet(&self, words: &[String]) -> DeferredReply {
         let missing =
             || Box::pin(async { Err("no [[wallet]] in the operator's file".to_owned()) }) as DeferredReply;
-        self.subsystems.iter().find_map(|p| p.wallet(words)).unwrap_or_else(missing)
+        self.subsystems.iter().find_map(|s| s.wallet(words)).unwrap_or_else(missing)
     }
 
     fn lease(&self, name: &str, slots: u16) -> Result<Box<dyn LeaseSession>, String> {
         let missing = || Err("no [lease] in the operator's file".to_owned());
-        self.subsystems.iter().find_map(|p| p.lease(name, slots)).unwrap_or_else(missing)
+        self.subsystems.iter().find_map(|s| s.lease(name, slots)).unwrap_or_else(missing)
     }
 
     fn end_lease(&self, name: &str) -> Result<String, String> {
@@ -199,7 +199,7 @@
     }
 
     fn set_suspended(&self, server: &str, suspended: bool) -> Result<String, String> {
-        let listed = self.hosts.borrow().iter().any(|f| f.knows(server));
+        let listed = self.hosts.borrow().iter().any(|h| h.knows(server));
         let mut bans = self.bans.borrow_mut();
         if !listed && !bans.contains(server) {
             return Err(format!("no server of the id {server:?} is listed or out"));
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -148,7 +148,7 @@
 }
 
 /// Creates an error with the line and column of a byte of the file.
-fn error_at(path: &str, text: &str, byte: usize, problem: String) -> OperatorError {
+fn locate(path: &str, text: &str, byte: usize, problem: String) -> OperatorError {
     let before = text.get(..byte).unwrap_or_default();
     let line = before.matches('\n').count() + 1;
     let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
@@ -172,80 +172,79 @@
         let text = std::fs::read_to_string(path)
             .map_err(|source| OperatorError::Unreadable { path: owned_path(), source })?;
         let file: File = toml::from_str(&text).map_err(|error| {
-            error_at(path, &text, error.span().map_or(0, |s| s.start), error.message().replace('\n', " "))
+            locate(path, &text, error.span().map_or(0, |s| s.start), error.message().replace('\n', " "))
         })?;
         let cluster = file.cluster.map(ClusterTable::compile).transpose();
         let cluster =
-            cluster.map_err(|SettingError { span, problem }| error_at(path, &text, span.start, problem))?;
+            cluster.map_err(|SettingError { span, problem }| locate(path, &text, span.start, problem))?;
         if let (Some(lease), None) = (&file.lease, &cluster) {
             let problem = "[lease] uses the cluster's socket and requires a [cluster] table".to_owned();
-            return Err(error_at(path, &text, lease.span().start, problem));
+            return Err(locate(path, &text, lease.span().start, problem));
         }
         let lease = file.lease.map(|l| l.into_inner().compile()).transpose();
         let lease =
-            lease.map_err(|SettingError { span, problem }| error_at(path, &text, span.start, problem))?;
+            lease.map_err(|SettingError { span, problem }| locate(path, &text, span.start, problem))?;
         let health = file
             .health
             .map(|h| crate::fleet::health::compile(h, lease.is_some(), site.may_probe))
             .transpose();
         let health =
-            health.map_err(|SettingError { span, problem }| error_at(path, &text, span.start, problem))?;
+            health.map_err(|SettingError { span, problem }| locate(path, &text, span.start, problem))?;
         if let (Some(mesh), None) = (&file.mesh, &cluster) {
             let problem = "[mesh] connects cluster members and requires a [cluster] table".to_owned();
-            return Err(error_at(path, &text, mesh.span().start, problem));
+            return Err(locate(path, &text, mesh.span().start, problem));
         }
         let mesh = file.mesh.map(|m| m.into_inner().compile()).transpose();
-        let mesh =
-            mesh.map_err(|SettingError { span, problem }| error_at(path, &text, span.start, problem))?;
-        let limits =
-            match (file.limits.first(), &lease, &mesh) {
-                (None, ..) => None,
-                (Some(_), Some(lease), Some(_)) => {
-                    let longest_deadline = site.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-                    let times = (longest_deadline, lease.terms.ttl, lease.terms.drift);
-                    let compiled = quota::QuotaSettings::new(&file.limits, file.quota.as_ref(), names, times);
-                    Some(compiled.map_err(|SettingError { span, problem }| {
-                        error_at(path, &text, span.start, problem)
-                    })?)
-                }
-                (Some(limit), ..) => {
-                    let problem = "limits of the whole fleet want a [lease] and a [mesh] table".to_owned();
-                    return Err(error_at(path, &text, limit.span().start, problem));
-                }
-            };
+        let mesh = mesh.map_err(|SettingError { span, problem }| locate(path, &text, span.start, problem))?;
+        let limits = match (file.limits.first(), &lease, &mesh) {
+            (None, ..) => None,
+            (Some(_), Some(lease), Some(_)) => {
+                let longest_deadline = site.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+                let times = (longest_deadline, lease.terms.ttl, lease.terms.drift);
+                let compiled = quota::QuotaSettings::new(&file.limits, file.quota.as_ref(), names, times);
+                Some(
+                    compiled
+                        .map_err(|SettingError { span, problem }| locate(path, &text, span.start, problem))?,
+                )
+            }
+            (Some(limit), ..) => {
+                let problem = "limits of the whole fleet want a [lease] and a [mesh] table".to_owned();
+                return Err(locate(path, &text, limit.span().start, problem));
+            }
+        };
         if let (Some(tuner), true) = (&file.tuner, lease.is_none() || mesh.is_none()) {
             let problem = "tuned weights of the whole fleet want a [lease] and a [mesh] table".to_owned();
-            return Err(error_at(path, &text, tuner.span().start, problem));
+            return Err(locate(path, &text, tuner.span().start, problem));
         }
         let tuner = file.tuner.as_ref().map(tuner::TunerTable::compile).transpose();
         let tuner =
-            tuner.map_err(|SettingError { span, problem }| error_at(path, &text, span.start, problem))?;
+            tuner.map_err(|SettingError { span, problem }| locate(path, &text, span.start, problem))?;
         if let (Some(verdicts), true) = (&file.verdicts, lease.is_none() || mesh.is_none()) {
             let problem = "verdicts of the whole fleet want a [lease] and a [mesh] table".to_owned();
-            return Err(error_at(path, &text, verdicts.span().start, problem));
+            return Err(locate(path, &text, verdicts.span().start, problem));
         }
         let verdicts = file.verdicts.as_ref().map(verdict::VerdictTable::compile).transpose();
         let verdicts =
-            verdicts.map_err(|SettingError { span, problem }| error_at(path, &text, span.start, problem))?;
+            verdicts.map_err(|SettingError { span, problem }| locate(path, &text, span.start, problem))?;
         let member = cluster.as_ref().and_then(|c| c.node.clone()).unwrap_or_else(|| name.to_owned());
-        let wallet =
-            match (file.wallet.first(), &file.ledger, &lease, &mesh) {
-                (None, None, ..) => None,
-                (None, Some(ledger), ..) => {
-                    let problem = "[ledger] has no effect without a [[wallet]] table".to_owned();
-                    return Err(error_at(path, &text, ledger.span().start, problem));
-                }
-                (Some(_), Some(ledger), Some(_), Some(_)) => {
-                    let compiled = wallet::WalletSettings::new(&file.wallet, ledger, names, &member);
-                    Some(compiled.map_err(|SettingError { span, problem }| {
-                        error_at(path, &text, span.start, problem)
-                    })?)
-                }
-                (Some(account), ..) => {
-                    let problem = "prepaid accounts want a [ledger], a [lease] and a [mesh] table".to_owned();
-                    return Err(error_at(path, &text, account.span().start, problem));
-                }
-            };
+        let wallet = match (file.wallet.first(), &file.ledger, &lease, &mesh) {
+            (None, None, ..) => None,
+            (None, Some(ledger), ..) => {
+                let problem = "[ledger] has no effect without a [[wallet]] table".to_owned();
+                return Err(locate(path, &text, ledger.span().start, problem));
+            }
+            (Some(_), Some(ledger), Some(_), Some(_)) => {
+                let compiled = wallet::WalletSettings::new(&file.wallet, ledger, names, &member);
+                Some(
+                    compiled
+                        .map_err(|SettingError { span, problem }| locate(path, &text, span.start, problem))?,
+                )
+            }
+            (Some(account), ..) => {
+                let problem = "prepaid accounts want a [ledger], a [lease] and a [mesh] table".to_owned();
+                return Err(locate(path, &text, account.span().start, problem));
+            }
+        };
         let mut addresses = vec![listen];
         let mut thrift = Vec::new();
         for settings in file.thrift {
