--- a/node/src/fleet/adjustments.rs
+++ b/node/src/fleet/adjustments.rs
@@ -7,12 +7,12 @@
 
 /// Accepts adjustments of servers.
 trait AdjustmentTarget {
-    fn apply(&self, adjustment: &[NamedServerAdjustment]);
+    fn apply(&self, adjustments: &[NamedServerAdjustment]);
 }
 
 impl<U: Upstream> AdjustmentTarget for Host<U> {
-    fn apply(&self, adjustment: &[NamedServerAdjustment]) {
-        Host::set_server_adjustments(self, adjustment);
+    fn apply(&self, adjustments: &[NamedServerAdjustment]) {
+        Host::set_server_adjustments(self, adjustments);
     }
 }
 
@@ -56,8 +56,8 @@
         let neutral =
             |name| NamedServerAdjustment { name, share_limit: 1.0, weight_factor: 1.0, confidence: 0.0 };
         let mut merged: BTreeMap<u64, NamedServerAdjustment> = BTreeMap::new();
-        for (name, share_limits) in self.share_limits.borrow().iter() {
-            merged.entry(*name).or_insert_with(|| neutral(*name)).share_limit = *share_limits;
+        for (name, share_limit) in self.share_limits.borrow().iter() {
+            merged.entry(*name).or_insert_with(|| neutral(*name)).share_limit = *share_limit;
         }
         for (name, weight, confidence) in self.weights.borrow().iter() {
             let adjustment = merged.entry(*name).or_insert_with(|| neutral(*name));
