--- a/crates/standin/src/cost.rs
+++ b/crates/standin/src/cost.rs
@@ -1,7 +1,8 @@
-//! What a request costs a node: CPU time, latency and memory under a closed loop of clients, over HTTP/1.1 and over Thrift.
+//! Measures what a request costs a node: CPU time, latency and memory under a closed loop of clients, over HTTP/1.1 and
+//! Thrift.
 //!
-//! Servers answer at once and do nothing else, on a thread of their own; clients ask again as soon as they are answered.
-//! Figures depend on the machine; the ratios, taken in one run, less so.
+//! The servers answer at once and run on a thread of their own; each client sends its next request as soon as it has a
+//! response. Absolute figures depend on the machine, ratios taken within one run less so.
 
 use crate::fleet::{io, FleetError, NodeProcess};
 use crate::process::cpu_time;
@@ -15,55 +16,55 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How to ask.
+/// Protocol between clients, node and servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Transport {
     /// HTTP/1.1.
     Http,
-    /// Thrift, in frames.
+    /// Framed Thrift.
     Thrift(Protocol),
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for Transport {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Way::Http => f.write_str("HTTP/1.1"),
-            Way::Thrift(protocol) => write!(f, "Thrift framed {protocol:?}"),
+            Transport::Http => f.write_str("HTTP/1.1"),
+            Transport::Thrift(protocol) => write!(f, "Thrift framed {protocol:?}"),
         }
     }
 }
 
-/// What to measure.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The node's program.
+    /// Path of the node's binary.
     pub binary: PathBuf,
-    /// How clients ask.
-    pub way: Way,
-    /// Whether servers are probed for their load.
+    /// Protocol of the requests.
+    pub transport: Transport,
+    /// Whether the node probes the servers for their load.
     pub probes: bool,
-    /// Clients, each with one request at a time.
+    /// Number of clients, each with one request in flight.
     pub clients: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// For how long, after a short time that doesn't count.
+    /// Length of the measurement, which begins after a warm-up of 500 ms.
     pub length: Duration,
 }
 
-/// What came of it.
+/// Result of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// Requests served.
+    /// Number of successful responses.
     pub served: u64,
-    /// Other answers.
+    /// Number of other responses.
     pub other: u64,
-    /// The node's CPU time for each of both, in microseconds.
+    /// CPU time of the node per response of either kind, in microseconds.
     pub cpu_us: f64,
     /// Median latency.
     pub p50: Duration,
-    /// Latency of the slowest hundredth.
+    /// 99th percentile of the latency.
     pub p99: Duration,
-    /// The most memory that it held, in KiB.
+    /// Peak resident memory of the node in KiB.
     pub peak_kib: u64,
 }
 
@@ -83,15 +84,15 @@
     }
 }
 
-/// Bodies, and the strings in Thrift calls, hold so much.
-const BODY: usize = 128;
+/// Length of bodies and of the strings in Thrift messages.
+const BODY_BYTES: usize = 128;
 
-/// A Thrift message with one string, in a frame.
+/// Builds a framed Thrift message with one string field.
 fn thrift_message(protocol: Protocol, kind: MessageType, seqid: i32) -> Vec<u8> {
     fn fill(writer: &mut impl Writer, kind: MessageType, seqid: i32) {
         writer.header(kind, "browse", seqid, true);
         writer.field(ValueType::Binary, if kind == MessageType::Call { 1 } else { 0 }, 0, None);
-        writer.binary(&[b'x'; BODY]);
+        writer.binary(&[b'x'; BODY_BYTES]);
         writer.stop();
     }
     let mut bytes = vec![0; frame::HEADER_LEN];
@@ -103,7 +104,7 @@
     bytes
 }
 
-/// A load report in the form that the settings below name.
+/// Builds a load report with the field ids that the operator's file in [`measure`] configures.
 fn thrift_load(protocol: Protocol, seqid: i32) -> Vec<u8> {
     fn fill(writer: &mut impl Writer, seqid: i32) {
         writer.header(MessageType::Reply, "load", seqid, true);
@@ -122,8 +123,9 @@
     bytes
 }
 
-/// A server that answers at once, on a runtime of its own thread's, until the process ends.
-fn serve(way: Way, servers: usize) -> std::io::Result<Vec<SocketAddr>> {
+/// Starts servers that answer at once, on a thread with its own runtime, until the process ends. Returns their
+/// addresses.
+fn serve(transport: Transport, servers: usize) -> std::io::Result<Vec<SocketAddr>> {
     let listeners: Vec<TcpListener> =
         (0..servers).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
     let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
@@ -135,7 +137,7 @@
                 let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { continue };
                 tokio::spawn(async move {
                     while let Ok((stream, _)) = listener.accept().await {
-                        tokio::spawn(answer(way, stream));
+                        tokio::spawn(answer(transport, stream));
                     }
                 });
             }
@@ -145,39 +147,42 @@
     Ok(addresses)
 }
 
-async fn answer(way: Way, mut stream: tokio::net::TcpStream) {
+async fn answer(transport: Transport, mut stream: tokio::net::TcpStream) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let _ = stream.set_nodelay(true);
-    let mut held = Vec::with_capacity(4096);
+    let mut received = Vec::with_capacity(4096);
     loop {
-        while let Some((length, reply)) = reply(way, &held) {
-            held.drain(..length);
+        while let Some((length, reply)) = reply(transport, &received) {
+            received.drain(..length);
             if stream.write_all(&reply).await.is_err() {
                 return;
             }
         }
-        if !matches!(stream.read_buf(&mut held).await, Ok(n) if n > 0) {
+        if !matches!(stream.read_buf(&mut received).await, Ok(n) if n > 0) {
             return;
         }
     }
 }
 
-/// The answer to the first whole request, and that one's length.
-fn reply(way: Way, held: &[u8]) -> Option<(usize, Vec<u8>)> {
-    match way {
-        Way::Http => {
-            let end = held.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
-            let stats = held.starts_with(b"GET /stats");
-            let body =
-                if stats { br#"{"outstanding":1,"utilization":0.3}"#.to_vec() } else { vec![b'x'; BODY] };
+/// Returns the length of the first complete request in the buffer and the response to it.
+fn reply(transport: Transport, received: &[u8]) -> Option<(usize, Vec<u8>)> {
+    match transport {
+        Transport::Http => {
+            let end = received.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
+            let stats = received.starts_with(b"GET /stats");
+            let body = if stats {
+                br#"{"outstanding":1,"utilization":0.3}"#.to_vec()
+            } else {
+                vec![b'x'; BODY_BYTES]
+            };
             let mut reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
             reply.extend(body);
             Some((end, reply))
         }
-        Way::Thrift(protocol) => {
+        Transport::Thrift(protocol) => {
             let limits = Limits::default();
-            let length = frame::length(held, &limits).ok()??;
-            let content = held.get(frame::HEADER_LEN..frame::HEADER_LEN + length)?;
+            let length = frame::length(received, &limits).ok()??;
+            let content = received.get(frame::HEADER_LEN..frame::HEADER_LEN + length)?;
             let header = walk::header(protocol, content, &limits).ok()?;
             let reply = match header.name {
                 "load" => thrift_load(protocol, header.seqid),
@@ -188,9 +193,10 @@
     }
 }
 
-/// One client: asks until the end, and returns the latencies of what counts and how many answers were no service.
-fn ask(
-    way: Way,
+/// Runs one client until `to`. Returns the latencies in microseconds of successful requests sent after `from`, and the
+/// number of other responses to such requests.
+fn run_client(
+    transport: Transport,
     address: SocketAddr,
     number: usize,
     from: Instant,
@@ -201,66 +207,66 @@
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     let (mut latencies, mut other, mut buffer) = (Vec::new(), 0, [0; 4096]);
     for count in 0u32.. {
-        let asked = Instant::now();
-        if asked >= to {
+        let sent_at = Instant::now();
+        if sent_at >= to {
             break;
         }
-        let request = match way {
-            Way::Http => format!(
+        let request = match transport {
+            Transport::Http => format!(
                 "GET /browse/item?page=1 HTTP/1.1\r\nHost: shop\r\nX-Request-ID: {number}-{count}\r\n\
                  X-Timeout: 2000m\r\nX-Tenant-Id: one\r\nCookie: obj=7f3a9c21e0b4d655\r\n\r\n"
             )
             .into_bytes(),
-            Way::Thrift(protocol) => thrift_message(protocol, MessageType::Call, count as i32),
+            Transport::Thrift(protocol) => thrift_message(protocol, MessageType::Call, count as i32),
         };
         stream.write_all(&request)?;
-        let mut held = 0;
+        let mut received = 0;
         let served = loop {
-            let read = stream.read(&mut buffer[held..])?;
+            let read = stream.read(&mut buffer[received..])?;
             if read == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
-            held += read;
-            match way {
-                Way::Http => {
-                    let Some(end) = buffer[..held].windows(4).position(|w| w == b"\r\n\r\n") else {
+            received += read;
+            match transport {
+                Transport::Http => {
+                    let Some(end) = buffer[..received].windows(4).position(|w| w == b"\r\n\r\n") else {
                         continue;
                     };
                     let head = String::from_utf8_lossy(&buffer[..end]).to_ascii_lowercase();
                     let length = head.split("content-length:").nth(1).and_then(|l| l.lines().next());
                     let length: usize = length.and_then(|l| l.trim().parse().ok()).unwrap_or(0);
-                    if held >= end + 4 + length {
+                    if received >= end + 4 + length {
                         break head.starts_with("http/1.1 200");
                     }
                 }
-                Way::Thrift(protocol) => {
+                Transport::Thrift(protocol) => {
                     let limits = Limits::default();
-                    let Ok(Some(length)) = frame::length(&buffer[..held], &limits) else { continue };
-                    if held >= frame::HEADER_LEN + length {
-                        let header = walk::header(protocol, &buffer[frame::HEADER_LEN..held], &limits);
+                    let Ok(Some(length)) = frame::length(&buffer[..received], &limits) else { continue };
+                    if received >= frame::HEADER_LEN + length {
+                        let header = walk::header(protocol, &buffer[frame::HEADER_LEN..received], &limits);
                         break header.is_ok_and(|h| h.kind == MessageType::Reply);
                     }
                 }
             }
         };
-        if asked >= from {
-            latencies.extend(served.then(|| asked.elapsed().as_micros() as u32));
+        if sent_at >= from {
+            latencies.extend(served.then(|| sent_at.elapsed().as_micros() as u32));
             other += u64::from(!served);
         }
     }
     Ok((latencies, other))
 }
 
-/// The process's CPU time so far, by its only thread.
+/// Peak resident memory of a process in KiB.
 fn peak_kib(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let peak = text.lines().find_map(|l| l.strip_prefix("VmHWM:"));
     peak.and_then(|p| p.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0)
 }
 
-/// Starts servers and a node, plays the load, and ends the node. Has to run inside a `tokio::task::LocalSet`.
+/// Starts servers and a node, runs the load and ends the node. Must run inside a `tokio::task::LocalSet`.
 pub async fn measure(plan: &Plan) -> Result<Cost, FleetError> {
-    let addresses = serve(plan.way, plan.servers).map_err(io("the servers"))?;
+    let addresses = serve(plan.transport, plan.servers).map_err(io("the servers"))?;
     let registry = Registry::start().await.map_err(io("the registry"))?;
     for (n, address) in addresses.iter().enumerate() {
         registry
@@ -283,9 +289,9 @@
         }
     });
     let load = "[thrift.servers.load]\nmethod = 'load'\nfields = { held = '1', busy = '2' }\n";
-    let operator = match plan.way {
-        Way::Http => None,
-        Way::Thrift(protocol) => Some(format!(
+    let operator = match plan.transport {
+        Transport::Http => None,
+        Transport::Thrift(protocol) => Some(format!(
             "[[thrift]]\nname = 'cost'\nlisten = '127.0.0.1:0'\ntenant = 'one'\nmethods.browse.class = 'browse'\n\
              [thrift.servers]\ndialect = 'framed-{}'\ndiscovery = '{}'\n{}",
             if protocol == Protocol::Binary { "binary" } else { "compact" },
@@ -294,23 +300,24 @@
         )),
     };
     let node = NodeProcess::start(&plan.binary, 0, config, operator.as_deref()).await?;
-    let address = match plan.way {
-        Way::Http => node.ready().await?,
-        Way::Thrift(_) => node.last_address("holds a list").await?,
+    let address = match plan.transport {
+        Transport::Http => node.ready().await?,
+        Transport::Thrift(_) => node.last_address("holds a list").await?,
     };
     let pid = node.pid();
     let from = Instant::now() + Duration::from_millis(500);
     let to = from + plan.length;
-    let (way, clients) = (plan.way, plan.clients);
-    let asking: Vec<_> =
-        (0..clients).map(|n| std::thread::spawn(move || ask(way, address, n, from, to))).collect();
+    let (transport, clients) = (plan.transport, plan.clients);
+    let client_threads: Vec<_> = (0..clients)
+        .map(|n| std::thread::spawn(move || run_client(transport, address, n, from, to)))
+        .collect();
     let until = |at: Instant| tokio::time::sleep(at.saturating_duration_since(Instant::now()));
     until(from).await;
     let before = cpu_time(pid);
     until(to).await;
     let used = cpu_time(pid).saturating_sub(before);
     let (mut latencies, mut other) = (Vec::new(), 0);
-    for client in asking {
+    for client in client_threads {
         let answered = client.join().unwrap_or_else(|_| Err(std::io::ErrorKind::Other.into()));
         let (own, turned_away) = answered.map_err(io("a client"))?;
         latencies.extend(own);
--- a/crates/standin/src/rig/limits.rs
+++ b/crates/standin/src/rig/limits.rs
@@ -1,6 +1,7 @@
-//! Limits of the whole fleet on the rig: nodes under load from their own clients, faults between them, and what servers saw.
+//! Fleet-wide limits on the rig: nodes under load from their own clients, faults between the nodes, and checks of what
+//! servers received.
 
-use super::bounds::{most_at_once, over_rate};
+use super::bounds::{max_concurrent, max_rate_excess};
 use super::cases::CaseError;
 use super::history::{now, History, Nanos};
 use super::load::{Load, NodeLoad, RequestOutcome, RequestSpec};
@@ -14,37 +15,38 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Requests a second that the whole fleet may let in of one tenant.
+/// Fleet-wide rate limit of tenant `one`, in requests per second.
 pub const PER_S: f64 = 120.0;
-/// At once, of which `transit` takes half a second's.
+/// Burst of that limit; `transit` uses half a second's worth of it.
 pub const BURST: f64 = 120.0;
-/// The other tenant's, in flight.
+/// Fleet-wide limit of tenant `two` on requests in flight.
 pub const IN_FLIGHT: usize = 24;
 
-/// A run.
+/// A case of fleet-wide limits.
 #[derive(Clone, Debug)]
 pub struct Case<'a> {
-    /// How it is called.
+    /// Name of the case.
     pub name: &'a str,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// What holds without a grant.
+    /// The `when_cut` setting: what a node without a grant lets in.
     pub when_cut: &'a str,
-    /// What goes wrong, from the first grants on; `{keeper}` stands for the node that keeps the limits then.
+    /// Fault script, which starts after the first grants; `{keeper}` is replaced by the node that keeps the limits
+    /// then.
     pub script: &'a str,
-    /// All nodes get the same.
+    /// Whether all nodes get the same load.
     pub uniform_load: bool,
-    /// How long grants hold.
+    /// Lifetime of grants.
     pub ttl: &'a str,
-    /// Rates of nodes' clocks, in turn.
+    /// Rates of the nodes' clocks, assigned in rotation.
     pub rates: &'static [f64],
-    /// Safeguards to go without.
+    /// Safeguards to disable.
     pub without: &'static [&'static str],
-    /// How long it goes on beyond the script.
+    /// How long the load continues after the script.
     pub extra_time: Duration,
 }
 
-/// Twelve nodes of which some get a hundred times what others do, nothing goes wrong.
+/// Twelve nodes, some with a hundred times the load of others, and no faults.
 pub const BASELINE: Case<'static> = Case {
     name: "limits-calm",
     nodes: 12,
@@ -57,12 +59,13 @@
     extra_time: Duration::from_secs(4),
 };
 
-/// What must hold, whatever the script does.
+/// The limits must hold in all of these.
 pub const CASES: &[Case<'static>] = &[
     BASELINE,
     Case {
         name: "limits-keepers",
-        // The keeper is whichever has the lease: each place that can have it is paused beyond its grants, killed, or cut off.
+        // The keeper may be any node that can hold the lease, so each of them is paused for longer than its grants
+        // live.
         script: "1s n0-n3 pause 5s\n8s n4-n7 pause 5s\n15s n8-n11 pause 5s\n21s wire lose 0",
         ..BASELINE
     },
@@ -90,27 +93,28 @@
     },
 ];
 
-/// What a run came to.
+/// Result of a case.
 pub struct Outcome {
     /// What did not hold.
     pub violations: Vec<String>,
-    /// By how many requests the worst window was over the rate; nothing or less: none was.
+    /// Requests beyond the rate limit in the worst window; 0 or less means that the limit held.
     pub rate_excess: f64,
-    /// The most in flight at servers.
+    /// The most requests in flight at servers.
     pub max_in_flight: usize,
-    /// The part of the rate that was used in each second after the faults.
+    /// Used fraction of the rate limit in each second after the faults.
     pub utilization: Vec<f64>,
-    /// After a shift of demand, at the end: how long until 0.9 of the rate was used in the 3 s that followed; none: not within 30 s.
+    /// After the load has moved to other nodes at the end of the run: time until at least 0.9 of the rate limit was
+    /// used over the following 3 s. None if that took longer than 90 s.
     pub settling_time: Option<Duration>,
-    /// Who kept them, in seconds from the first grants on.
+    /// Events of the limits' keeper and its lease, with seconds since the first grants.
     pub keeper_events: Vec<String>,
-    /// How requests ended.
+    /// Outcomes of all requests.
     pub ended: Vec<RequestOutcome>,
-    /// What servers saw.
+    /// Requests that reached servers.
     pub received: Vec<ReceivedRequest>,
 }
 
-/// The site's settings: two tenants, no probes, as many attempts as one.
+/// Settings of the site: two tenants, no probes, deadlines of 2 s.
 pub fn settings() -> Value {
     let mut settings = crate::scripted::settings();
     settings["tenants"] = json!([
@@ -131,8 +135,9 @@
     )
 }
 
-/// Requests a second at each node of `nodes`: twice the limit together, the first third a hundred times what the last third gets.
-fn demand(case: &Case, turned: bool) -> Vec<f64> {
+/// Requests per second at each node, twice the limit in total. Unless the load is uniform, the first third of the nodes
+/// gets a hundred times the load of the last third, or the reverse.
+fn demand(case: &Case, reversed: bool) -> Vec<f64> {
     let nodes = case.nodes;
     let weight = |n: usize| match n * 3 / nodes {
         _ if case.uniform_load => 1.0,
@@ -140,28 +145,29 @@
         1 => 10.0,
         _ => 1.0,
     };
-    let weights: Vec<f64> = (0..nodes).map(|n| weight(if turned { nodes - 1 - n } else { n })).collect();
+    let weights: Vec<f64> = (0..nodes).map(|n| weight(if reversed { nodes - 1 - n } else { n })).collect();
     let sum: f64 = weights.iter().sum();
     weights.iter().map(|w| 2.0 * PER_S * w / sum).collect()
 }
 
-/// Ends a run whose limit is never used after demand has moved. How soon it is used is told, and not bounded by this.
-const SETTLES: Duration = Duration::from_secs(90);
+/// Ends a run that never uses its limit again after the load has moved. It does not bound the settling time, which the
+/// run only reports.
+const SETTLING_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Plays a case.
+/// Runs a case and checks it.
 pub async fn play(case: &Case<'_>, binary: PathBuf, seed: u64) -> Result<Outcome, CaseError> {
     let parse = |keeper: usize| {
         let script = Script::parse(&case.script.replace("{keeper}", &format!("n{keeper}")), 0, case.nodes);
         script.map(|script| Script { seed, ..script })
     };
     let script = parse(0)?;
-    let habits = ServerBehavior {
+    let behavior = ServerBehavior {
         service_time: Duration::from_millis(150),
         error_permille: 0,
         slow_permille: 0,
         reported_load: 0.5,
     };
-    let site = Site::start(6, habits).await.map_err(super::io("a server"))?;
+    let site = Site::start(6, behavior).await.map_err(super::io("a server"))?;
     let lease = LeasePlan { rates: case.rates.to_vec(), ..LeasePlan::new(3) };
     let plan = Plan {
         lease: Some(lease),
@@ -182,7 +188,7 @@
             requests: vec![order("one"), order("one"), order("two")],
         })
         .collect();
-    let knobs: Vec<Rc<Cell<f64>>> = rates.iter().map(|r| r.per_s.clone()).collect();
+    let node_rates: Vec<Rc<Cell<f64>>> = rates.iter().map(|r| r.per_s.clone()).collect();
     let load = Load::start(rates, rig.client_addresses());
     let keeps = |h: &History| h.lines.iter().any(|l| l.kind == "keeps");
     rig.wait_until("a keeper", Duration::from_secs(30), keeps, |_| "none".into()).await?;
@@ -195,25 +201,25 @@
     rig.play(|_| ()).await?;
     let faults_end = now();
     sleep(case.extra_time).await;
-    // Demand moves to the other end of the fleet.
-    for (knob, per_s) in knobs.iter().zip(demand(case, true)) {
-        knob.set(per_s * 1.5);
+    // Move the load to the other end of the fleet.
+    for (node_rate, per_s) in node_rates.iter().zip(demand(case, true)) {
+        node_rate.set(per_s * 1.5);
     }
-    let shifted = now();
+    let shifted_at = now();
     let mut settling_time = None;
-    while settling_time.is_none() && now() < shifted + SETTLES.as_nanos() as Nanos {
+    while settling_time.is_none() && now() < shifted_at + SETTLING_TIMEOUT.as_nanos() as Nanos {
         sleep(Duration::from_millis(200)).await;
         let to = now();
         let from = to - 3_000_000_000;
-        if from >= shifted && utilization(&site.received(), from, to) >= 0.9 {
-            settling_time = Some(Duration::from_nanos(from - shifted));
+        if from >= shifted_at && utilization(&site.received(), from, to) >= 0.9 {
+            settling_time = Some(Duration::from_nanos(from - shifted_at));
         }
     }
     let stopped = now();
     let ended = load.stop().await;
     let history = rig.close().await?;
     let received = site.received();
-    let mut outcome = judge(case, received, ended, [faults_end, stopped]);
+    let mut outcome = evaluate(case, received, ended, [faults_end, stopped]);
     outcome.settling_time = settling_time;
     let lines = history.lines.iter().filter(|l| {
         matches!(l.kind.as_str(), "keeps" | "task_begun" | "task_ended" | "granted" | "lost" | "lower")
@@ -223,7 +229,7 @@
     Ok(outcome)
 }
 
-fn judge(
+fn evaluate(
     case: &Case,
     received: Vec<ReceivedRequest>,
     ended: Vec<RequestOutcome>,
@@ -231,14 +237,14 @@
 ) -> Outcome {
     let of = |tenant: &'static str| received.iter().filter(move |s| s.tenant == tenant);
     let one: Vec<Nanos> = of("one").map(|s| s.at).collect();
-    let rate_excess = over_rate(&one, PER_S, BURST);
-    let max_in_flight = most_at_once(of("two").map(|s| (s.at, s.ended)));
+    let rate_excess = max_rate_excess(&one, PER_S, BURST);
+    let max_in_flight = max_concurrent(of("two").map(|s| (s.at, s.ended)));
     let mut violations = Vec::new();
     if case.when_cut == "strict" && rate_excess > 0.0 {
         violations.push(format!("{rate_excess:.3} requests over {PER_S} W + {BURST} in some window"));
     }
     if case.when_cut == "strict" && max_in_flight > IN_FLIGHT {
-        violations.push(format!("{max_in_flight} in flight where {IN_FLIGHT} may be"));
+        violations.push(format!("{max_in_flight} in flight, at most {IN_FLIGHT} allowed"));
     }
     let unanswered = ended.iter().filter(|e| e.status == Some(503) && !e.retry_after).count();
     if unanswered > 0 {
@@ -259,7 +265,7 @@
     }
 }
 
-/// The part of the rate that servers saw used of it between two times.
+/// Fraction of the rate limit used between two times, by the requests that servers received.
 fn utilization(received: &[ReceivedRequest], from: Nanos, to: Nanos) -> f64 {
     let count = received.iter().filter(|s| s.tenant == "one" && (from..to).contains(&s.at)).count();
     count as f64 / ((to - from) as f64 / 1e9) / PER_S
--- a/crates/standin/src/rig/scale/mod.rs
+++ b/crates/standin/src/rig/scale/mod.rs
@@ -1,7 +1,9 @@
-//! What a fleet costs as it grows: real processes with every fleet-wide part on, size by size, without clients.
+//! What a fleet costs as it grows: real processes with all fleet-wide functions enabled, at several sizes, without
+//! clients.
 //!
-//! Each size is a fleet of its own, started, left to agree, and watched. What its processes took is told by role: those that hold
-//! a lease by its task, those that vote, and all others. Lines through the sizes ([`Line`]) tell what each role's cost grows by.
+//! For each size a new fleet is started and measured once it has settled. Costs are reported by role: lease holders by
+//! their task, voters, and all other nodes. Linear fits over the sizes ([`LinearFit`]) give the growth of each role's
+//! cost.
 
 mod fit;
 pub(super) mod measure;
@@ -10,7 +12,7 @@
 use super::history::History;
 use super::{LeasePlan, Plan, Rig, RigError, Sent};
 use crate::script::Script;
-pub use fit::Line;
+pub use fit::LinearFit;
 use measure::{usage, Processors, Usage};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -19,75 +21,76 @@
 pub use table::{head, row, METRICS};
 use tokio::time::{sleep, Instant};
 
-/// Processes that may run at once.
-pub const MOST_PROCESSES: usize = 200;
-/// Memory that a process is taken to need before it is started.
+/// The most processes of a fleet.
+pub const MAX_PROCESSES: usize = 200;
+/// Memory reserved for each process when a size is checked.
 const PROCESS_KB: u64 = 32 << 10;
-/// Nodes that vote on leases.
+/// Number of voters on leases.
 const VOTERS: usize = 5;
-/// Fewest nodes of a fleet: those that vote and one that does not.
-const LEAST_NODES: usize = VOTERS + 1;
-/// For a fleet to agree on its members and its leases.
-const AGREED: Duration = Duration::from_secs(120);
-/// Between looks at whether it has.
-const LOOK: Duration = Duration::from_secs(1);
-/// From then until it is watched.
-const SETTLED: Duration = Duration::from_secs(5);
-/// With the processors busier than this, processes wait for each other: what is measured shows the machine.
-const MOST_BUSY: f64 = 0.85;
-/// Tasks of which a fleet with all parts on runs one each.
+/// The fewest nodes of a fleet: the voters and one other node.
+const MIN_NODES: usize = VOTERS + 1;
+/// Time limit for a fleet to agree on its members and leases.
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(120);
+/// Interval at which agreement is checked.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between agreement and the measurement.
+const SETTLING_TIME: Duration = Duration::from_secs(5);
+/// Busy fraction of the processors above which processes wait for each other, so that the figures describe the machine
+/// and not the fleet.
+const MAX_BUSY: f64 = 0.85;
+/// Tasks that run on one node each in every fleet.
 const TASKS: [&str; 3] = ["limits", "tuner", "verdict"];
-/// The one that accounts want beside them.
+/// The further task of fleets with accounts.
 const ACCOUNTS_TASK: &str = "wallet";
 
-/// What a fleet is made of.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Nodes, each a process.
+    /// Number of nodes, each a process.
     pub nodes: usize,
-    /// Servers that discovery lists; nobody listens there.
+    /// Number of servers that discovery lists; nothing listens there.
     pub servers: usize,
-    /// Limits of the whole fleet, each of a tenant of its own.
+    /// Number of fleet-wide limits, each for a tenant of its own.
     pub limits: usize,
-    /// Prepaid accounts, each of a tenant of its own.
+    /// Number of prepaid accounts, each of a tenant of its own.
     pub accounts: usize,
 }
 
-/// Why a run was refused or could not go on.
+/// Why a run was refused or could not continue.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
     /// Too few nodes.
     #[error("{0} nodes are too few: {VOTERS} vote, and at least one does not")]
     TooSmall(usize),
     /// Too many processes.
-    #[error("{0} nodes are more than the {MOST_PROCESSES} processes that a run may start")]
+    #[error("{0} nodes are more than the {MAX_PROCESSES} processes that a run may start")]
     TooManyProcesses(usize),
     /// Too much memory.
     #[error("{nodes} nodes may need {wanted_mb} MB, and a run may take half of the machine's memory, {most_mb} MB")]
     TooMuchMemory {
-        /// Nodes.
+        /// Number of nodes.
         nodes: usize,
-        /// What they may need.
+        /// Memory that the nodes may need.
         wanted_mb: u64,
-        /// What a run may take.
+        /// Memory that a run may use.
         most_mb: u64,
     },
-    /// Trouble with the processes.
+    /// The rig failed.
     #[error(transparent)]
     Rig(#[from] RigError),
 }
 
-/// Whether sizes may be played on this machine. To be asked before anything is started.
+/// Checks whether this machine can run these sizes. Call it before anything is started.
 pub fn check(sizes: &[Size]) -> Result<(), ScaleError> {
     check_against(sizes, measure::machine_memory_kb())
 }
 
 fn check_against(sizes: &[Size], machine_kb: u64) -> Result<(), ScaleError> {
     for nodes in sizes.iter().map(|size| size.nodes) {
-        if nodes < LEAST_NODES {
+        if nodes < MIN_NODES {
             return Err(ScaleError::TooSmall(nodes));
         }
-        if nodes > MOST_PROCESSES {
+        if nodes > MAX_PROCESSES {
             return Err(ScaleError::TooManyProcesses(nodes));
         }
         let (wanted, most) = (nodes as u64 * PROCESS_KB, machine_kb / 2);
@@ -98,8 +101,8 @@
     Ok(())
 }
 
-/// The base size, then each list's further values with all others at the base, then all lists' last values together where more than
-/// one list has several.
+/// Returns the base size, then each list's further values with the others at the base, then the last values of all
+/// lists together if more than one list has several.
 pub fn sizes(nodes: &[usize], servers: &[usize], limits: &[usize], accounts: &[usize]) -> Vec<Size> {
     let pick = |of: fn(&[usize]) -> Option<&usize>| {
         let [nodes, servers, limits, accounts] =
@@ -119,41 +122,46 @@
     all
 }
 
-/// What one process took a second, and holds.
+/// Resources that a process used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Parts of a core, in hundredths.
+    /// CPU time in percent of a core.
     pub cpu_percent: f64,
-    /// Memory.
+    /// Resident memory.
     pub memory_kb: f64,
-    /// Descriptors.
+    /// Number of open descriptors.
     pub descriptors: f64,
-    /// Datagrams a second that it sent.
+    /// Datagrams sent per second.
     pub datagrams: f64,
-    /// Bytes a second in them.
+    /// Bytes sent per second in datagrams.
     pub datagram_bytes: f64,
-    /// Bytes a second that it sent over the mesh.
+    /// Bytes sent per second over the mesh.
     pub stream_bytes: f64,
 }
 
-/// What a size came to.
+/// Result of one size.
 #[derive(Clone, Debug)]
-pub struct Step {
-    /// The size.
+pub struct SizeResult {
+    /// Size of the fleet.
     pub size: Size,
-    /// Until all knew each other and each task was somebody's.
+    /// Time until all nodes knew each other and each task had a holder.
     pub agreed: Duration,
-    /// By role: processes, and the mean of their costs.
+    /// By role: the number of processes and the mean of their costs.
     pub roles: BTreeMap<String, (usize, Cost)>,
-    /// Why it is no evidence, if it is none.
+    /// Why the figures must not be used, if so.
     pub void: Option<String>,
 }
 
-/// Plays one size.
-pub async fn play(size: Size, binary: PathBuf, length: Duration, seed: u64) -> Result<Step, ScaleError> {
+/// Runs a fleet of one size and measures it.
+pub async fn play(
+    size: Size,
+    binary: PathBuf,
+    length: Duration,
+    seed: u64,
+) -> Result<SizeResult, ScaleError> {
     let rig = Rig::start(plan(size, binary, seed)).await?;
     let agreed = agreed(&rig, size).await?;
-    sleep(SETTLED).await;
+    sleep(SETTLING_TIME).await;
     let (verdicts, held) = (verdicts(&rig.history()), holders(&rig.history()));
     let processors = Processors::now();
     let (before, began) = (readings(&rig), Instant::now());
@@ -162,7 +170,7 @@
     let busy = Processors::now().busy_since(processors);
     let history = rig.history();
     let void = match self::verdicts(&history) - verdicts {
-        0 if busy > MOST_BUSY => {
+        0 if busy > MAX_BUSY => {
             Some(format!("the processors were busy for {:.0}% of the time", 100.0 * busy))
         }
         0 if holders(&history) != held => Some("a task's holder changed".to_owned()),
@@ -173,7 +181,7 @@
     rig.abort().await?;
     let costs =
         before.iter().zip(&after).map(|(before, after)| cost(before, after, seconds)).collect::<Vec<_>>();
-    Ok(Step { size, agreed, roles: by_role(&roles, &costs), void })
+    Ok(SizeResult { size, agreed, roles: by_role(&roles, &costs), void })
 }
 
 fn plan(size: Size, binary: PathBuf, seed: u64) -> Plan {
@@ -196,7 +204,7 @@
         mesh: true,
         folders: size.accounts > 0,
         servers: (0..size.servers).map(|_| crate::scripted::unique_address()).collect(),
-        // Whoever serves a task hears every other node.
+        // The node that runs a task receives from every other node.
         sockets: 8 * (size.nodes + 32),
         settings: settings(size.limits.max(size.accounts).max(1)),
         operator,
@@ -212,23 +220,23 @@
     settings
 }
 
-/// Waits for one membership, and for a holder of each task.
+/// Waits until the views of all nodes agree and each task has a holder.
 async fn agreed(rig: &Rig, size: Size) -> Result<Duration, ScaleError> {
     let began = Instant::now();
     let accounts = (size.accounts > 0).then_some(&ACCOUNTS_TASK);
     let tasks: Vec<&&str> = TASKS.iter().chain(accounts).collect();
     loop {
-        let one = rig.wait_for_agreement(Duration::from_millis(1)).await;
+        let agreement = rig.wait_for_agreement(Duration::from_millis(1)).await;
         let holders = holders(&rig.history());
         let missing = tasks.iter().find(|task| !holders.keys().any(|lease| task_of(lease) == ***task));
-        match (one, missing) {
+        match (agreement, missing) {
             (Ok(_), None) => return Ok(began.elapsed()),
-            (Err(error), _) if began.elapsed() > AGREED => return Err(error.into()),
-            (_, Some(task)) if began.elapsed() > AGREED => {
+            (Err(error), _) if began.elapsed() > AGREEMENT_TIMEOUT => return Err(error.into()),
+            (_, Some(task)) if began.elapsed() > AGREEMENT_TIMEOUT => {
                 let (what, last) = (format!("a holder of {task}"), "none".to_owned());
-                return Err(RigError::Late { what, patience: AGREED, last }.into());
+                return Err(RigError::Timeout { what, timeout_after: AGREEMENT_TIMEOUT, last }.into());
             }
-            _ => sleep(LOOK).await,
+            _ => sleep(POLL_INTERVAL).await,
         }
     }
 }
@@ -237,15 +245,15 @@
     history.lines.iter().filter(|line| line.kind == "verdict").count()
 }
 
-/// The task of a lease's key, which ends with its slot and may name a zone.
+/// The task of a lease name, which may also contain a zone and a slot (`TASK/...`).
 fn task_of(lease: &str) -> &str {
     lease.split('/').next().unwrap_or(lease)
 }
 
-/// Who holds each lease.
+/// Place of each lease's holder.
 fn holders(history: &History) -> BTreeMap<String, usize> {
     let mut holders = BTreeMap::new();
-    // Lines of different processes come in any order.
+    // Lines of different processes are not in order of time.
     let mut lines: Vec<_> = history.lines.iter().filter(|line| !line.text("lease").is_empty()).collect();
     lines.sort_by_key(|line| line.at);
     for line in lines {
@@ -259,7 +267,7 @@
     holders
 }
 
-/// Each place's roles: the tasks that it holds, else that it votes, else none.
+/// Roles of each place: the tasks it holds; else voter or plain node.
 fn roles(history: &History, nodes: usize) -> Vec<Vec<String>> {
     let mut roles = vec![Vec::new(); nodes];
     for (lease, place) in holders(history) {
@@ -277,14 +285,14 @@
 }
 
 fn cost(before: &(Usage, Sent), after: &(Usage, Sent), seconds: f64) -> Cost {
-    let a_second = |before: u64, after: u64| (after - before) as f64 / seconds;
+    let per_second = |before: u64, after: u64| (after - before) as f64 / seconds;
     Cost {
         cpu_percent: 100.0 * after.0.cpu.saturating_sub(before.0.cpu).as_secs_f64() / seconds,
         memory_kb: after.0.memory_kb as f64,
         descriptors: after.0.descriptors as f64,
-        datagrams: a_second(before.1.datagrams, after.1.datagrams),
-        datagram_bytes: a_second(before.1.datagram_bytes, after.1.datagram_bytes),
-        stream_bytes: a_second(before.1.stream_bytes, after.1.stream_bytes),
+        datagrams: per_second(before.1.datagrams, after.1.datagrams),
+        datagram_bytes: per_second(before.1.datagram_bytes, after.1.datagram_bytes),
+        stream_bytes: per_second(before.1.stream_bytes, after.1.stream_bytes),
     }
 }
 
--- a/crates/standin/src/rig/site.rs
+++ b/crates/standin/src/rig/site.rs
@@ -1,4 +1,4 @@
-//! Servers of a rig's site: they answer after a while, as they are told, and write down every request that reaches them.
+//! Servers of the rig's site. They answer after a configured time, with configured errors, and record every request.
 
 use super::history::{now, Nanos};
 use bytes::Bytes;
@@ -17,119 +17,119 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, JoinSet};
 
-/// A request as it reached a server.
+/// A request that reached a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// When all of it was there.
+    /// When it was received completely.
     pub at: Nanos,
-    /// When it was answered; not yet, where there is none.
+    /// When its processing ended, or none while it is in progress.
     pub ended: Option<Nanos>,
-    /// By which server.
+    /// Server that received it.
     pub server: usize,
-    /// Its class.
+    /// Class of the request.
     pub class: String,
-    /// Its tenant.
+    /// Tenant of the request.
     pub tenant: String,
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Its key, or nothing.
+    /// Idempotency key, or empty.
     pub key: String,
 }
 
-/// How a server behaves.
+/// Behavior of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerBehavior {
-    /// How long each request takes.
+    /// Processing time of a request.
     pub service_time: Duration,
-    /// The part that is answered by an error, in thousandths.
+    /// Thousandths of requests answered with an error.
     pub error_permille: u32,
-    /// The part that takes ten times as long, likewise.
+    /// Thousandths of requests that take ten times as long.
     pub slow_permille: u32,
-    /// What it says of its load.
+    /// Load that a report would state; responses carry no load reports at present.
     pub reported_load: f64,
 }
 
 /// One server.
 struct Server {
-    habits: Cell<ServerBehavior>,
+    behavior: Cell<ServerBehavior>,
     count: Cell<u64>,
 }
 
-/// See the module's words. Runs on a `LocalSet`, as long as it is held.
+/// The servers of a site. They run on a `LocalSet` until this is dropped.
 pub struct Site {
     servers: Vec<Rc<Server>>,
     addresses: Vec<SocketAddr>,
-    book: Rc<RefCell<Vec<ReceivedRequest>>>,
+    requests: Rc<RefCell<Vec<ReceivedRequest>>>,
     _tasks: JoinSet<()>,
 }
 
 impl Site {
-    /// So many servers that all behave so.
-    pub async fn start(servers: usize, habits: ServerBehavior) -> io::Result<Site> {
+    /// Starts servers with the same behavior.
+    pub async fn start(servers: usize, behavior: ServerBehavior) -> io::Result<Site> {
         let (mut all, mut addresses, mut tasks) = (Vec::new(), Vec::new(), JoinSet::new());
-        let book: Rc<RefCell<Vec<ReceivedRequest>>> = Rc::default();
+        let requests: Rc<RefCell<Vec<ReceivedRequest>>> = Rc::default();
         for n in 0..servers {
             let listener = TcpListener::bind(crate::scripted::unique_address()).await?;
             addresses.push(listener.local_addr()?);
-            let server = Rc::new(Server { habits: Cell::new(habits), count: Cell::new(0) });
+            let server = Rc::new(Server { behavior: Cell::new(behavior), count: Cell::new(0) });
             all.push(server.clone());
-            let book = book.clone();
+            let requests = requests.clone();
             tasks.spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(serve(n, server.clone(), book.clone(), stream));
+                    spawn_local(serve(n, server.clone(), requests.clone(), stream));
                 }
             });
         }
-        Ok(Site { servers: all, addresses, book, _tasks: tasks })
+        Ok(Site { servers: all, addresses, requests, _tasks: tasks })
     }
 
-    /// Where they are.
+    /// Addresses of the servers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.addresses.clone()
     }
 
-    /// How one behaves from now on.
-    pub fn set_behavior(&self, server: usize, habits: ServerBehavior) {
-        self.servers[server].habits.set(habits);
+    /// Changes the behavior of a server.
+    pub fn set_behavior(&self, server: usize, behavior: ServerBehavior) {
+        self.servers[server].behavior.set(behavior);
     }
 
-    /// All that reached them, in order.
+    /// All requests that reached the servers, in order.
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        self.book.borrow().clone()
+        self.requests.borrow().clone()
     }
 
-    /// How much that is.
+    /// Number of requests that reached the servers.
     pub fn count(&self) -> usize {
-        self.book.borrow().len()
+        self.requests.borrow().len()
     }
 }
 
-async fn serve(n: usize, server: Rc<Server>, book: Rc<RefCell<Vec<ReceivedRequest>>>, stream: TcpStream) {
+async fn serve(n: usize, server: Rc<Server>, requests: Rc<RefCell<Vec<ReceivedRequest>>>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
-        let (server, book) = (server.clone(), book.clone());
-        async move { Ok::<_, Infallible>(answer(n, &server, &book, request).await) }
+        let (server, requests) = (server.clone(), requests.clone());
+        async move { Ok::<_, Infallible>(answer(n, &server, &requests, request).await) }
     });
-    // Its end is the node's affair.
+    // The node reports errors of a connection; the server ignores them.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// Writes down when work on a request ended, also where its connection closed.
-struct Working<'a> {
-    book: &'a RefCell<Vec<ReceivedRequest>>,
+/// Records the end of a request's processing, also if its connection closes before.
+struct InProgress<'a> {
+    requests: &'a RefCell<Vec<ReceivedRequest>>,
     at: usize,
 }
 
-impl Drop for Working<'_> {
+impl Drop for InProgress<'_> {
     fn drop(&mut self) {
-        self.book.borrow_mut()[self.at].ended = Some(now());
+        self.requests.borrow_mut()[self.at].ended = Some(now());
     }
 }
 
 async fn answer(
     n: usize,
     server: &Server,
-    book: &RefCell<Vec<ReceivedRequest>>,
+    requests: &RefCell<Vec<ReceivedRequest>>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
@@ -137,8 +137,8 @@
     let text = |name| head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
     let class = head.uri.path().trim_start_matches('/').to_owned();
     let at = {
-        let mut book = book.borrow_mut();
-        book.push(ReceivedRequest {
+        let mut requests = requests.borrow_mut();
+        requests.push(ReceivedRequest {
             at: now(),
             ended: None,
             server: n,
@@ -147,19 +147,20 @@
             id: text("x-request-id"),
             key: text("idempotency-key"),
         });
-        book.len() - 1
+        requests.len() - 1
     };
-    let working = Working { book, at };
-    let (habits, count) = (server.habits.get(), server.count.replace(server.count.get() + 1));
-    // Spread evenly, so that the same part errs whatever the number.
-    let hits = |part: u32| count * u64::from(part) % 1000 < u64::from(part);
+    let in_progress = InProgress { requests, at };
+    let (behavior, count) = (server.behavior.get(), server.count.replace(server.count.get() + 1));
+    // Affected requests are spread evenly, so that any number of requests has about the same fraction of them.
+    let is_affected = |part: u32| count * u64::from(part) % 1000 < u64::from(part);
     let service_time =
-        if hits(habits.slow_permille) { habits.service_time * 10 } else { habits.service_time };
+        if is_affected(behavior.slow_permille) { behavior.service_time * 10 } else { behavior.service_time };
     if !service_time.is_zero() {
         tokio::time::sleep(service_time).await;
     }
-    drop(working);
-    let status = if hits(habits.error_permille) { StatusCode::INTERNAL_SERVER_ERROR } else { StatusCode::OK };
+    drop(in_progress);
+    let status =
+        if is_affected(behavior.error_permille) { StatusCode::INTERNAL_SERVER_ERROR } else { StatusCode::OK };
     let mut response = Response::new(Full::new(Bytes::from_static(b"done")));
     *response.status_mut() = status;
     response
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -1,4 +1,4 @@
-//! What goes wrong and when, as a text:
+//! Fault scripts: what fails and when, as text.
 //!
 //! ```text
 //! # time  target   fault
@@ -15,103 +15,104 @@
 //! 60s     wire     heal
 //! ```
 //!
-//! The last three want the rig of many processes ([`crate::rig`]); more of them are in [`NodesFault`] and [`WireFault`].
+//! The last three lines need the rig of many processes ([`crate::rig`]); [`ProcessFault`] and [`WireFault`] list all
+//! faults of that kind.
 //!
-//! One fault a line; `#` begins a comment. Times are whole numbers with `ms` or `s`, counted from the start. A target is
-//! one server (`s2`), a run of them (`s0-s3`, both included), `all`, `any` (one server that the seed chooses), a node
-//! (`n0`) or the `registry`.
+//! Each line holds one fault; `#` starts a comment. Times are integers with `ms` or `s`, counted from the start. A target
+//! is a server (`s2`), a range of servers (`s0-s3`, both ends included), `all`, `any` (one server, chosen at random from
+//! the seed), a node (`n0`) or the `registry`.
 
 mod nodes;
 
-pub use nodes::{End, Far, Nodes, NodesFault, WireFault};
+pub use nodes::{Endpoint, External, Nodes, ProcessFault, WireFault};
 use std::fmt;
 use std::time::Duration;
 
-/// A whole script, in the order of time.
+/// A script, sorted by time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Script {
-    /// For all that is random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// What happens.
+    /// Faults and their times.
     pub entries: Vec<Entry>,
 }
 
-/// One line.
+/// A line of a script.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When, from the start.
+    /// Time since the start.
     pub at: Duration,
-    /// To whom, with what.
-    pub deed: Deed,
+    /// The fault and its target.
+    pub injection: Injection,
 }
 
-/// A fault and those that it befalls.
+/// A fault and its target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Deed {
-    /// To servers.
+pub enum Injection {
+    /// A fault of servers.
     Servers(Servers, Fault),
-    /// To a node.
+    /// A fault of one node.
     Node(usize, NodeFault),
-    /// To nodes' processes, on the rig.
-    Nodes(Nodes, NodesFault),
-    /// To the wire between nodes, on the rig.
+    /// A fault of nodes' processes, on the rig only.
+    Nodes(Nodes, ProcessFault),
+    /// A fault of the network between nodes, on the rig only.
     Wire(WireFault),
-    /// The registry neither speaks nor takes calls for so long.
+    /// The registry sends nothing and answers nothing for a time.
     RegistrySilent(Duration),
 }
 
-/// Some of the servers.
+/// Servers as a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Servers {
-    /// From the first to the last, both included.
+    /// A range, both ends included.
     Range(usize, usize),
-    /// Each of them.
+    /// All servers.
     All,
-    /// One, by chance.
+    /// A random server.
     Any,
 }
 
-/// What may befall a server. Parts of a factor are thousandths, so that a script prints as it was read.
+/// Faults of a server. Factors are in thousandths, so that a printed script parses to the same value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It neither works nor speaks for so long; its connections stay.
+    /// Stops working and answering for a time; connections stay open.
     Freeze(Duration),
-    /// It works at so many thousandths of its speed for so long.
+    /// Works at this many thousandths of its speed for a time.
     Slow(u32, Duration),
-    /// The process dies: its connections are reset, new ones refused. The registry notices some time later.
+    /// The process dies: connections are reset, and new ones are refused. The registry notices after a delay.
     Die,
-    /// A process that died starts again, cold.
+    /// Starts a dead process again, cold.
     Start,
-    /// Each in turn, with so long between the beginnings: told as draining, ended after the drain, started cold.
+    /// Rolling deploy of the targets: each is announced as draining, ended after the drain, and started cold.
     Deploy {
-        /// From the word to the end.
+        /// Time from the announcement to the end.
         drain: Duration,
-        /// From one server's word to the next one's.
+        /// Time from one server's announcement to the next one's.
         every: Duration,
     },
 }
 
-/// What may befall a node.
+/// Faults of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeFault {
-    /// SIGTERM, and a new process at the same address once it has ended.
+    /// SIGTERM, and a new process at the same address after the exit.
     Restart,
     /// SIGKILL, and a new process at the same address.
     Kill,
 }
 
-/// Why a script can't be read.
+/// Why a script is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {problem}")]
 pub struct ScriptError {
-    /// Counted from 1.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// What is wrong, and what is wanted.
+    /// What is wrong, and what was expected.
     pub problem: String,
 }
 
 impl Script {
-    /// Reads a script for so many servers and nodes.
+    /// Parses a script for this number of servers and nodes.
     pub fn parse(text: &str, servers: usize, nodes: usize) -> Result<Self, ScriptError> {
         let mut script = Script::default();
         for (number, line) in text.lines().enumerate() {
@@ -120,14 +121,15 @@
             match words[..] {
                 [] => {}
                 ["seed", seed] => {
-                    script.seed = seed.parse().map_err(|_| error(format!("{seed:?} is no whole number")))?;
+                    script.seed =
+                        seed.parse().map_err(|_| error(format!("{seed:?} is not a whole number")))?;
                 }
                 [at, target, ref fault @ ..] => {
                     let at = duration(at).map_err(error)?;
-                    let deed = deed(target, fault, servers, nodes).map_err(error)?;
-                    script.entries.push(Entry { at, deed });
+                    let injection = injection(target, fault, servers, nodes).map_err(error)?;
+                    script.entries.push(Entry { at, injection });
                 }
-                _ => return Err(error("wanted: a time, a target and a fault".into())),
+                _ => return Err(error("expected a time, a target and a fault".into())),
             }
         }
         script.entries.sort_by_key(|e| e.at);
@@ -135,34 +137,34 @@
     }
 }
 
-fn deed(target: &str, fault: &[&str], servers: usize, count: usize) -> Result<Deed, String> {
+fn injection(target: &str, fault: &[&str], servers: usize, count: usize) -> Result<Injection, String> {
     if target == "registry" {
         return match fault {
-            ["silent", length] => Ok(Deed::RegistrySilent(duration(length)?)),
-            _ => Err(format!("{:?} befalls no registry: wanted `silent TIME`", fault.join(" "))),
+            ["silent", length] => Ok(Injection::RegistrySilent(duration(length)?)),
+            _ => Err(format!("{:?} is not a fault of the registry: expected `silent TIME`", fault.join(" "))),
         };
     }
     if target == "wire" {
-        return nodes::wire(fault, count).map(Deed::Wire);
+        return nodes::wire_fault(fault, count).map(Injection::Wire);
     }
-    if let Some(what) = nodes::fault(fault).filter(|_| target.starts_with(['n', 'z'])) {
-        return Ok(Deed::Nodes(nodes::nodes(target, count)?, what?));
+    if let Some(what) = nodes::process_fault(fault).filter(|_| target.starts_with(['n', 'z'])) {
+        return Ok(Injection::Nodes(nodes::target(target, count)?, what?));
     }
     let number = |text: &str, most: usize| match text.parse::<usize>() {
         Ok(n) if n < most => Ok(n),
-        Ok(n) => Err(format!("{target}: there are {most}, and {n} is not among 0 to {}", most - 1)),
-        Err(_) => Err(format!("{target:?} is no target: wanted sN, sN-sM, all, any, nN or registry")),
+        Ok(n) => Err(format!("{target}: there are {most}, and {n} is not in 0 to {}", most - 1)),
+        Err(_) => Err(format!("{target:?} is not a target: expected sN, sN-sM, all, any, nN or registry")),
     };
     if let Some(n) = target.strip_prefix('n') {
         let node = number(n, count)?;
         return match fault {
-            ["restart"] => Ok(Deed::Node(node, NodeFault::Restart)),
-            ["kill"] => Ok(Deed::Node(node, NodeFault::Kill)),
+            ["restart"] => Ok(Injection::Node(node, NodeFault::Restart)),
+            ["kill"] => Ok(Injection::Node(node, NodeFault::Kill)),
             _ => {
-                let wanted =
+                let expected =
                     "`restart` or `kill`; on the rig `die`, `end`, `start`, `twin`, `pause TIME` or \
                               `stutter TIME for TIME`";
-                Err(format!("{:?} befalls no node: wanted {wanted}", fault.join(" ")))
+                Err(format!("{:?} is not a fault of a node: expected {expected}", fault.join(" ")))
             }
         };
     }
@@ -175,7 +177,7 @@
                 number(last.strip_prefix('s').unwrap_or("?"), servers)?,
             );
             if first > last {
-                return Err(format!("{target} runs backwards"));
+                return Err(format!("{target} is not an ascending range"));
             }
             Servers::Range(first, last)
         }
@@ -190,7 +192,7 @@
             let thousandths = factor.parse::<f64>().map(|f| (f * 1e3).round());
             match thousandths {
                 Ok(t) if (1.0..=1e6).contains(&t) => Fault::Slow(t as u32, duration(length)?),
-                _ => return Err(format!("{factor:?} is no factor from 0.001 to 1000")),
+                _ => return Err(format!("{factor:?} is not a factor from 0.001 to 1000")),
             }
         }
         ["die"] => Fault::Die,
@@ -199,29 +201,29 @@
             Fault::Deploy { drain: duration(drain)?, every: duration(every)? }
         }
         _ => {
-            let wanted =
+            let expected =
                 "`freeze TIME`, `slow FACTOR for TIME`, `die`, `start` or `deploy drain TIME every TIME`";
-            return Err(format!("{:?} befalls no server: wanted {wanted}", fault.join(" ")));
+            return Err(format!("{:?} is not a fault of a server: expected {expected}", fault.join(" ")));
         }
     };
-    Ok(Deed::Servers(who, what))
+    Ok(Injection::Servers(who, what))
 }
 
 fn duration(text: &str) -> Result<Duration, String> {
     let split = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
-    let wanted = || format!("{text:?} is no time: wanted a whole number with `ms` or `s`");
-    let number: u32 = text[..split].parse().map_err(|_| wanted())?;
+    let expected = || format!("{text:?} is not a time: expected a whole number with `ms` or `s`");
+    let number: u32 = text[..split].parse().map_err(|_| expected())?;
     match &text[split..] {
         "ms" => Ok(Duration::from_millis(number.into())),
         "s" => Ok(Duration::from_secs(number.into())),
-        _ => Err(wanted()),
+        _ => Err(expected()),
     }
 }
 
-/// A time as scripts write it.
-struct Written(Duration);
+/// Formats a duration in the script's syntax.
+struct FormattedDuration(Duration);
 
-impl fmt::Display for Written {
+impl fmt::Display for FormattedDuration {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.0.subsec_millis() {
             0 => write!(f, "{}s", self.0.as_secs()),
@@ -233,22 +235,22 @@
 impl fmt::Display for Script {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         writeln!(f, "seed {}", self.seed)?;
-        self.entries.iter().try_for_each(|e| writeln!(f, "{} {}", Written(e.at), e.deed))
+        self.entries.iter().try_for_each(|e| writeln!(f, "{} {}", FormattedDuration(e.at), e.injection))
     }
 }
 
-impl fmt::Display for Deed {
+impl fmt::Display for Injection {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Deed::Servers(Servers::All, fault) => write!(f, "all {fault}"),
-            Deed::Servers(Servers::Any, fault) => write!(f, "any {fault}"),
-            Deed::Servers(Servers::Range(a, b), fault) if a == b => write!(f, "s{a} {fault}"),
-            Deed::Servers(Servers::Range(a, b), fault) => write!(f, "s{a}-s{b} {fault}"),
-            Deed::Node(n, NodeFault::Restart) => write!(f, "n{n} restart"),
-            Deed::Node(n, NodeFault::Kill) => write!(f, "n{n} kill"),
-            Deed::Nodes(who, fault) => write!(f, "{who} {fault}"),
-            Deed::Wire(fault) => write!(f, "wire {fault}"),
-            Deed::RegistrySilent(length) => write!(f, "registry silent {}", Written(*length)),
+            Injection::Servers(Servers::All, fault) => write!(f, "all {fault}"),
+            Injection::Servers(Servers::Any, fault) => write!(f, "any {fault}"),
+            Injection::Servers(Servers::Range(a, b), fault) if a == b => write!(f, "s{a} {fault}"),
+            Injection::Servers(Servers::Range(a, b), fault) => write!(f, "s{a}-s{b} {fault}"),
+            Injection::Node(n, NodeFault::Restart) => write!(f, "n{n} restart"),
+            Injection::Node(n, NodeFault::Kill) => write!(f, "n{n} kill"),
+            Injection::Nodes(who, fault) => write!(f, "{who} {fault}"),
+            Injection::Wire(fault) => write!(f, "wire {fault}"),
+            Injection::RegistrySilent(length) => write!(f, "registry silent {}", FormattedDuration(*length)),
         }
     }
 }
@@ -256,14 +258,14 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Freeze(length) => write!(f, "freeze {}", Written(*length)),
+            Fault::Freeze(length) => write!(f, "freeze {}", FormattedDuration(*length)),
             Fault::Slow(part, length) => {
-                write!(f, "slow {} for {}", f64::from(*part) / 1e3, Written(*length))
+                write!(f, "slow {} for {}", f64::from(*part) / 1e3, FormattedDuration(*length))
             }
             Fault::Die => f.write_str("die"),
             Fault::Start => f.write_str("start"),
             Fault::Deploy { drain, every } => {
-                write!(f, "deploy drain {} every {}", Written(*drain), Written(*every))
+                write!(f, "deploy drain {} every {}", FormattedDuration(*drain), FormattedDuration(*every))
             }
         }
     }
@@ -275,31 +277,31 @@
     use proptest::prelude::*;
 
     #[test]
-    fn what_is_wrong_is_said_with_its_line() {
-        for (text, said) in [
-            ("seed x", "line 1: \"x\" is no whole number"),
-            ("# fine\n8s", "line 2: wanted: a time, a target and a fault"),
-            ("8 s1 die", "line 1: \"8\" is no time"),
-            ("8h s1 die", "line 1: \"8h\" is no time"),
-            ("99999999999s s1 die", "is no time"),
-            ("8s s9 die", "there are 4, and 9 is not among 0 to 3"),
-            ("8s s2-s1 die", "runs backwards"),
-            ("8s s1-2 die", "is no target"),
-            ("8s é die", "is no target"),
-            ("8s s1 vanish", "\"vanish\" befalls no server"),
-            ("8s n0 freeze 1s", "befalls no node"),
-            ("8s n0-n4 die", "\"n4\" is none of the nodes n0 to n0"),
-            ("8s nodes:2 die", "\"2\" is no part"),
-            ("8s zone:x die", "no number of a zone"),
-            ("8s wire lose 1.5", "\"1.5\" is no part"),
-            ("8s wire break", "befalls no wire"),
+    fn errors_name_the_line_and_the_problem() {
+        for (text, expected) in [
+            ("seed x", "line 1: \"x\" is not a whole number"),
+            ("# fine\n8s", "line 2: expected a time, a target and a fault"),
+            ("8 s1 die", "line 1: \"8\" is not a time"),
+            ("8h s1 die", "line 1: \"8h\" is not a time"),
+            ("99999999999s s1 die", "is not a time"),
+            ("8s s9 die", "there are 4, and 9 is not in 0 to 3"),
+            ("8s s2-s1 die", "is not an ascending range"),
+            ("8s s1-2 die", "is not a target"),
+            ("8s é die", "is not a target"),
+            ("8s s1 vanish", "\"vanish\" is not a fault of a server"),
+            ("8s n0 freeze 1s", "is not a fault of a node"),
+            ("8s n0-n4 die", "\"n4\" is not one of the nodes n0 to n0"),
+            ("8s nodes:2 die", "\"2\" is not a fraction"),
+            ("8s zone:x die", "is not a zone number"),
+            ("8s wire lose 1.5", "\"1.5\" is not a fraction"),
+            ("8s wire break", "is not a fault of the wire"),
             ("8s n1 kill", "there are 1"),
-            ("8s registry die", "befalls no registry"),
-            ("8s s1 slow 0 for 3s", "\"0\" is no factor"),
-            ("8s s1 slow NaN for 3s", "\"NaN\" is no factor"),
+            ("8s registry die", "is not a fault of the registry"),
+            ("8s s1 slow 0 for 3s", "\"0\" is not a factor"),
+            ("8s s1 slow NaN for 3s", "\"NaN\" is not a factor"),
         ] {
             let error = Script::parse(text, 4, 1).expect_err(text).to_string();
-            assert!(error.contains(said), "{text}: {error}");
+            assert!(error.contains(expected), "{text}: {error}");
         }
     }
 
@@ -307,7 +309,7 @@
         (0u64..100_000).prop_map(Duration::from_millis)
     }
 
-    fn any_deed() -> impl Strategy<Value = Deed> {
+    fn any_injection() -> impl Strategy<Value = Injection> {
         let servers = prop_oneof![
             Just(Servers::All),
             Just(Servers::Any),
@@ -328,19 +330,19 @@
                 (0usize..9).prop_map(Nodes::Zone),
             ]
         };
-        let far = || prop_oneof![Just(Far::Servers), Just(Far::Discovery), Just(Far::Clients)];
+        let far = || prop_oneof![Just(External::Servers), Just(External::Discovery), Just(External::Clients)];
         let nodes_fault = prop_oneof![
-            Just(NodesFault::Die),
-            Just(NodesFault::End),
-            Just(NodesFault::Start),
-            Just(NodesFault::Twin),
-            any_duration().prop_map(NodesFault::Pause),
-            (any_duration(), any_duration()).prop_map(|(a, b)| NodesFault::Stutter(a, b)),
+            Just(ProcessFault::Die),
+            Just(ProcessFault::End),
+            Just(ProcessFault::Start),
+            Just(ProcessFault::Twin),
+            any_duration().prop_map(ProcessFault::Pause),
+            (any_duration(), any_duration()).prop_map(|(a, b)| ProcessFault::Stutter(a, b)),
         ];
         let wire = prop_oneof![
-            (nodes(), nodes()).prop_map(|(a, b)| WireFault::Cut(End::Nodes(a), End::Nodes(b))),
-            (nodes(), far()).prop_map(|(a, b)| WireFault::Split(End::Nodes(a), End::Far(b))),
-            (far(), nodes()).prop_map(|(a, b)| WireFault::Cut(End::Far(a), End::Nodes(b))),
+            (nodes(), nodes()).prop_map(|(a, b)| WireFault::Cut(Endpoint::Nodes(a), Endpoint::Nodes(b))),
+            (nodes(), far()).prop_map(|(a, b)| WireFault::Split(Endpoint::Nodes(a), Endpoint::External(b))),
+            (far(), nodes()).prop_map(|(a, b)| WireFault::Cut(Endpoint::External(a), Endpoint::Nodes(b))),
             Just(WireFault::Heal),
             (0u32..=1000).prop_map(WireFault::Lose),
             (0u32..=1000).prop_map(WireFault::Double),
@@ -349,29 +351,29 @@
             any_duration().prop_map(WireFault::Delay),
         ];
         prop_oneof![
-            (nodes(), nodes_fault).prop_map(|(n, f)| Deed::Nodes(n, f)),
-            wire.prop_map(Deed::Wire),
-            (servers, fault).prop_map(|(s, f)| Deed::Servers(s, f)),
+            (nodes(), nodes_fault).prop_map(|(n, f)| Injection::Nodes(n, f)),
+            wire.prop_map(Injection::Wire),
+            (servers, fault).prop_map(|(s, f)| Injection::Servers(s, f)),
             (0usize..2, any::<bool>())
-                .prop_map(|(n, k)| Deed::Node(n, if k { NodeFault::Kill } else { NodeFault::Restart })),
-            any_duration().prop_map(Deed::RegistrySilent),
+                .prop_map(|(n, k)| Injection::Node(n, if k { NodeFault::Kill } else { NodeFault::Restart })),
+            any_duration().prop_map(Injection::RegistrySilent),
         ]
     }
 
     proptest! {
         #[test]
-        fn a_script_is_read_as_it_is_written(
+        fn printed_scripts_parse_to_the_same_script(
             seed: u64,
-            entries in prop::collection::vec((any_duration(), any_deed()), 0..20),
+            entries in prop::collection::vec((any_duration(), any_injection()), 0..20),
         ) {
-            let mut entries: Vec<_> = entries.into_iter().map(|(at, deed)| Entry { at, deed }).collect();
+            let mut entries: Vec<_> = entries.into_iter().map(|(at, injection)| Entry { at, injection }).collect();
             entries.sort_by_key(|e| e.at);
             let script = Script { seed, entries };
             prop_assert_eq!(Script::parse(&script.to_string(), 4, 2), Ok(script));
         }
 
         #[test]
-        fn no_text_is_too_odd(text: String) {
+        fn arbitrary_text_never_panics(text: String) {
             let _ = Script::parse(&text, 4, 1);
         }
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A server on a socket: HTTP/1.1 in the platform's terms round a [`ServerModel`].
+//! An HTTP/1.1 server in the platform's terms around a [`ServerModel`].
 
 use crate::results::Results;
 use birchswitch_lab::model::{Admission, Capacity, Job, Progress, ServerModel};
@@ -23,46 +23,46 @@
 use tokio::task::{spawn_local, JoinHandle, JoinSet};
 use tokio::time::{sleep_until, Instant};
 
-/// A repeat that meets its first in work looks again after this.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
-/// Largest body that is read.
-const MOST_BODY: usize = 64 << 10;
+/// Interval at which a repeated request checks whether the first one with its key has completed.
+const CLAIM_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Largest request body that is read, in bytes.
+const MAX_BODY: usize = 64 << 10;
 
-/// What all servers of a fleet share: the books, and per cell the memory of keys.
+/// State that all servers of a fleet share: the results, and the keys that each cell remembers.
 pub struct Shared {
-    /// Zero of all times in the books.
+    /// Origin of all times in the models.
     pub origin: Instant,
-    /// The books.
+    /// Results of the run.
     pub results: RefCell<Results>,
-    /// For how long a cell remembers a key.
+    /// How long a cell remembers a key.
     pub window: Duration,
-    /// Whether answers tell what their servers hold.
-    pub tells: Cell<bool>,
+    /// Whether responses report the server's load.
+    pub reports_load: Cell<bool>,
     keys: RefCell<HashMap<(u16, String), Claim>>,
 }
 
-/// A key's first request in its cell.
+/// The first request with a key in a cell.
 #[derive(Clone, Copy)]
 struct Claim {
     at: Instant,
     server: usize,
     job: Job,
-    state: Work,
+    state: WorkState,
 }
 
-/// How far it has come.
+/// State of a request's work.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Work {
+enum WorkState {
     Waiting,
-    Begun,
-    Over,
+    Started,
+    Done,
 }
 
 impl Shared {
-    /// With empty memories.
+    /// Creates shared state without remembered keys.
     pub fn new(results: Results, window: Duration) -> Rc<Self> {
-        let (origin, results, tells) = (Instant::now(), RefCell::new(results), Cell::new(false));
-        Rc::new(Shared { origin, results, window, tells, keys: RefCell::default() })
+        let (origin, results, reports_load) = (Instant::now(), RefCell::new(results), Cell::new(false));
+        Rc::new(Shared { origin, results, window, reports_load, keys: RefCell::default() })
     }
 
     fn now(&self) -> Duration {
@@ -70,7 +70,7 @@
     }
 }
 
-/// See the module's own words. It starts ended.
+/// A modelled server. It is not running until it is started.
 pub struct Server {
     index: usize,
     cell: u16,
@@ -79,22 +79,22 @@
     shared: Rc<Shared>,
     state: RefCell<State>,
     changed: Notify,
-    /// Its connections are reset when they go, as a dying process's are.
+    /// Makes connections close with a reset, as those of a dying process do.
     resetting: Rc<Cell<bool>>,
 }
 
 struct State {
     model: ServerModel,
-    chance: Rng,
+    rng: Rng,
     next_job: Job,
-    open: HashMap<Job, Open>,
+    open: HashMap<Job, OpenRequest>,
     progress: Vec<Progress>,
-    /// The tasks of a process that runs.
+    /// Tasks of the running process.
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// A request in hand.
-struct Open {
+/// A request in progress.
+struct OpenRequest {
     class: usize,
     order: u64,
     work: f64,
@@ -103,7 +103,7 @@
 }
 
 impl Server {
-    /// The one of this number, at an address of its own whose port the system chooses.
+    /// Creates a server with this index, at an address of its own; port 0 lets the system choose the port.
     pub fn new(
         index: usize,
         cell: u16,
@@ -115,7 +115,7 @@
         let model = ServerModel::new(capacity.clone(), Duration::ZERO, false);
         let state = State {
             model,
-            chance: Rng::new(seed, 1000 + index as u64),
+            rng: Rng::new(seed, 1000 + index as u64),
             next_job: 0,
             open: HashMap::new(),
             progress: Vec::new(),
@@ -133,17 +133,17 @@
         })
     }
 
-    /// Where it listens, once it has started.
+    /// Address of the server, with its port once it has been started.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Its cell.
+    /// Cell of the server.
     pub fn cell(&self) -> u16 {
         self.cell
     }
 
-    /// Starts its process, cold or not, at the address that it had before. One that runs is left alone.
+    /// Starts the process, cold or warm, at its previous address. Does nothing if it is running.
     pub fn start(self: &Rc<Self>, cold: bool) -> io::Result<()> {
         if !self.state.borrow().tasks.is_empty() {
             return Ok(());
@@ -163,26 +163,28 @@
         Ok(())
     }
 
-    /// Its process dies: connections are reset, what it had in hand is gone. Over once the system knows of it too.
+    /// Ends the process as a crash would: connections are reset and requests in progress are lost. Returns once its
+    /// sockets are closed.
     pub async fn die(&self) {
         self.resetting.set(true);
-        // Those who wait for an answer hear of it by their connections only: their channels stay until these are gone.
+        // Handlers waiting for completion must see only their connection's end, so their channels stay open until the
+        // tasks are gone.
         let (tasks, _open) = {
             let mut state = self.state.borrow_mut();
             let open = std::mem::take(&mut state.open);
-            self.forget_waiting(&open);
+            self.release_unstarted_claims(&open);
             let results = &mut self.shared.results.borrow_mut().servers[self.index];
-            results.most_waiting = results.most_waiting.max(state.model.max_queued());
+            results.max_waiting = results.max_waiting.max(state.model.max_queued());
             (std::mem::take(&mut state.tasks), open)
         };
         for task in tasks {
             task.abort();
-            let _ = task.await; // Cancelled: that is what is wanted.
+            let _ = task.await; // Cancelled, as intended.
         }
     }
 
-    /// A key whose work had not begun may be used again; one whose work had may not.
-    fn forget_waiting(&self, open: &HashMap<Job, Open>) {
+    /// Forgets keys whose work has not started; keys whose work has started stay remembered.
+    fn release_unstarted_claims(&self, open: &HashMap<Job, OpenRequest>) {
         let mut keys = self.shared.keys.borrow_mut();
         for (job, open) in open {
             let Some(key) = &open.key else { continue };
@@ -190,25 +192,25 @@
                 continue;
             };
             match claim.state {
-                Work::Waiting => {
+                WorkState::Waiting => {
                     keys.remove(key);
                 }
-                Work::Begun | Work::Over => claim.state = Work::Over,
+                WorkState::Started | WorkState::Done => claim.state = WorkState::Done,
             }
         }
     }
 
-    /// Takes nothing new.
+    /// Stops accepting new work.
     pub fn drain(&self) {
         self.state.borrow_mut().model.set_draining(true);
     }
 
-    /// Neither works nor speaks for so long.
+    /// Stops working and answering for a time.
     pub fn freeze(&self, length: Duration) {
         self.with_model(|model, now, out| model.freeze(now, length, out));
     }
 
-    /// Works at a part of its speed for so long.
+    /// Works at a fraction of the normal speed for a time.
     pub fn slow(&self, factor: f64, length: Duration) {
         self.with_model(|model, now, out| model.slow(now, factor, length, out));
     }
@@ -221,12 +223,12 @@
         if state.model.collapsed() && !had_fallen {
             self.shared.results.borrow_mut().servers[self.index].fallen += 1;
         }
-        self.book_progress(state);
+        self.record_progress(state);
         self.changed.notify_one();
         value
     }
 
-    fn book_progress(&self, state: &mut State) {
+    fn record_progress(&self, state: &mut State) {
         for progress in state.progress.drain(..) {
             let (Progress::Started(job) | Progress::Completed(job)) = progress;
             let claim = |key: &Option<(u16, String)>, reached| {
@@ -240,21 +242,24 @@
             match progress {
                 Progress::Started(_) => {
                     if let Some(open) = state.open.get(&job) {
-                        claim(&open.key, Work::Begun);
-                        self.shared.results.borrow_mut().run(self.index, open.class, open.order, open.work);
+                        claim(&open.key, WorkState::Started);
+                        self.shared
+                            .results
+                            .borrow_mut()
+                            .record_run(self.index, open.class, open.order, open.work);
                     }
                 }
                 Progress::Completed(_) => {
                     if let Some(open) = state.open.remove(&job) {
-                        claim(&open.key, Work::Over);
-                        let _ = open.done.send(()); // Whoever asked may have left.
+                        claim(&open.key, WorkState::Done);
+                        let _ = open.done.send(()); // The handler may be gone.
                     }
                 }
             }
         }
     }
 
-    /// Moves the model on as time passes.
+    /// Advances the model as time passes.
     async fn work(self: Rc<Self>) {
         loop {
             let next = self.state.borrow().model.next_event();
@@ -265,14 +270,14 @@
                     let mut guard = self.state.borrow_mut();
                     let state = &mut *guard;
                     state.model.advance(self.shared.now(), &mut state.progress);
-                    self.book_progress(state);
+                    self.record_progress(state);
                 }
             }
         }
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let mut connections = JoinSet::new(); // They go with this task.
+        let mut connections = JoinSet::new(); // Connections are dropped with this task.
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
@@ -287,14 +292,14 @@
 
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        // The mark is the socket's own, so that whichever handle is closed last resets the connection.
+        // The linger option belongs to the socket, so it applies to whichever handle is closed last.
         let Ok(socket) = SockRef::from(&stream).try_clone() else { return };
         let _reset = Reset { socket, resetting: self.resetting.clone() };
         let service = service_fn(|request| async { Ok::<_, Infallible>(self.answer(request).await) });
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
-    async fn thaw(&self) {
+    async fn wait_until_thawed(&self) {
         loop {
             let (frozen, until) = {
                 let model = &self.state.borrow().model;
@@ -308,7 +313,7 @@
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        self.thaw().await;
+        self.wait_until_thawed().await;
         match request.uri().path() {
             "/stats" | "/health/live" => {
                 let load = self.with_model(|model, now, out| model.load(now, out));
@@ -335,26 +340,26 @@
         let hint =
             header("x-cost").or(header("x-work")).and_then(|c| c.parse().ok()).unwrap_or(10_000.0) / 1e6;
         let key = header("idempotency-key").map(|k| (self.cell, k));
-        if Limited::new(request.into_body(), MOST_BODY).collect().await.is_err() {
+        if Limited::new(request.into_body(), MAX_BODY).collect().await.is_err() {
             return plain(StatusCode::BAD_REQUEST, "the body is not whole");
         }
-        self.thaw().await;
+        self.wait_until_thawed().await;
         if let Some(key) = &key {
-            if let Some(answer) = self.repeat(key).await {
+            if let Some(answer) = self.remembered_response(key).await {
                 return answer;
             }
         }
-        let (done, answered) = oneshot::channel();
+        let (done, completed) = oneshot::channel();
         let (job, work) = {
             let mut state = self.state.borrow_mut();
             state.next_job += 1;
-            (state.next_job, hint * (0.75 + 0.5 * state.chance.unit()))
+            (state.next_job, hint * (0.75 + 0.5 * state.rng.unit()))
         };
-        let claim = Claim { at: Instant::now(), server: self.index, job, state: Work::Waiting };
+        let claim = Claim { at: Instant::now(), server: self.index, job, state: WorkState::Waiting };
         if let Some(key) = &key {
             self.shared.keys.borrow_mut().insert(key.clone(), claim);
         }
-        let open = Open { class, order, work, key: key.clone(), done };
+        let open = OpenRequest { class, order, work, key: key.clone(), done };
         self.state.borrow_mut().open.insert(job, open);
         if self.with_model(|model, now, out| model.offer(now, job, work, out)) == Admission::Rejected {
             self.state.borrow_mut().open.remove(&job);
@@ -366,15 +371,15 @@
             answer.headers_mut().insert("x-not-processed", hyper::header::HeaderValue::from_static("1"));
             return answer;
         }
-        match answered.await {
-            Ok(()) => self.told(plain(StatusCode::OK, format!("{order:x}"))),
+        match completed.await {
+            Ok(()) => self.with_load_report(plain(StatusCode::OK, format!("{order:x}"))),
             Err(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "the server is ending"),
         }
     }
 
-    /// An answer with what the server holds, where answers tell that.
-    fn told(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
-        if self.shared.tells.get() {
+    /// Adds a load report to a response if the fleet's responses report load.
+    fn with_load_report(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
+        if self.shared.reports_load.get() {
             let load = self.with_model(|model, now, out| model.load(now, out));
             let text = serde_json::json!({"outstanding": load.held, "backlog": load.waiting}).to_string();
             if let Ok(value) = hyper::header::HeaderValue::from_str(&text) {
@@ -384,20 +389,20 @@
         answer
     }
 
-    /// The answer to a key that the cell remembers, once its first request is over.
-    async fn repeat(&self, key: &(u16, String)) -> Option<Response<Full<Bytes>>> {
+    /// The response to a repeated request whose key the cell remembers, once the first request has completed.
+    async fn remembered_response(&self, key: &(u16, String)) -> Option<Response<Full<Bytes>>> {
         loop {
             let claim = self.shared.keys.borrow().get(key).copied();
             match claim.filter(|c| c.at.elapsed() < self.shared.window) {
                 None => return None,
-                Some(claim) if claim.state == Work::Over => return Some(plain(StatusCode::OK, "known")),
-                Some(_) => tokio::time::sleep(LOOK_AGAIN).await,
+                Some(claim) if claim.state == WorkState::Done => return Some(plain(StatusCode::OK, "known")),
+                Some(_) => tokio::time::sleep(CLAIM_POLL_INTERVAL).await,
             }
         }
     }
 }
 
-/// Makes the closing of a socket a reset while the flag is up.
+/// Makes a socket close with a reset while the flag is set.
 struct Reset {
     socket: socket2::Socket,
     resetting: Rc<Cell<bool>>,
