--- a/node/tests/clients.rs
+++ b/node/tests/clients.rs
@@ -1,27 +1,27 @@
-//! What clients may do to a node, and what it does at its end.
+//! Client behavior that a node has to withstand, overload of its connections, and shutdown.
 
 use birchswitch_standin::scripted::*;
 use serde_json::json;
 
-/// Nonsense is answered as such, and costs nobody else anything.
+/// Malformed requests get a 4xx answer and do not affect other clients.
 #[tokio::test]
-async fn bad_requests_are_turned_down() {
+async fn malformed_requests_are_rejected() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let with = |class: &str, headers: &str| format!("POST /{class} HTTP/1.1\r\nHost: a\r\n{headers}\r\n");
-    let fine = "X-Request-ID: r\r\nX-Tenant-Id: one\r\nContent-Length: 0\r\n";
+    let valid_headers = "X-Request-ID: r\r\nX-Tenant-Id: one\r\nContent-Length: 0\r\n";
     let cases = [
         "\x01\x02\r\n\r\n".to_owned(),
         "GET\r\n\r\n".to_owned(),
-        with("unheard-of", &format!("X-Timeout: 900m\r\n{fine}")),
-        with("", &format!("X-Timeout: 900m\r\n{fine}")),
-        with("unsafe", fine),
-        with("unsafe", &format!("X-Timeout: soon\r\n{fine}")),
-        with("unsafe", &format!("X-Timeout: 0m\r\n{fine}")),
-        with("unsafe", &format!("X-Timeout: -3m\r\n{fine}")),
+        with("unheard-of", &format!("X-Timeout: 900m\r\n{valid_headers}")),
+        with("", &format!("X-Timeout: 900m\r\n{valid_headers}")),
+        with("unsafe", valid_headers),
+        with("unsafe", &format!("X-Timeout: soon\r\n{valid_headers}")),
+        with("unsafe", &format!("X-Timeout: 0m\r\n{valid_headers}")),
+        with("unsafe", &format!("X-Timeout: -3m\r\n{valid_headers}")),
         with("unsafe", "X-Timeout: 900m\r\nX-Tenant-Id: one\r\nContent-Length: 0\r\n"),
         with("unsafe", "X-Timeout: 900m\r\nX-Request-ID: r\r\nX-Tenant-Id: two\r\nContent-Length: 0\r\n"),
-        with("keyed", &format!("X-Timeout: 900m\r\n{fine}")),
+        with("keyed", &format!("X-Timeout: 900m\r\n{valid_headers}")),
         with(
             "unsafe",
             "X-Timeout: 900m\r\nX-Request-ID: r\r\nX-Tenant-Id: one\r\nContent-Length: 70000000\r\n",
@@ -44,18 +44,18 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// Idle connections and heads that never end keep nobody out, and never use up the descriptors.
+/// Idle connections and incomplete request heads block no other client and never exhaust the descriptors.
 #[tokio::test]
 async fn more_connections_than_descriptors() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     for k in 0..100 {
         let mut client = node.client().await;
         if k % 2 == 0 {
             client.write("POST /unsafe HT").await;
         }
-        crowd.push(client);
+        idle_clients.push(client);
     }
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
@@ -65,15 +65,16 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// Connections that come all at once fill every place before any of them has had its turn. Room is made all the same.
+/// A burst of connections fills every connection slot before the node has handled any of them. Slots are
+/// freed all the same.
 #[tokio::test]
-async fn a_burst_of_idle_connections_keeps_nobody_out() {
+async fn a_burst_of_idle_connections_blocks_no_other_client() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
     node.signal("STOP").await;
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     for _ in 0..100 {
-        crowd.push(node.client().await);
+        idle_clients.push(node.client().await);
     }
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
@@ -83,18 +84,18 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// Requests may come with their connections, and more at once than there are places: room is made where nothing was
-/// asked, not where a request is still to be read.
+/// Connections may arrive together with their requests, more at once than there are slots: only connections
+/// without a pending request are closed to free slots.
 #[tokio::test]
 async fn a_burst_of_requests_is_served() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
     node.signal("STOP").await;
-    let mut crowd = Vec::new();
+    let mut clients = Vec::new();
     for _ in 0..40 {
         let mut client = node.client().await;
         client.send("safe", "20000m").await;
-        crowd.push(client);
+        clients.push(client);
     }
     node.signal("CONT").await;
     let answering = tokio::spawn(async move {
@@ -108,16 +109,17 @@
             });
         }
     });
-    for client in &mut crowd {
-        // Served or refused, each is answered.
+    for client in &mut clients {
+        // Each is answered, whether served or refused.
         assert!([200, 503].contains(&client.read().await.expect("an answer").status()));
     }
     answering.abort();
 }
 
-/// Every place taken by a body of the largest kind, and each answered with one: memory stays within its limit.
+/// Every connection slot holds a body of the maximum size and gets a response of the same size: memory
+/// stays within its limit.
 #[tokio::test]
-async fn large_bodies_at_every_place_fit_into_memory() {
+async fn large_bodies_in_every_slot_fit_into_memory() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let large = "x".repeat(64 << 10);
@@ -149,8 +151,8 @@
     assert!(node.memory_peak() < MEMORY_MB << 10);
 }
 
-/// More servers than descriptors: idle connections are closed for new ones, and the node's own shortage never passes
-/// for a server's failure.
+/// More servers than descriptors: idle connections are closed for new ones, and the node's own shortage
+/// never counts as a server failure.
 #[tokio::test]
 async fn more_servers_than_descriptors() {
     let discovery = Peer::new().await;
@@ -167,7 +169,7 @@
     let mut wires = Vec::new();
     let mut client = node.client().await;
     for k in 0..servers.len() {
-        // All but one drain, and keep their connections until they are gone.
+        // All but one drain, and keep their connections until they are removed.
         let phases = (0..servers.len()).map(|s| {
             member(&format!("s{s}"), servers[s].address(), if s == k { "active" } else { "leaving" })
         });
@@ -182,9 +184,10 @@
     assert!(node.descriptors() <= 64);
 }
 
-/// A connection is closed by the node well before the server would: a request that crosses that may be lost.
+/// The node closes an idle connection well before the server would, since a request sent just as the server
+/// closes may be lost.
 #[tokio::test]
-async fn idle_connections_are_retired() {
+async fn idle_connections_are_closed() {
     let server = Peer::new().await;
     let discovery = Peer::new().await;
     let mut settings = settings();
@@ -201,9 +204,10 @@
     wire.expect_closed().await;
 }
 
-/// What a node has taken when it is told to end, and what still comes for a moment, is answered first.
+/// Requests accepted before SIGTERM, and those that arrive during the short accept period after it, are
+/// answered before the node exits.
 #[tokio::test]
-async fn a_signal_ends_the_node_after_its_last_answer() {
+async fn sigterm_ends_the_node_after_its_last_answer() {
     let server = Peer::new().await;
     let (mut node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut idle = node.client().await;
@@ -216,7 +220,7 @@
     let mut after = node.client().await;
     after.send("unsafe", "20000m").await;
     let (mut second, _) = server.request().await;
-    idle.expect_closed().await; // It takes no more.
+    idle.expect_closed().await; // The node accepts no more.
     for (wire, client) in [(&mut first, &mut before), (&mut second, &mut after)] {
         wire.answer("200 OK", "", "served").await;
         let answer = client.read().await.expect("an answer");
@@ -225,9 +229,10 @@
     assert!(node.wait_for_exit().await.success());
 }
 
-/// What waits for a place when the node is told to end has been taken by its machine: closing on it loses a request.
+/// Connections that wait for a slot at SIGTERM were already accepted by the kernel: closing them would lose
+/// a request.
 #[tokio::test]
-async fn clients_in_the_queue_are_served_at_the_end() {
+async fn queued_clients_are_served_at_shutdown() {
     let server = Peer::new().await;
     let discovery = Peer::new().await;
     let mut node = Node::start(&discovery, settings(), 64).await;
@@ -246,7 +251,7 @@
     waiting.send("unsafe", "20000m").await;
     node.signal("TERM").await;
     node.wait_for_log("leaving").await;
-    // Past the time in which it takes more. Were the machine slower than that, the test would only see less.
+    // Longer than the accept period. On a slower machine the test checks less but does not fail.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     for (wire, client) in wires.iter_mut().zip(&mut busy) {
         wire.answer("200 OK", "Connection: close\r\n", "").await;
@@ -258,9 +263,9 @@
     assert!(node.wait_for_exit().await.success());
 }
 
-/// A node that was killed starts again at its address at once, though its connections linger in the system.
+/// A killed node can restart at its address at once, although its connections linger in the kernel.
 #[tokio::test]
-async fn a_killed_node_starts_again() {
+async fn a_killed_node_restarts_at_its_address() {
     let server = Peer::new().await;
     let discovery = Peer::new().await;
     let mut killed = Node::start_at(unique_address(), &discovery, settings(), 1024).await;
@@ -286,7 +291,7 @@
 }
 
 #[tokio::test]
-async fn a_bad_configuration_is_told_in_one_line() {
+async fn an_invalid_configuration_is_reported_in_one_line() {
     let good = json!({
         "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "settings": settings(),
     });
@@ -310,20 +315,20 @@
     for case in cases {
         let (process, _directory) = start(&case);
         let output = within("its end", process.wait_with_output()).await.expect("its output");
-        let told = String::from_utf8(output.stderr).expect("text");
+        let stderr = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success(), "{case}");
-        assert_eq!(told.lines().count(), 1, "{case}: {told}");
+        assert_eq!(stderr.lines().count(), 1, "{case}: {stderr}");
     }
 }
 
-/// A log that nobody reads any more must not end the node: writing to it fails from then on.
+/// A closed log must not end the node: every write to it fails from then on.
 #[tokio::test]
 async fn a_closed_log_is_survived() {
     let server = Peer::new().await;
     let (mut node, discovery, mut watch) = Node::serving(&[("s", &server)]).await;
     node.close_log();
     for _ in 0..2 {
-        watch.line("not json").await; // Logged, and the watch is opened again after that.
+        watch.line("not json").await; // Logged; then the watch is opened again.
         (watch, _) = discovery.watch().await;
     }
     let mut client = node.client().await;
--- a/node/tests/closings.rs
+++ b/node/tests/closings.rs
@@ -1,12 +1,13 @@
-//! Connections that close while something is on its way, on either side of the node.
+//! Connections closed by either side while data is in transit.
 
 use birchswitch_standin::scripted::*;
 use serde_json::json;
 use std::time::Duration;
 
-/// A close over unread bytes resets a connection: the answer before it has to arrive all the same.
+/// Closing a socket with unread bytes resets the connection: the answer sent before has to arrive all the
+/// same.
 #[tokio::test]
-async fn an_answer_is_not_reset_away_by_what_follows_the_request() {
+async fn an_answer_is_not_lost_to_a_reset() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     for head in ["NONSENSE\r\n\r\n", "POST /unsafe HTTP/1.1\r\nContent-Length: x\r\n\r\n"] {
@@ -14,12 +15,13 @@
         client.write_until_closed(&format!("{head}{}", "x".repeat(100_000))).await;
         let answer = client.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (400, Some("close")));
-        client.write_until_closed(&"y".repeat(10_000)).await; // Taken and thrown away.
+        client.write_until_closed(&"y".repeat(10_000)).await; // Read and discarded.
         client.expect_closed().await;
     }
 }
 
-/// The node closes its side first: who still writes is not reset in the moment of the last answer.
+/// The node shuts down its sending side first: a client that is still writing is not reset as it gets the
+/// last answer.
 #[tokio::test]
 async fn the_sending_side_is_closed_first() {
     let server = Peer::new().await;
@@ -27,12 +29,12 @@
     let mut client = node.client().await;
     client.write("NONSENSE\r\n\r\n").await;
     assert_eq!(client.read().await.expect("an answer").status(), 400);
-    client.expect_closed().await; // Its sending has ended; it still reads.
+    client.expect_closed().await; // The sending side is shut down; the node still reads.
     client.write_bytes(b"late").await;
-    client.write_bytes(b"later").await; // After a reset this could not be written.
+    client.write_bytes(b"later").await; // This write would fail after a reset.
 }
 
-/// The same after an answer that the node itself makes the last of its connection.
+/// The same after an answer that the node marks as the last of its connection.
 #[tokio::test]
 async fn the_sending_side_is_closed_first_after_a_last_answer() {
     let server = Peer::new().await;
@@ -53,7 +55,7 @@
     client.write_bytes(b"later").await;
 }
 
-/// A client that writes one byte at a time is served, and nobody waits for it.
+/// A client that writes one byte at a time is served and delays no other.
 #[tokio::test]
 async fn a_client_may_write_byte_by_byte() {
     let server = Peer::new().await;
@@ -62,8 +64,8 @@
     let text =
         "POST /unsafe HTTP/1.1\r\nHost: a\r\nX-Request-ID: slow\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\n\
                 Content-Length: 4\r\n\r\nbody";
-    let (last, most) = text.as_bytes().split_last().expect("a text");
-    for byte in most {
+    let (last, rest) = text.as_bytes().split_last().expect("a text");
+    for byte in rest {
         slow.write_bytes(&[*byte]).await;
         tokio::task::yield_now().await;
     }
@@ -79,15 +81,15 @@
     assert_eq!(slow.read().await.expect("an answer").status(), 200);
 }
 
-/// A connection that breaks before the request's last byte went out: even an unsafe request surely did not run, and goes on to
-/// another server.
+/// The server connection breaks before the last byte of the request was sent: even an unsafe request cannot
+/// have run and is retried at another server.
 #[tokio::test]
-async fn an_unsafe_request_cut_before_its_end_goes_on() {
+async fn an_unsafe_request_cut_before_its_end_is_retried() {
     let (narrow, other) = (Peer::with_small_buffer(), Peer::new().await);
     let mut settings = settings();
     settings["limits"]["second_copies"] = json!(false);
     let (node, _discovery, mut watch) = Node::serving_with_settings(settings, &[("narrow", &narrow)]).await;
-    // More than the system holds for a server that does not read.
+    // More than the socket buffers hold while the server does not read.
     let body = "x".repeat(8 << 20);
     let head = format!(
         "POST /unsafe HTTP/1.1\r\nHost: a\r\nX-Request-ID: cut\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\n\
@@ -113,9 +115,9 @@
     drop(within("the upload", upload).await);
 }
 
-/// One byte later it may have run: nothing else is sent, and the client is told so.
+/// Once the last byte was sent the request may have run: it is not sent again, and the client gets 504.
 #[tokio::test]
-async fn an_unsafe_request_cut_after_its_end_has_failed() {
+async fn an_unsafe_request_cut_after_its_end_fails() {
     let (one, two) = (Peer::new().await, Peer::new().await);
     let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
     let mut client = node.client().await;
@@ -129,9 +131,10 @@
     assert!(other.has_no_connection().await, "sent again");
 }
 
-/// An answer without a length ends with its connection; a reset is no end, and what was passed on shows that it is not whole.
+/// A response without a length ends when its connection is closed; a reset is not an end, and the client
+/// can tell that the forwarded part is incomplete.
 #[tokio::test]
-async fn an_answer_without_a_length_is_not_ended_by_a_reset() {
+async fn a_reset_does_not_complete_a_response_without_a_length() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     for (ends, whole) in [(true, true), (false, false)] {
@@ -139,7 +142,7 @@
         client.send("unsafe", "20000m").await;
         let (mut wire, _) = server.request().await;
         wire.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nso far").await;
-        // What has no length is passed on as it comes, unless it ends at once.
+        // A body without a length is streamed unless it ends at once.
         assert_eq!(client.first_byte().await, b'H');
         match ends {
             true => drop(wire),
@@ -150,9 +153,9 @@
     }
 }
 
-/// An answer that never ends is broken off once nobody waits for it any more, though some of it comes all the time.
+/// An endless response is cut off after the deadline, even though data keeps arriving.
 #[tokio::test]
-async fn an_answer_that_never_ends_is_broken_off() {
+async fn an_endless_response_is_cut_off() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -170,10 +173,10 @@
     endless.abort();
 }
 
-/// A pooled connection that its server closes in the moment of its use: a safe request goes on elsewhere, an unsafe one has
-/// one final answer and is not repeated unless it surely never ran.
+/// A server closes a pooled connection just as it is reused: a safe request is retried, and an unsafe one
+/// gets one final answer and is repeated only if it certainly did not run.
 #[tokio::test]
-async fn a_pooled_connection_closed_in_the_moment_of_its_use_costs_no_answer() {
+async fn a_pooled_connection_closed_as_it_is_reused_loses_no_request() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     for class in ["safe", "unsafe"] {
@@ -182,7 +185,7 @@
         let (mut wire, _) = server.request().await;
         wire.answer("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
-        // Both reach the node in one moment.
+        // Both reach the node at once.
         node.signal("STOP").await;
         client.send(class, "20000m").await;
         drop(wire);
@@ -192,14 +195,15 @@
             wire.answer("200 OK", "Connection: close\r\n", "").await;
             client.read().await.expect("an answer").status()
         };
-        // It was seen to be closed before anything was sent over it.
+        // The node detected the close before sending anything.
         assert_eq!(answered.await, 200, "{class}");
     }
 }
 
-/// The time for silence ends and a request comes, both while the node stands still: on a new connection and on one that was used.
+/// The idle timeout expires and a request arrives while the node's process is stopped, on a new connection
+/// and on a used one.
 #[tokio::test]
-async fn a_request_in_the_moment_of_the_close_for_silence_is_answered() {
+async fn a_request_that_arrives_at_the_idle_timeout_is_answered() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut used = node.client().await;
@@ -208,10 +212,10 @@
     wire.answer("200 OK", "Connection: close\r\n", "").await;
     assert_eq!(used.read().await.expect("an answer").status(), 200);
     let new = node.client().await;
-    // Whoever connected before has been taken by now.
+    // The earlier connection has been accepted by now.
     assert_eq!(node.get("/health/live").await.status(), 200);
     node.signal("STOP").await;
-    // Longer than either may be silent; any longer time does as well.
+    // Longer than either idle timeout; any longer time does as well.
     tokio::time::sleep(Duration::from_millis(5200)).await;
     let mut clients = [used, new];
     for client in &mut clients {
--- a/node/tests/departures.rs
+++ b/node/tests/departures.rs
@@ -1,10 +1,10 @@
-//! Clients that go while a request of theirs is under way: no attempt begins for them any more.
+//! Clients that leave while their request is in progress: no further attempt begins for them.
 
 use birchswitch_standin::scripted::*;
 use serde_json::json;
 use std::time::Duration;
 
-/// More than the node reads behind a request in hand.
+/// More than the node reads ahead behind a request in progress.
 const FLOOD: usize = 400_000;
 
 fn request(id: &str) -> String {
@@ -13,19 +13,19 @@
     )
 }
 
-/// A client's first request has reached one of two servers.
-struct Asked {
+/// A client whose first request has reached one of two servers.
+struct PendingRequest {
     node: Node,
     client: Connection,
     wire: Connection,
-    /// The one that it has not reached.
+    /// The server that the request has not reached.
     other: Peer,
     _listening: Peer,
     _discovery: (Peer, Watch),
 }
 
 /// Sends `text`, which begins with a request, to a node with two servers.
-async fn asked(text: &str) -> Asked {
+async fn send_first_request(text: &str) -> PendingRequest {
     let (one, two) = (Peer::new().await, Peer::new().await);
     let (node, discovery, watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
     let mut client = node.client().await;
@@ -35,12 +35,13 @@
         (wire, _) = two.request() => (wire, false),
     };
     let (listening, other) = if first { (one, two) } else { (two, one) };
-    Asked { node, client, wire, other, _listening: listening, _discovery: (discovery, watch) }
+    PendingRequest { node, client, wire, other, _listening: listening, _discovery: (discovery, watch) }
 }
 
-impl Asked {
-    /// The server turns the request away unseen, which would be followed by a further attempt. None comes.
-    async fn no_attempt_follows(mut self) {
+impl PendingRequest {
+    /// The server refuses the request unprocessed, which would normally cause another attempt. None
+    /// follows.
+    async fn expect_no_further_attempt(mut self) {
         self.wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await;
         assert!(self.other.has_no_connection().await, "sent again");
         self.node.get("/health/live").await;
@@ -48,50 +49,52 @@
     }
 }
 
-/// Waits until the node has noticed the close, as the connection's end shows.
-async fn gone(mut client: Connection) {
+/// Disconnects and waits until the node has noticed, as the end of the connection shows.
+async fn disconnect(mut client: Connection) {
     client.shutdown_write().await;
     client.wait_closed().await;
 }
 
-/// What was sent behind the request hides the connection's end from whoever reads only up to it.
+/// Pipelined requests hide the end of the connection from a node that reads only up to them.
 #[tokio::test]
-async fn a_client_that_left_pipelined_requests_behind_has_gone() {
-    let asked_for = asked(&[request("a"), request("b"), request("c")].concat()).await;
-    let Asked { client, .. } = asked_for;
-    gone(client).await;
-    let left = Asked { client: Connection::connect(asked_for.node.address).await, ..asked_for };
-    left.no_attempt_follows().await;
+async fn a_departure_behind_pipelined_requests_is_noticed() {
+    let pending = send_first_request(&[request("a"), request("b"), request("c")].concat()).await;
+    let PendingRequest { client, .. } = pending;
+    disconnect(client).await;
+    let pending = PendingRequest { client: Connection::connect(pending.node.address).await, ..pending };
+    pending.expect_no_further_attempt().await;
 }
 
-/// So does a flood that is larger than what is read ahead.
+/// So does pipelined data beyond the read-ahead limit.
 #[tokio::test]
-async fn a_client_that_flooded_and_went_has_gone() {
-    let mut left = asked(&request("a")).await;
+async fn a_departure_behind_a_flood_is_noticed() {
+    let mut pending = send_first_request(&request("a")).await;
     let flood = (0..FLOOD / 100).map(|n| request(&format!("f{n}"))).collect::<String>();
-    // The system holds some of it; the rest is never taken.
-    let _ = tokio::time::timeout(Duration::from_millis(300), left.client.write_bytes(flood.as_bytes())).await;
-    left.client.reset();
-    left.client = Connection::connect(left.node.address).await;
-    tokio::time::sleep(Duration::from_millis(100)).await; // The bound of the terms.
-    left.no_attempt_follows().await;
+    // The socket buffers hold some of it; the rest is never read.
+    let _ =
+        tokio::time::timeout(Duration::from_millis(300), pending.client.write_bytes(flood.as_bytes())).await;
+    pending.client.reset();
+    pending.client = Connection::connect(pending.node.address).await;
+    tokio::time::sleep(Duration::from_millis(100)).await; // The specified time for noticing a close.
+    pending.expect_no_further_attempt().await;
 }
 
-/// Whoever only ends its sending cannot be told from one that has gone: its request is given up, and it is told so at once.
+/// A half-closed connection cannot be told from a client that has left: the request is abandoned, and the
+/// client gets an answer at once.
 #[tokio::test]
-async fn a_client_that_ends_its_sending_is_answered_at_once() {
-    let mut left = asked(&request("a")).await;
-    left.client.shutdown_write().await;
-    let answer = left.client.read().await.expect("an answer");
+async fn a_half_closed_client_is_answered_at_once() {
+    let mut pending = send_first_request(&request("a")).await;
+    pending.client.shutdown_write().await;
+    let answer = pending.client.read().await.expect("an answer");
     assert_eq!(answer.status(), 503, "harmless to repeat, since the class is safe");
-    left.client.expect_closed().await;
-    left.client = Connection::connect(left.node.address).await;
-    left.no_attempt_follows().await;
+    pending.client.expect_closed().await;
+    pending.client = Connection::connect(pending.node.address).await;
+    pending.expect_no_further_attempt().await;
 }
 
-/// The same for one that may have run and must not be repeated.
+/// The same for a request that may have run and must not be repeated.
 #[tokio::test]
-async fn an_unsafe_request_of_a_client_that_ended_its_sending_has_failed() {
+async fn an_unsafe_request_of_a_half_closed_client_fails() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -101,23 +104,23 @@
     assert_eq!(client.read().await.expect("an answer").status(), 504);
 }
 
-/// A client leaves while its request waits for a connection to come up: nothing is sent over that.
+/// A client leaves while its request waits for a server connection: nothing is sent over that connection.
 #[tokio::test]
-async fn nothing_is_sent_over_a_connection_that_comes_up_after_the_client_went() {
+async fn nothing_is_sent_over_a_connection_established_after_the_client_left() {
     let (listener, address, filling) = full_listener().await;
     let (node, _discovery, _watch) = Node::serving_at(1024, settings(), &[("s", address)]).await;
     let mut client = node.client().await;
     client.write(&[request("a"), request("b")].concat()).await;
-    node.get("/health/live").await; // The request has been read, and its connection is under way.
-    gone(client).await;
+    node.get("/health/live").await; // The request has been read and its connection is being established.
+    disconnect(client).await;
     accept_backlog(&listener, &filling).await;
     let (stream, _) = within("the node's connection", listener.accept()).await.expect("a connection");
     drop(node);
     let sent = read_all(stream).await;
-    assert!(sent.is_empty(), "sent for nobody: {sent:?}");
+    assert!(sent.is_empty(), "sent after the client left: {sent:?}");
 }
 
-/// A request whose body is too large to be held whole.
+/// A request whose body is too large to be buffered whole.
 fn upload(id: &str) -> (String, String) {
     let body = "0123456789".repeat(20_000);
     let head = format!(
@@ -128,9 +131,10 @@
     (head, body)
 }
 
-/// The same for a client that leaves behind a large body, or in the midst of it: nobody reads on while the connection comes up.
+/// The same for a client that leaves after or within a large body: the node does not read on while the
+/// connection is being established.
 #[tokio::test]
-async fn nothing_is_sent_of_a_large_body_whose_client_went() {
+async fn nothing_is_sent_of_a_large_body_whose_client_left() {
     for part in [1, 2] {
         let (listener, address, filling) = full_listener().await;
         let (node, _discovery, _watch) = Node::serving_at(1024, settings(), &[("s", address)]).await;
@@ -138,30 +142,34 @@
         let (head, body) = upload("a");
         client.write(&head).await;
         client.write(&body[..body.len() / part]).await;
-        node.get("/health/live").await; // Its beginning has been read, and its connection is under way.
+        node.get("/health/live").await; // Its beginning has been read and its connection is being established.
         client.shutdown_write().await;
-        tokio::time::sleep(Duration::from_millis(100)).await; // The bound of the terms.
+        tokio::time::sleep(Duration::from_millis(100)).await; // The specified time for noticing a close.
         accept_backlog(&listener, &filling).await;
         let (stream, _) = within("the node's connection", listener.accept()).await.expect("a connection");
-        // The connection is up for the node too, and what it had to write is on its way.
+        // The node has seen the connection established too, and has written whatever it would write.
         node.get("/health/live").await;
         drop(node);
         let sent = read_all(stream).await;
-        assert!(sent.is_empty(), "sent for nobody: {} bytes, one in {part} parts was sent", sent.len());
+        assert!(
+            sent.is_empty(),
+            "sent after the client left: {} bytes, one in {part} parts was sent",
+            sent.len()
+        );
     }
 }
 
-/// Nor is a large body followed by a further attempt once its client has gone.
+/// A large body is not sent in a further attempt once its client has left.
 #[tokio::test]
-async fn a_large_body_is_not_sent_again_for_a_client_that_went() {
+async fn a_large_body_is_not_resent_for_a_client_that_left() {
     let (head, body) = upload("a");
-    let mut left = asked(&(head + &body)).await;
-    left.client.shutdown_write().await;
-    tokio::time::sleep(Duration::from_millis(100)).await; // The bound of the terms.
-    left.no_attempt_follows().await;
+    let mut pending = send_first_request(&(head + &body)).await;
+    pending.client.shutdown_write().await;
+    tokio::time::sleep(Duration::from_millis(100)).await; // The specified time for noticing a close.
+    pending.expect_no_further_attempt().await;
 }
 
-/// A client waits for a place, sends its request and leaves before it gets one.
+/// A client waits for a connection slot, sends its request and leaves before it gets one.
 #[tokio::test]
 async fn a_client_that_left_the_queue_is_not_served() {
     let server = Peer::new().await;
@@ -180,29 +188,29 @@
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
     waiting.wait_closed().await;
-    assert!(server.has_no_request().await, "sent for nobody");
+    assert!(server.has_no_request().await, "sent after the client left");
 }
 
-/// A request that waited behind another has less time left: that is what its server is told.
+/// A request that waited behind another has less time left, and its server is sent that remaining time.
 #[tokio::test]
-async fn time_spent_behind_another_request_is_not_told_to_servers() {
+async fn time_spent_behind_another_request_is_deducted() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
     client.write(&[request("first"), request("second")].concat()).await;
     let (mut wire, _) = server.request().await;
-    let waits = Duration::from_millis(700);
-    tokio::time::sleep(waits).await;
+    let waited = Duration::from_millis(700);
+    tokio::time::sleep(waited).await;
     wire.answer("200 OK", "Connection: close\r\n", "").await;
     let (_wire, second) = server.request().await;
-    let told = second.header("x-timeout").and_then(|t| t.strip_suffix('u')).expect("microseconds");
-    let told = Duration::from_micros(told.parse().expect("a number"));
-    assert!(told <= Duration::from_secs(20) - waits, "told {told:?}");
+    let timeout = second.header("x-timeout").and_then(|t| t.strip_suffix('u')).expect("microseconds");
+    let timeout = Duration::from_micros(timeout.parse().expect("a number"));
+    assert!(timeout <= Duration::from_secs(20) - waited, "told {timeout:?}");
 }
 
-/// Requests that have waited out their time behind another are answered at once, and never sent on.
+/// Requests whose deadline passed behind another are answered at once and never forwarded.
 #[tokio::test]
-async fn requests_whose_time_passed_behind_another_are_answered_at_once() {
+async fn requests_that_expire_behind_another_are_answered_at_once() {
     let server = Peer::new().await;
     let mut settings = settings();
     settings["limits"]["try_limit"] = json!(1);
@@ -215,7 +223,7 @@
     for _ in 0..4 {
         client.read().await.expect("an answer");
     }
-    // Each in its own time, not one after another.
+    // Each by its own deadline, not one after another.
     assert!(began.elapsed() < Duration::from_millis(1000), "after {:?}", began.elapsed());
-    assert!(server.has_no_connection().await, "sent on after its time");
+    assert!(server.has_no_connection().await, "forwarded after its deadline");
 }
--- a/node/tests/health.rs
+++ b/node/tests/health.rs
@@ -1,5 +1,5 @@
-//! One node of a zone asks silent servers for all, among processes: one at any time, another when it dies, and what the others make of
-//! its word.
+//! One node of a zone probes silent servers on behalf of all: only one at any time, another after it dies,
+//! and the effect of its findings on the other nodes.
 
 use birchswitch_standin::process::{block_on, node_binary};
 use birchswitch_standin::rig::history::History;
@@ -19,7 +19,7 @@
 const SEED: u64 = 1;
 const NODES: usize = 4;
 
-/// A server that answers whatever comes, and counts connections.
+/// Answers every request on every connection and counts connections.
 fn serve(listener: TcpListener) -> Rc<Cell<usize>> {
     let connections = Rc::new(Cell::new(0));
     let count = connections.clone();
@@ -37,12 +37,12 @@
     connections
 }
 
-async fn bound(address: SocketAddr) -> TcpListener {
+async fn bind(address: SocketAddr) -> TcpListener {
     TcpListener::bind(address).await.expect("an address of its own")
 }
 
-/// Orders at each of these nodes until that holds.
-async fn order_until(rig: &Rig, nodes: &[usize], what: &str, holds: impl Fn(&History) -> bool) {
+/// Sends requests to each of these nodes until the condition holds.
+async fn send_requests_until(rig: &Rig, nodes: &[usize], what: &str, holds: impl Fn(&History) -> bool) {
     let mut clients = Vec::new();
     for n in nodes {
         clients.push(Connection::connect(rig.listen(*n).expect("it runs")).await);
@@ -59,39 +59,39 @@
     .await;
 }
 
-async fn until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) {
+async fn wait_until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) {
     rig.wait_until(what, Duration::from_secs(30), holds, |_| "nothing".to_owned()).await.expect("in time");
 }
 
-/// Places that began the task, in order.
-fn begun(history: &History) -> Vec<usize> {
+/// Nodes that began the task, in order.
+fn task_holders(history: &History) -> Vec<usize> {
     let lines = history.lines.iter().filter(|l| l.kind == "task_begun" && l.text("lease") == "health/z0/0");
     lines.map(|l| l.place).collect()
 }
 
-/// How many servers were told of as silent, last.
-fn silent(history: &History) -> u64 {
+/// The number of silent servers in the last report.
+fn silent_servers(history: &History) -> u64 {
     history.lines.iter().rev().find(|l| l.kind == "silent").map_or(0, |l| l.number("servers"))
 }
 
-/// What was written of tasks and their leases, to find out by.
-fn told(history: &History) -> Vec<String> {
-    let of_it =
+/// Log lines about the task leases, for failure messages.
+fn lease_events(history: &History) -> Vec<String> {
+    let events =
         history.lines.iter().filter(|l| l.text("lease").starts_with("health/") && l.kind != "extended");
-    of_it.map(|l| format!("n{} {} at {} s", l.place, l.kind, l.at / 1_000_000_000)).collect()
+    events.map(|l| format!("n{} {} at {} s", l.place, l.kind, l.at / 1_000_000_000)).collect()
 }
 
-async fn spared(rig: &Rig, node: usize) -> u64 {
+async fn spared_probes(rig: &Rig, node: usize) -> u64 {
     let figures = call(rig.ops_address(node).expect("it runs"), "METRICS").await;
     let line = figures.lines().find(|l| l.starts_with("app_probes_spared ")).expect("the figure");
     line.rsplit(' ').next().and_then(|n| n.parse().ok()).expect("a number")
 }
 
 #[test]
-fn one_node_asks_silent_servers_for_all_and_another_after_it() {
+fn one_node_probes_silent_servers_for_all_and_another_takes_over() {
     block_on(async {
-        let up = bound(unique_address()).await;
-        let down = bound(unique_address()).await.local_addr().expect("an address");
+        let up = bind(unique_address()).await;
+        let down = bind(unique_address()).await.local_addr().expect("an address");
         let servers = vec![up.local_addr().expect("an address"), down];
         serve(up);
         let mut site = settings();
@@ -104,33 +104,34 @@
         let plan = Plan { servers, settings: site, operator, lease: Some(lease.clone()), ..plan };
         let mut rig = Rig::start(plan).await.expect("a rig");
         rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
-        until(&rig, "one that asks", |h| !begun(h).is_empty()).await;
-        let first = begun(&rig.history())[0];
+        wait_until(&rig, "a node that probes", |h| !task_holders(h).is_empty()).await;
+        let first = task_holders(&rig.history())[0];
         let all: Vec<usize> = (0..NODES).collect();
 
-        order_until(&rig, &all, "a server to be told of", |h| silent(h) == 1).await;
+        send_requests_until(&rig, &all, "a report of a silent server", |h| silent_servers(h) == 1).await;
         let other = *all.iter().find(|n| **n != first).expect("another");
-        within("a question to be spared", async {
+        within("a spared probe", async {
             let mut client = Connection::connect(rig.listen(other).expect("it runs")).await;
-            while spared(&rig, other).await == 0 {
+            while spared_probes(&rig, other).await == 0 {
                 client.round_trip("safe").await.expect("an answer");
             }
         })
         .await;
 
-        // Back at its address: who asks says so, and each of the others looks for itself without being asked for anything.
-        let connections = serve(bound(down).await);
-        until(&rig, "its return to be told of", |h| silent(h) == 0).await;
-        within("others to look for themselves", async {
+        // The server is back at its address: the prober reports it, and each other node
+        // probes it itself, without a request having to arrive.
+        let connections = serve(bind(down).await);
+        wait_until(&rig, "a report of its return", |h| silent_servers(h) == 0).await;
+        within("probes by the other nodes", async {
             while connections.get() < 2 {
                 sleep(Duration::from_millis(20)).await;
             }
         })
         .await;
 
-        // Whoever asks dies; another does within the lease and the time in which its death is known.
+        // The prober dies: another takes over within the lease time plus the time to detect the death.
         rig.kill(first).await.expect("killed");
-        until(&rig, "another that asks", |h| begun(h).iter().any(|p| *p != first)).await;
+        wait_until(&rig, "another node that probes", |h| task_holders(h).iter().any(|p| *p != first)).await;
         let history = rig.history();
         assert_eq!(concurrent_holders(&history, &lease, "health/"), Vec::<String>::new());
         rig.close().await.expect("they end");
@@ -138,9 +139,10 @@
     .expect("a runtime");
 }
 
-/// The node that has a task ends it at SIGTERM and gives it back: the next begins before the lease would have run out by itself.
+/// On SIGTERM the node that holds a task ends it and releases the lease: the next node begins before the
+/// lease would have expired.
 #[test]
-fn a_task_is_handed_on_when_its_node_leaves() {
+fn a_task_is_handed_over_when_its_node_leaves() {
     block_on(async {
         let lease = LeasePlan { lines: "ttl = \"10s\"\nround = \"200ms\"".to_owned(), ..LeasePlan::new(3) };
         let mut script = Script::parse("", 0, NODES).expect("a script");
@@ -149,10 +151,10 @@
         let plan = Plan { operator: "[health]\n".to_owned(), lease: Some(lease.clone()), ..plan };
         let mut rig = Rig::start(plan).await.expect("a rig");
         rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
-        until(&rig, "one that has it", |h| !begun(h).is_empty()).await;
-        let first = begun(&rig.history())[0];
+        wait_until(&rig, "a task holder", |h| !task_holders(h).is_empty()).await;
+        let first = task_holders(&rig.history())[0];
         rig.stop(first).await.expect("it ends in order");
-        until(&rig, "the next", |h| begun(h).len() > 1).await;
+        wait_until(&rig, "the next task holder", |h| task_holders(h).len() > 1).await;
         let history = rig.history();
         let at = |kind, place| {
             history
@@ -160,11 +162,11 @@
                 .iter()
                 .find(|l| l.kind == kind && l.place == place)
                 .map(|l| l.at)
-                .unwrap_or_else(|| panic!("n{place} wrote no {kind}: {:?}", told(&history)))
+                .unwrap_or_else(|| panic!("n{place} wrote no {kind}: {:?}", lease_events(&history)))
         };
-        let (ended, began) = (at("task_ended", first), at("task_begun", begun(&history)[1]));
+        let (ended, began) = (at("task_ended", first), at("task_begun", task_holders(&history)[1]));
         assert!(ended < began, "ended before the next begins");
-        // A lease that nobody gives back lives for two thirds of its time at least.
+        // A lease that is not released lasts for at least two thirds of its time.
         assert!(Duration::from_nanos(began - ended) < Duration::from_secs(5), "{} ns", began - ended);
         assert_eq!(concurrent_holders(&history, &lease, "health/"), Vec::<String>::new());
         rig.close().await.expect("they end");
--- a/node/tests/large.rs
+++ b/node/tests/large.rs
@@ -1,9 +1,9 @@
-//! Bodies too large to be held whole, both ways.
+//! Bodies too large to be buffered whole, in both directions.
 
 use birchswitch_standin::scripted::*;
 use std::time::Duration;
 
-/// Bytes of which none stands where another could.
+/// Text of `bytes` bytes in which every block differs, so that reordering or loss shows.
 fn body(bytes: usize) -> String {
     (0..bytes / 8).map(|n| format!("{n:07}.")).collect()
 }
@@ -16,10 +16,10 @@
     )
 }
 
-/// The first bytes reach the client while the server still writes; what the client does not take holds up no server, which
-/// is free for the next request.
+/// The first bytes reach the client while the server still writes. A client that does not read does not
+/// hold up the server, which is free for the next request.
 #[tokio::test]
-async fn a_large_answer_passes_as_it_comes_and_frees_its_server() {
+async fn a_large_response_is_streamed_and_frees_its_server() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let (mut client, mut other) = (node.client().await, node.client().await);
@@ -30,7 +30,8 @@
     wire.write(&large[..200_000]).await;
     assert_eq!(client.first_byte().await, b'H', "nothing more has been written yet");
     within("the rest", wire.write(&large[200_000..])).await;
-    // Nobody has read it yet. The node may still be reading, or let the connection rest: those before go over another one.
+    // The client has read nothing yet. Until the node has read all and pooled the connection,
+    // requests go over another one.
     let again = async {
         loop {
             other.send("unsafe", "20000m").await;
@@ -46,9 +47,9 @@
     within("the next request on the same connection", again).await;
     wire.answer("200 OK", "", "small").await;
     assert_eq!(other.read().await.expect("an answer").body, b"small");
-    let answer = client.read().await.expect("all of it"); // Its first letter was read above.
+    let answer = client.read().await.expect("all of it"); // Its first byte was read above.
     assert_eq!((answer.start.as_str(), answer.body), ("TTP/1.1 200 OK", large.into_bytes()));
-    client.send("unsafe", "20000m").await; // Clients keep their connection too.
+    client.send("unsafe", "20000m").await; // The client connection is kept too.
     let (mut wire, _) = within("its next request", async {
         tokio::select! {
             request = wire.read() => (wire, request),
@@ -60,9 +61,9 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// A client can tell that an answer is not whole.
+/// The client can tell that a truncated response is incomplete.
 #[tokio::test]
-async fn an_answer_that_breaks_off_ends_its_connection() {
+async fn a_truncated_response_ends_its_connection() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     for head in ["Content-Length: 300000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n493e0\r\n"] {
@@ -77,9 +78,10 @@
     }
 }
 
-/// Its time counts from the last byte, however long the body took, and the server gets what was sent while more comes.
+/// The timeout counts from the last byte, however long the body took, and the server receives the first
+/// part before the rest arrives.
 #[tokio::test]
-async fn a_large_body_passes_as_it_comes() {
+async fn a_large_body_is_streamed() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -97,10 +99,10 @@
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
-/// Even an unsafe request goes again where its last byte was not out or the server says that it did not run: from the start, with
-/// every byte.
+/// Even an unsafe request is retried, with its whole body, if its last byte was not sent or the server
+/// reports that it did not run.
 #[tokio::test]
-async fn a_body_that_is_kept_goes_to_another_server() {
+async fn a_kept_body_is_retried_at_another_server() {
     for broken in [false, true] {
         let (one, two) = (Peer::new().await, Peer::new().await);
         let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
@@ -128,13 +130,14 @@
     }
 }
 
-/// Of one too large to be kept a second attempt has nothing to send. It did not run, so that the client may try again.
+/// A body too large to be kept cannot be sent in a second attempt. The request did not run, so the client
+/// may try again.
 #[tokio::test]
-async fn a_body_that_is_not_kept_is_refused_and_not_sent_in_part() {
+async fn a_body_that_is_not_kept_is_refused_and_not_resent() {
     let (one, two) = (Peer::new().await, Peer::new().await);
     let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
     let mut client = node.client().await;
-    let large = body(12 << 20); // Of 64 MB an eighth is for what is kept.
+    let large = body(12 << 20); // An eighth of 64 MB is reserved for kept bodies.
     client.write(&head("unsafe", "r", large.len(), "20000m")).await;
     let writing = async {
         client.write(&large).await;
@@ -151,17 +154,18 @@
     };
     let (status, other) = within("both", async { tokio::join!(writing, serving) }).await;
     assert_eq!(status, 503);
-    // A connection may have been made for the attempt that came to nothing; no request may have come over it.
+    // The abandoned attempt may have opened a connection, but must not have sent a request over it.
     if let Ok(mut wire) = tokio::time::timeout(Duration::from_millis(50), other.accept()).await {
-        let heard = tokio::time::timeout(Duration::from_millis(50), wire.first_byte()).await;
-        assert!(heard.is_err(), "part of it was sent");
+        let first_byte = tokio::time::timeout(Duration::from_millis(50), wire.first_byte()).await;
+        assert!(first_byte.is_err(), "part of it was sent");
     }
     assert!(node.memory_peak() < MEMORY_MB << 10);
 }
 
-/// A client that stops in the midst gets an answer, and its server the connection's end in place of the rest.
+/// A client that stalls in the middle of a body gets an answer, and the server connection is closed without
+/// the rest.
 #[tokio::test]
-async fn a_body_that_stops_coming_is_given_up() {
+async fn a_stalled_body_is_abandoned() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -174,9 +178,10 @@
     wire.wait_closed().await;
 }
 
-/// Nothing is held back of an answer whose length nobody knows: it may be large, and then its first bytes count.
+/// A response of unknown length is forwarded without buffering: it may be large, and its first bytes must
+/// not wait.
 #[tokio::test]
-async fn an_answer_of_unknown_length_is_not_held_back() {
+async fn a_response_of_unknown_length_is_not_buffered() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -189,9 +194,9 @@
     client.read_until("0\r\n\r\n").await;
 }
 
-/// An answer may end with its connection, if it says so.
+/// A response with `Connection: close` and no length ends with the connection.
 #[tokio::test]
-async fn an_answer_that_says_so_ends_with_its_connection() {
+async fn a_response_may_end_with_its_connection() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
--- a/node/tests/leases.rs
+++ b/node/tests/leases.rs
@@ -1,4 +1,5 @@
-//! Leases among processes: no two act at once, whatever fails; what breaks without a safeguard is found; commands run under a lease.
+//! Leases among processes: no two holders act at once, whatever fails; the violation caused by each
+//! disabled safeguard is detected; commands run under a lease.
 
 use birchswitch_standin::process::{block_on, is_running, node_binary, signal};
 use birchswitch_standin::rig::fenced_resource::FencedResource;
@@ -18,21 +19,21 @@
 
 const SEED: u64 = 1;
 
-fn on_a_set<T>(test: impl Future<Output = T>) -> T {
+fn run_local<T>(test: impl Future<Output = T>) -> T {
     block_on(test).expect("a runtime")
 }
 
-fn outcome(case: &Case, seed: u64) -> Outcome {
-    let played = on_a_set(play(case, node_binary().expect("this program's path"), seed));
-    played.unwrap_or_else(|error| panic!("{}, seed {seed}: {error}", case.name))
+fn run_case(case: &Case, seed: u64) -> Outcome {
+    let result = run_local(play(case, node_binary().expect("this program's path"), seed));
+    result.unwrap_or_else(|error| panic!("{}, seed {seed}: {error}", case.name))
 }
 
-fn holds(name: &str) {
+fn expect_case_passes(name: &str) {
     let case = CASES.iter().find(|c| c.name == name).expect("a case");
-    let outcome = outcome(case, SEED);
+    let outcome = run_case(case, SEED);
     assert_eq!(outcome.violations, Vec::<String>::new(), "{name}, seed {SEED}: {}", case.script);
     println!(
-        "{name}: {} acts, {} grants, {} lost, gap {:?}",
+        "{name}: {} activities, {} grants, {} lost, gap {:?}",
         outcome.activities.len(),
         outcome.grants,
         outcome.lost,
@@ -43,68 +44,71 @@
 
 #[test]
 fn contenders_take_turns() {
-    holds("lease-calm");
+    expect_case_passes("lease-calm");
 }
 
 #[test]
-fn paused_holders_and_voters_never_make_two() {
-    holds("lease-pauses");
+fn paused_holders_and_voters_never_cause_two_holders() {
+    expect_case_passes("lease-pauses");
 }
 
 #[test]
-fn deaths_of_holders_voters_and_all_never_make_two() {
-    holds("lease-deaths");
+fn deaths_of_holders_and_voters_never_cause_two_holders() {
+    expect_case_passes("lease-deaths");
 }
 
 #[test]
-fn loss_delay_and_one_sided_cuts_never_make_two() {
-    holds("lease-wire");
+fn loss_delay_and_one_way_cuts_never_cause_two_holders() {
+    expect_case_passes("lease-wire");
 }
 
 #[test]
-fn grants_on_the_wire_while_all_voters_die_never_make_two() {
-    holds("lease-late-grants");
+fn grants_in_transit_while_all_voters_die_never_cause_two_holders() {
+    expect_case_passes("lease-late-grants");
 }
 
 #[test]
-fn voters_that_hear_no_other_voter_grant_as_before() {
-    holds("lease-deaf-voters");
+fn voters_that_hear_no_other_voter_still_grant() {
+    expect_case_passes("lease-deaf-voters");
 }
 
 #[test]
-fn clocks_within_the_promised_drift_never_make_two() {
-    holds("lease-clocks");
+fn clocks_within_the_permitted_drift_never_cause_two_holders() {
+    expect_case_passes("lease-clocks");
 }
 
-/// The first of a few seeds in which something breaks.
-fn found(case: &Case, seeds: u64) -> Option<(u64, Vec<String>)> {
-    (1..=seeds).map(|seed| (seed, outcome(case, seed).violations)).find(|(_, wrong)| !wrong.is_empty())
+/// The first of a few seeds in which a guarantee is violated.
+fn first_violation(case: &Case, seeds: u64) -> Option<(u64, Vec<String>)> {
+    (1..=seeds)
+        .map(|seed| (seed, run_case(case, seed).violations))
+        .find(|(_, violations)| !violations.is_empty())
 }
 
-/// All voters die and come back at once while the holder lives, again and again: what they forgot they grant a second time.
+/// All voters repeatedly die and restart at once while the holder lives: without abstention they grant
+/// again what they have forgotten.
 #[test]
-fn voters_that_do_not_abstain_are_found() {
+fn voters_that_do_not_abstain_are_detected() {
     let script = "1s n0-n4 die\n1s n0-n4 start\n4s n0-n4 die\n4s n0-n4 start\n7s n0-n4 die\n7s n0-n4 start";
     let case = Case { name: "no abstention", script, without: &["abstention"], ..BASELINE };
-    assert!(found(&case, 4).is_some());
+    assert!(first_violation(&case, 4).is_some());
 }
 
-/// Two of five voters are enough on either side of a cut.
+/// Two of five voters suffice on either side of a cut.
 #[test]
-fn votes_of_less_than_a_majority_are_found() {
+fn votes_without_a_majority_are_detected() {
     let script = "1s wire split n0-n1 n2-n6\n5s wire heal\n6s wire split n0-n1 n2-n6\n9s wire heal";
     let case = Case { name: "no majority", script, without: &["majority"], ..BASELINE };
-    assert!(found(&case, 4).is_some());
+    assert!(first_violation(&case, 4).is_some());
 }
 
 #[test]
-fn voters_that_keep_to_no_promise_are_found() {
+fn voters_that_break_promises_are_detected() {
     let case = Case { name: "no promises", script: "6s wire lose 0", without: &["promises"], ..BASELINE };
-    assert!(found(&case, 2).is_some());
+    assert!(first_violation(&case, 2).is_some());
 }
 
-/// A holder that started after all others dies with all voters, and a node that never heard of its token asks next. What the checker says
-/// of the two acts, and their tokens.
+/// The holder, which started after all others, dies together with all voters, and a node that never saw its
+/// token asks next. Returns the violations that the checker finds in the two activities, and their tokens.
 async fn tokens_across_the_loss_of_all_voters(without: &[&'static str]) -> (Vec<String>, [u64; 2]) {
     let lease = LeasePlan { without: without.to_vec(), ..LeasePlan::new(3) };
     let plan =
@@ -112,19 +116,19 @@
     let mut rig = Rig::start(Plan { lease: Some(lease), ..plan }).await.expect("a rig");
     rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
     let (earlier, later) = (3, 4);
-    let first = granted(&rig, later).await;
+    let first = wait_for_grant(&rig, later).await;
     for place in [later, 0, 1, 2] {
         rig.kill(place).await.expect("killed");
     }
     for voter in 0..3 {
         rig.spawn(voter, voter).await.expect("started");
     }
-    let second = granted(&rig, earlier).await;
+    let second = wait_for_grant(&rig, earlier).await;
     (overlaps(&[first, second]), [first.token, second.token])
 }
 
-/// The first grant that a node's caller is told of.
-async fn granted(rig: &Rig, place: usize) -> Activity {
+/// The first grant reported to a caller of this node.
+async fn wait_for_grant(rig: &Rig, place: usize) -> Activity {
     let mut session = Connection::connect(rig.ops_address(place).expect("it runs")).await;
     session.write("LEASE task 1\n").await;
     within("a grant", async {
@@ -142,29 +146,30 @@
     .await
 }
 
-/// The next token falls below the last unless voters start from a floor.
+/// The next token is lower than the last one unless voters start from a floor.
 #[test]
-fn voters_that_start_without_a_floor_are_found() {
-    let (wrong, [first, second]) = on_a_set(tokens_across_the_loss_of_all_voters(&["floor"]));
+fn voters_that_start_without_a_floor_are_detected() {
+    let (violations, [first, second]) = run_local(tokens_across_the_loss_of_all_voters(&["floor"]));
     assert!(second < first, "without a floor: {first}, then {second}");
-    assert_eq!(wrong, [format!("token {second} came after {first}")]);
-    let (wrong, [first, second]) = on_a_set(tokens_across_the_loss_of_all_voters(&[]));
+    assert_eq!(violations, [format!("token {second} came after {first}")]);
+    let (violations, [first, second]) = run_local(tokens_across_the_loss_of_all_voters(&[]));
     assert!(second > first, "with a floor: {first}, then {second}");
-    assert_eq!(wrong, Vec::<String>::new());
+    assert_eq!(violations, Vec::<String>::new());
 }
 
-/// The same among contenders that are paused, die and come back.
+/// The same with contenders that are paused, die and restart.
 #[test]
 fn tokens_rise_when_a_later_holder_dies_with_all_voters() {
     let script = "1s n6 die\n1500ms n6 start\n2s n5 pause 4s\n8s n6 die\n8s n0-n4 die\n8s n0-n4 start\n13s wire lose 0";
     let case = Case { script, contenders: &[5, 6], hold_time: Duration::from_secs(60), ..BASELINE };
-    assert_eq!(found(&Case { name: "a floor", ..case }, 1), None);
+    assert_eq!(first_violation(&Case { name: "a floor", ..case }, 1), None);
 }
 
-/// A holder whose clock is slow by more than was promised, cut off from voters whose clocks are fast by as much, while another waits: there
-/// and not within.
+/// A holder whose clock is slower than the permitted drift is cut off from voters whose clocks are as much
+/// too fast, while another node waits for the lease. Violations appear beyond the permitted drift and not
+/// within it.
 #[test]
-fn clocks_beyond_the_promised_drift_are_found() {
+fn clocks_beyond_the_permitted_drift_are_detected() {
     let script = "1s wire split n5 n0-n4\n4s wire heal\n4s wire split n6 n0-n4\n7s wire heal\n7s wire split n5 n0-n4\n10s wire heal";
     let case = Case {
         script,
@@ -174,22 +179,22 @@
         ..BASELINE
     };
     let rates = &[1.1, 1.1, 1.1, 1.1, 1.1, 0.9, 1.1];
-    assert!(found(&Case { name: "10% off", rates, ..case }, 12).is_some());
+    assert!(first_violation(&Case { name: "10% off", rates, ..case }, 12).is_some());
     let (rates, without) = (&[1.05, 1.05, 1.05, 1.05, 1.05, 0.95, 1.05], &["margin"]);
-    assert!(found(&Case { name: "no margin", rates, without, ..case }, 12).is_some());
+    assert!(first_violation(&Case { name: "no margin", rates, without, ..case }, 12).is_some());
     let rates = &[1.04, 1.04, 1.04, 1.04, 1.04, 0.96, 1.04];
-    assert_eq!(found(&Case { name: "4% off", rates, ..case }, 1), None);
+    assert_eq!(first_violation(&Case { name: "4% off", rates, ..case }, 1), None);
 }
 
-/// As many leases of one electorate as a fleet may want at once, each had by one of two that want it.
+/// As many leases of one electorate as a fleet may want at once, each granted to one of two contenders.
 #[test]
-fn two_hundred_names_are_had_at_once() {
-    on_a_set(async {
-        let (_rig, desks) = electorate().await;
+fn two_hundred_leases_are_granted_at_once() {
+    run_local(async {
+        let (_rig, ops_addresses) = electorate().await;
         let mut sessions = Vec::new();
         for n in 0..200 {
-            for desk in &desks[..2] {
-                let mut session = Connection::connect(*desk).await;
+            for ops in &ops_addresses[..2] {
+                let mut session = Connection::connect(*ops).await;
                 session.write(&format!("LEASE name{n} 1\n")).await;
                 assert!(session.line().await.expect("an answer").starts_with("WAITING"));
                 session.write("\n").await;
@@ -197,13 +202,13 @@
             }
         }
         let mut held = std::collections::BTreeMap::<usize, usize>::new();
-        within("all of them to be had", async {
+        within("all leases to be granted", async {
             while held.len() < 200 {
                 held.clear();
                 for (n, session) in &mut sessions {
-                    let told = session.line().await.expect("an answer");
+                    let line = session.line().await.expect("an answer");
                     session.write("\n").await;
-                    *held.entry(*n).or_default() += usize::from(told.starts_with("HELD"));
+                    *held.entry(*n).or_default() += usize::from(line.starts_with("HELD"));
                     assert!(held[n] < 2, "name{n}: two hold it");
                 }
                 held.retain(|_, n| *n == 1);
@@ -213,7 +218,7 @@
     });
 }
 
-/// Three nodes, all of which vote, and where operators call them.
+/// Three nodes, all of them voters, and their operator addresses.
 async fn electorate() -> (Rig, Vec<SocketAddr>) {
     electorate_with("", LeasePlan::new(3)).await
 }
@@ -225,11 +230,11 @@
     let plan = Plan { lease: Some(lease), ..plan };
     let rig = Rig::start(plan).await.expect("a rig");
     rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
-    let desks = (0..3).map(|n| rig.ops_address(n).expect("it runs")).collect();
-    (rig, desks)
+    let ops_addresses = (0..3).map(|n| rig.ops_address(n).expect("it runs")).collect();
+    (rig, ops_addresses)
 }
 
-/// `birchswitch lease run` with options, and a shell's text as its command.
+/// Starts `birchswitch lease run` with options and a shell command.
 fn lease_run(ops: SocketAddr, name: &str, options: &[&str], text: &str) -> Child {
     let mut command = Command::new(node_binary().expect("this program's path"));
     command.args(["lease", "run", name]).args(options).args([
@@ -244,7 +249,7 @@
     command.spawn().expect("a process")
 }
 
-async fn ended(child: Child) -> (Option<i32>, String, String) {
+async fn wait_for_exit(child: Child) -> (Option<i32>, String, String) {
     let output = within("a command's end", child.wait_with_output()).await.expect("its output");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim().to_owned();
     (output.status.code(), text(&output.stdout), text(&output.stderr))
@@ -255,9 +260,9 @@
     within("a command's line", lines.next_line()).await.expect("read").expect("a line")
 }
 
-async fn holds_itself_out(desk: SocketAddr, text: &str) {
+async fn wait_for_lease_state(ops: SocketAddr, text: &str) {
     within("a line of LEASES", async {
-        while !call(desk, "LEASES").await.contains(text) {
+        while !call(ops, "LEASES").await.contains(text) {
             sleep(Duration::from_millis(50)).await;
         }
     })
@@ -266,155 +271,162 @@
 
 #[test]
 fn commands_run_one_after_the_other_with_rising_tokens_and_their_own_exit_codes() {
-    on_a_set(async {
-        let (_rig, desks) = electorate().await;
+    run_local(async {
+        let (_rig, ops_addresses) = electorate().await;
         let text = "echo $BIRCHSWITCH_LEASE_TOKEN; exit 7";
-        let (code, first, _) = ended(lease_run(desks[0], "nightly", &[], text)).await;
+        let (code, first, _) = wait_for_exit(lease_run(ops_addresses[0], "nightly", &[], text)).await;
         assert_eq!(code, Some(7));
-        let (_, second, _) = ended(lease_run(desks[1], "nightly", &[], text)).await;
+        let (_, second, _) = wait_for_exit(lease_run(ops_addresses[1], "nightly", &[], text)).await;
         let token = |text: &str| text.parse::<u64>().unwrap_or_else(|_| panic!("{text:?} is no token"));
         assert!(token(&second) > token(&first));
 
-        let mut holder = lease_run(desks[0], "nightly", &[], "echo runs; exec sleep 60");
+        let mut holder = lease_run(ops_addresses[0], "nightly", &[], "echo runs; exec sleep 60");
         assert_eq!(line(&mut holder).await, "runs");
-        let (code, out, _) = ended(lease_run(desks[2], "nightly", &["--wait", "1"], "echo never")).await;
-        assert_eq!((code, out.as_str()), (Some(75), ""), "it is held elsewhere");
-        // Another name is another lease, and of two slots a second one is free.
-        assert_eq!(ended(lease_run(desks[2], "hourly", &[], "true")).await.0, Some(0));
-        let mut one = lease_run(desks[0], "turns", &["--slots", "2"], "echo runs; exec sleep 60");
+        let (code, out, _) =
+            wait_for_exit(lease_run(ops_addresses[2], "nightly", &["--wait", "1"], "echo never")).await;
+        assert_eq!((code, out.as_str()), (Some(75), ""), "the lease is held elsewhere");
+        // Another name is another lease, and a second slot is still free.
+        assert_eq!(wait_for_exit(lease_run(ops_addresses[2], "hourly", &[], "true")).await.0, Some(0));
+        let mut one = lease_run(ops_addresses[0], "turns", &["--slots", "2"], "echo runs; exec sleep 60");
         assert_eq!(line(&mut one).await, "runs");
-        let mut other = lease_run(desks[1], "turns", &["--slots", "2"], "echo runs; exec sleep 60");
+        let mut other = lease_run(ops_addresses[1], "turns", &["--slots", "2"], "echo runs; exec sleep 60");
         assert_eq!(line(&mut other).await, "runs");
-        let third = lease_run(desks[2], "turns", &["--slots", "2", "--wait", "1"], "echo never");
-        assert_eq!(ended(third).await.0, Some(75));
+        let third = lease_run(ops_addresses[2], "turns", &["--slots", "2", "--wait", "1"], "echo never");
+        assert_eq!(wait_for_exit(third).await.0, Some(75));
 
         for held in [holder, one, other] {
-            // It passes the signal on to its command.
+            // The client forwards the signal to its command.
             signal(&held, "TERM").await.expect("it runs");
-            assert_eq!(ended(held).await.0, Some(128 + 15));
+            assert_eq!(wait_for_exit(held).await.0, Some(128 + 15));
         }
 
         let long = "x".repeat(900);
         for (name, code) in [(long.as_str(), 69), ("é", 69)] {
-            let (found, _, why) = ended(lease_run(desks[0], name, &[], "true")).await;
-            assert_eq!(found, Some(code), "{why}");
+            let (first_violation, _, why) =
+                wait_for_exit(lease_run(ops_addresses[0], name, &[], "true")).await;
+            assert_eq!(first_violation, Some(code), "{why}");
             assert!(why.contains("1 to 64 visible ASCII"), "{why}");
         }
     });
 }
 
-/// Ignores SIGTERM, and tells the number of what it forked, which does so too.
-const STUBBORN: &str = "trap '' TERM; (trap '' TERM; sleep 30) & echo $!; wait; sleep 30";
+/// Ignores SIGTERM and prints the pid of a forked child, which ignores it too.
+const IGNORES_SIGTERM: &str = "trap '' TERM; (trap '' TERM; sleep 30) & echo $!; wait; sleep 30";
 
-/// Prints something if that process is there.
-fn still_there(pid: u32) -> String {
+/// A shell command that prints something if that process is running.
+fn print_if_running(pid: u32) -> String {
     format!("test -d /proc/{pid} && grep -v Z /proc/{pid}/stat; true")
 }
 
-/// A command that ignores SIGTERM, and what it forked, are gone before the lease is.
+/// A command that ignores SIGTERM, and the child that it forked, are gone before the lease ends.
 #[test]
 fn a_command_ends_before_its_lease_does() {
-    on_a_set(async {
-        let (mut rig, desks) = electorate().await;
-        let mut held = lease_run(desks[0], "a", &[], STUBBORN);
-        let forked: u32 = line(&mut held).await.parse().expect("a process's number");
-        assert!(call(desks[0], "ENDLEASE a").await.starts_with("SUCCESS 1 told"));
-        let (code, _, why) = ended(held).await;
+    run_local(async {
+        let (mut rig, ops_addresses) = electorate().await;
+        let mut held = lease_run(ops_addresses[0], "a", &[], IGNORES_SIGTERM);
+        let forked: u32 = line(&mut held).await.parse().expect("a pid");
+        assert!(call(ops_addresses[0], "ENDLEASE a").await.starts_with("SUCCESS 1 told"));
+        let (code, _, why) = wait_for_exit(held).await;
         assert_eq!(code, Some(76), "{why}");
-        assert!(!is_running(forked), "what it forked is gone");
-        assert_eq!(ended(lease_run(desks[1], "a", &["--wait", "5"], "true")).await.0, Some(0));
+        assert!(!is_running(forked), "the forked child is running");
+        assert_eq!(
+            wait_for_exit(lease_run(ops_addresses[1], "a", &["--wait", "5"], "true")).await.0,
+            Some(0)
+        );
 
-        // The node that it was held through is killed: nobody extends it.
-        let mut held = lease_run(desks[0], "a", &[], STUBBORN);
-        let forked: u32 = line(&mut held).await.parse().expect("a process's number");
+        // The node that the lease is held through is killed: nobody extends the lease.
+        let mut held = lease_run(ops_addresses[0], "a", &[], IGNORES_SIGTERM);
+        let forked: u32 = line(&mut held).await.parse().expect("a pid");
         rig.kill(0).await.expect("killed");
-        let next = lease_run(desks[1], "a", &[], &still_there(forked));
-        let (code, still_there, _) = ended(next).await;
-        assert_eq!((code, still_there.as_str()), (Some(0), ""), "the next holder finds it gone");
-        assert_eq!(ended(held).await.0, Some(76));
+        let next = lease_run(ops_addresses[1], "a", &[], &print_if_running(forked));
+        let (code, print_if_running, _) = wait_for_exit(next).await;
+        assert_eq!((code, print_if_running.as_str()), (Some(0), ""), "the next holder found it running");
+        assert_eq!(wait_for_exit(held).await.0, Some(76));
     });
 }
 
-/// The node that a lease is held through stops without a word, so that its caller waits for answers in vain: the command is gone all the
-/// same when the next holder comes.
+/// The node that a lease is held through is paused, so that the client waits for answers in vain: the
+/// command is gone all the same when the next holder starts.
 #[test]
-fn a_command_ends_in_time_when_its_node_stands_still() {
-    on_a_set(async {
-        // Shorter than the caller waits for an answer.
+fn a_command_ends_in_time_when_its_node_is_paused() {
+    run_local(async {
+        // Shorter than the client waits for an answer.
         let lines = "ttl = \"1s\"\nround = \"100ms\"".to_owned();
         let lease = LeasePlan { lines, ..LeasePlan::new(3) };
-        let (mut rig, desks) = electorate_with("0s n0 pause 8s", lease).await;
-        let mut held = lease_run(desks[0], "a", &[], STUBBORN);
-        let forked: u32 = line(&mut held).await.parse().expect("a process's number");
+        let (mut rig, ops_addresses) = electorate_with("0s n0 pause 8s", lease).await;
+        let mut held = lease_run(ops_addresses[0], "a", &[], IGNORES_SIGTERM);
+        let forked: u32 = line(&mut held).await.parse().expect("a pid");
         let stopped = tokio::task::spawn_local(async move {
             rig.play(|_| ()).await.expect("the script");
             rig
         });
-        let next = lease_run(desks[1], "a", &[], &still_there(forked));
-        let (code, found, _) = ended(next).await;
-        assert_eq!((code, found.as_str()), (Some(0), ""), "the next holder finds it gone");
-        assert_eq!(ended(held).await.0, Some(76));
-        stopped.await.expect("it was played");
+        let next = lease_run(ops_addresses[1], "a", &[], &print_if_running(forked));
+        let (code, first_violation, _) = wait_for_exit(next).await;
+        assert_eq!((code, first_violation.as_str()), (Some(0), ""), "the next holder found it running");
+        assert_eq!(wait_for_exit(held).await.0, Some(76));
+        stopped.await.expect("the script was played");
     });
 }
 
-/// A command tells its number, stops itself between its last look at the lease and its act, and acts once it is woken. Its client stands
-/// still too, so that nobody ends it, and its node is killed: another holds and acts when it goes on. What the receiver made of that.
-async fn acts_late(fenced: bool) -> Rc<FencedResource> {
-    let (mut rig, desks) = electorate().await;
-    let receiver = FencedResource::start(fenced).await.expect("a receiver");
-    let (host, port) = (receiver.address().ip(), receiver.address().port());
+/// A command prints its pid, stops itself between its last check of the lease and its action, and acts once
+/// it is resumed. Its client is stopped too, so that nothing kills the command, and its node is killed: by
+/// the time the command resumes, another holder has acted. Returns the resource that received both actions.
+async fn act_after_expiry(fenced: bool) -> Rc<FencedResource> {
+    let (mut rig, ops_addresses) = electorate().await;
+    let resource = FencedResource::start(fenced).await.expect("a receiver");
+    let (host, port) = (resource.address().ip(), resource.address().port());
     let act = format!(
         "exec 3<>/dev/tcp/{host}/{port}; echo BEGIN $BIRCHSWITCH_LEASE_TOKEN >&3; read -r word <&3; echo $word; sleep 30"
     );
-    let mut late = lease_run(desks[0], "a", &[], &format!("exec bash -c 'echo $$; kill -STOP $$; {act}'"));
-    let stopped: u32 = line(&mut late).await.parse().expect("a process's number");
+    let mut late =
+        lease_run(ops_addresses[0], "a", &[], &format!("exec bash -c 'echo $$; kill -STOP $$; {act}'"));
+    let stopped: u32 = line(&mut late).await.parse().expect("a pid");
     signal(&late, "STOP").await.expect("it runs");
     rig.kill(0).await.expect("killed");
-    let mut next = lease_run(desks[1], "a", &[], &format!("exec bash -c '{act}'"));
+    let mut next = lease_run(ops_addresses[1], "a", &[], &format!("exec bash -c '{act}'"));
     assert_eq!(line(&mut next).await, "GO");
     let resumed = Command::new("kill").args(["-CONT", &stopped.to_string()]).status().await;
     assert!(resumed.expect("kill").success());
-    within("the late act", async {
-        while receiver.rejected_tokens().len() + receiver.accepted().len() < 2 {
+    within("the late action", async {
+        while resource.rejected_tokens().len() + resource.accepted().len() < 2 {
             sleep(Duration::from_millis(10)).await;
         }
     })
     .await;
-    // The client wakes, finds its time over and kills what is left.
+    // The client resumes, finds the lease expired and kills the remaining processes.
     signal(&late, "CONT").await.expect("it runs");
-    assert_eq!(ended(late).await.0, Some(76));
+    assert_eq!(wait_for_exit(late).await.0, Some(76));
     assert!(!is_running(stopped));
-    receiver
+    resource
 }
 
-/// What a receiver that checks tokens is there for: no promptness of the holder's helps against a stop at the wrong moment.
+/// Why the resource checks tokens: however prompt a holder is, it may be stopped between check and action.
 #[test]
-fn a_holder_stopped_between_its_look_and_its_act_is_refused_by_its_token() {
-    on_a_set(async {
-        let fenced = acts_late(true).await;
+fn a_holder_stopped_between_check_and_action_is_rejected_by_its_token() {
+    run_local(async {
+        let fenced = act_after_expiry(true).await;
         assert_eq!(
             (fenced.violations(), fenced.accepted().len(), fenced.rejected_tokens().len()),
             (Vec::new(), 1, 1)
         );
         assert!(fenced.rejected_tokens()[0] < fenced.accepted()[0].token);
-        let open = acts_late(false).await;
-        assert!(!open.violations().is_empty(), "without the check two act: {:?}", open.accepted());
+        let open = act_after_expiry(false).await;
+        assert!(!open.violations().is_empty(), "without the check two holders act: {:?}", open.accepted());
     });
 }
 
-/// The client of a lease is killed itself: its command goes on, so that the lease must not be given back before its time.
+/// The client of a lease is killed: its command goes on, so the lease must not be released early.
 #[test]
-fn a_lease_whose_client_is_killed_runs_out() {
-    on_a_set(async {
-        let (_rig, desks) = electorate().await;
-        let mut held = lease_run(desks[0], "a", &[], "echo runs; exec sleep 1");
+fn a_lease_whose_client_is_killed_expires() {
+    run_local(async {
+        let (_rig, ops_addresses) = electorate().await;
+        let mut held = lease_run(ops_addresses[0], "a", &[], "echo runs; exec sleep 1");
         assert_eq!(line(&mut held).await, "runs");
         let killed = Instant::now();
         held.start_kill().expect("killed");
-        holds_itself_out(desks[1], "a/0 vote granted").await;
-        assert_eq!(ended(lease_run(desks[1], "a", &[], "true")).await.0, Some(0));
-        // Extended at most a third of its time before, it has at least two thirds left.
+        wait_for_lease_state(ops_addresses[1], "a/0 vote granted").await;
+        assert_eq!(wait_for_exit(lease_run(ops_addresses[1], "a", &[], "true")).await.0, Some(0));
+        // Extended at most a third of its time earlier, the lease has at least two thirds left.
         assert!(killed.elapsed() > Duration::from_millis(1100), "{:?}", killed.elapsed());
     });
 }
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -1,9 +1,10 @@
-//! The list of servers: what the node makes of it, and how it keeps hearing of it.
+//! The server list: how the node applies it and how it follows discovery.
 
 use birchswitch_standin::scripted::*;
 use serde_json::json;
 
-/// Whole lists drop what they don't name; changes drop what has left; an address may change under the same id.
+/// A complete list removes servers it does not name, an incremental one removes those marked as left, and
+/// an address may change under the same id.
 #[tokio::test]
 async fn requests_follow_the_list() {
     let (one, two) = (Peer::new().await, Peer::new().await);
@@ -17,7 +18,7 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 
     watch.list(2, true, &[member("two", two.address(), "active")]).await;
-    at_one.expect_closed().await; // Nothing more goes to a server that is gone.
+    at_one.expect_closed().await; // Connections to a removed server are closed.
     client.send("unsafe", "20000m").await;
     (at_two, _) = two.request().await;
     at_two.answer("200 OK", "", "").await;
@@ -35,7 +36,8 @@
     assert_eq!(client.round_trip("unsafe").await.expect("an answer").status(), 503);
 }
 
-/// A restart under the same id leaves no connection worth keeping, though a dead machine's look open.
+/// A restart under the same id closes all connections to the server, since those to a crashed machine still
+/// look open.
 #[tokio::test]
 async fn a_restart_abandons_connections() {
     let server = Peer::new().await;
@@ -53,23 +55,23 @@
     let (mut new, _) = server.request().await;
     new.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
-    // The same start told once more is no restart.
+    // The same start time again is not a restart.
     watch.list(3, true, &[entry]).await;
     node.wait_for_list(3).await;
-    tokio::time::sleep(std::time::Duration::from_millis(50)).await; // It rests before it is used again.
+    tokio::time::sleep(std::time::Duration::from_millis(50)).await; // Let the connection return to the pool.
     client.send("unsafe", "20000m").await;
     new.read().await.expect("the next request on the same connection");
 }
 
-/// Connecting takes time: word of a drain that comes meanwhile keeps the request back, and since it was never sent
+/// A drain announced while the connection is being established stops the request. It was never sent, so
 /// even an unsafe one may be refused.
 #[tokio::test]
-async fn a_drain_told_while_connecting_keeps_the_request_back() {
+async fn a_drain_announced_while_connecting_stops_the_request() {
     let (listener, address, filling) = full_listener().await;
     let (node, _discovery, mut watch) = Node::serving_at(1024, settings(), &[("s", address)]).await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
-    node.get("/health/live").await; // The request has been read, and its connection is under way.
+    node.get("/health/live").await; // The request has been read and its connection is being established.
     watch.list(2, false, &[member("s", address, "leaving")]).await;
     node.wait_for_list(2).await;
     accept_backlog(&listener, &filling).await;
@@ -82,20 +84,21 @@
     assert!(sent.is_empty(), "sent to a draining server: {sent:?}");
 }
 
-/// Word of a move that comes while connecting: what listens at the old address is not that server any more.
+/// The server moves to another address while the connection is being established: whatever listens at the
+/// old address is no longer that server.
 #[tokio::test]
-async fn a_move_told_while_connecting_sends_nothing_to_the_old_address() {
+async fn a_move_announced_while_connecting_sends_nothing_to_the_old_address() {
     let new = Peer::new().await;
     let (listener, address, filling) = full_listener().await;
     let (node, _discovery, mut watch) = Node::serving_at(1024, settings(), &[("s", address)]).await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
-    node.get("/health/live").await; // The request has been read, and its connection is under way.
+    node.get("/health/live").await; // The request has been read and its connection is being established.
     watch.list(2, false, &[member("s", new.address(), "active")]).await;
     node.wait_for_list(2).await;
     accept_backlog(&listener, &filling).await;
     let (old, _) = within("the node's connection", listener.accept()).await.expect("a connection");
-    // Whether it goes to the new address or back to the client is the balancer's to say.
+    // The balancer may either send it to the new address or refuse it.
     let answer = tokio::select! {
         answer = client.read() => answer,
         (mut wire, _) = new.request() => {
@@ -109,9 +112,10 @@
     assert!(sent.is_empty(), "sent to the old address: {sent:?}");
 }
 
-/// Figures may be well-formed and absurd: every request still gets an answer, and sane ones bring service back.
+/// List entries and load reports may be well-formed but hold extreme values: every request still gets an
+/// answer, and service recovers with sane values.
 #[tokio::test]
-async fn absurd_figures_are_survived() {
+async fn extreme_values_do_not_stop_service() {
     let server = Peer::new().await;
     let discovery = Peer::new().await;
     let mut settings = settings();
@@ -119,13 +123,15 @@
     let node = Node::start(&discovery, settings, 1024).await;
     let (mut watch, _) = discovery.watch().await;
     let mut revision = 0;
-    let mut ask = async |key: &str, value: &serde_json::Value, report: &str| {
+    let mut request_with = async |key: &str, value: &serde_json::Value, report: &str| {
         revision += 1;
-        let mut odd = member("s", server.address(), "active");
-        odd[key] = value.clone();
-        // Named twice, beside a sane one and one that nobody knows and that has left.
+        let mut entry = member("s", server.address(), "active");
+        entry[key] = value.clone();
+        // A duplicate entry, a sane one, and an unknown one that has left.
         let left = json!({"id": "", "phase": "left"});
-        watch.list(revision, true, &[odd.clone(), odd, member("t", server.address(), "active"), left]).await;
+        watch
+            .list(revision, true, &[entry.clone(), entry, member("t", server.address(), "active"), left])
+            .await;
         node.wait_for_list(revision).await;
         let mut client = node.client().await;
         client.send("safe", "20000m").await;
@@ -143,7 +149,7 @@
         };
         tokio::select! {
             answer = client.read() => answer.expect("an answer").status(),
-            () = answering => unreachable!("it never ends"),
+            () = answering => unreachable!("the server loop never ends"),
         }
     };
     for (key, value) in [
@@ -164,22 +170,24 @@
             r#"{"outstanding":{},"utilization":"high"}"#,
             "[1,2",
         ] {
-            let status = ask(key, &value, report).await;
+            let status = request_with(key, &value, report).await;
             assert!([200, 503, 504].contains(&status), "{status} for {key} {value} {report}");
         }
     }
-    let back =
-        async { while ask("size", &json!(1.0), r#"{"outstanding":0,"utilization":0.1}"#).await != 200 {} };
-    within("service", back).await;
+    let recovered = async {
+        while request_with("size", &json!(1.0), r#"{"outstanding":0,"utilization":0.1}"#).await != 200 {}
+    };
+    within("service", recovered).await;
 }
 
-/// Duplicates are dropped only for a while: a connection that comes up after that carries no repeat.
+/// Servers drop duplicates only within the repeat window: a connection established after it must not carry
+/// a repeat.
 #[tokio::test]
-async fn a_repeat_is_kept_back_once_its_window_has_passed() {
+async fn no_repeat_is_sent_after_the_repeat_window() {
     let first = Peer::new().await;
     let (listener, address, filling) = full_listener().await;
     let discovery = Peer::new().await;
-    let window = std::time::Duration::from_secs(2); // Ample for all that comes before the repeat.
+    let window = std::time::Duration::from_secs(2); // Ample for all the steps before the repeat.
     let mut settings = settings();
     settings["profiles"][1]["repeat_window_ns"] = json!(window.as_nanos() as u64);
     let node = Node::start(&discovery, settings, 1024).await;
@@ -202,9 +210,10 @@
     assert!(sent.is_empty(), "sent after the window: {sent:?}");
 }
 
-/// A line that makes no sense is logged and changes nothing; what came after the last good one is asked for anew.
+/// An invalid line is logged and changes nothing; the node asks again for all changes since the last valid
+/// revision.
 #[tokio::test]
-async fn a_bad_line_leaves_the_list_as_it_was() {
+async fn an_invalid_line_leaves_the_list_unchanged() {
     let server = Peer::new().await;
     let bad = [
         "not json".to_owned(),
@@ -228,8 +237,8 @@
     }
 }
 
-/// An empty line is due every 2 s. A watch that has nothing to say any more may be cut off, and news that it misses
-/// counts as told all the same.
+/// An empty line is due every 2 s. A silent watch may have been cut off, and a change counts as announced
+/// even if the node misses it, so the node has to reconnect.
 #[tokio::test]
 async fn a_silent_watch_is_opened_again() {
     let server = Peer::new().await;
@@ -247,7 +256,7 @@
     let (mut wire, _) = discovery.request().await;
     wire.answer("503 Service Unavailable", "", "").await;
     let (mut watch, _) = discovery.watch().await;
-    // A list may come in pieces.
+    // A list may arrive in several chunks.
     let list = json!({"revision": 2, "complete": true, "members": []}).to_string();
     let (a, b) = list.split_at(11);
     watch.0.write(&format!("{:x}\r\n{a}\r\n", a.len())).await;
@@ -256,9 +265,10 @@
     assert_eq!(node.client().await.round_trip("unsafe").await.expect("an answer").status(), 503);
 }
 
-/// Where lists come on request, the balancer says when to ask; the end of a watch is a failed call.
+/// In `subscribe` mode the balancer decides when to query discovery; the end of a watch counts as a failed
+/// call.
 #[tokio::test]
-async fn asked_discovery_is_asked_when_the_balancer_says_so() {
+async fn subscribed_discovery_is_queried_when_the_balancer_decides() {
     let server = Peer::new().await;
     let discovery = Peer::new().await;
     let mut settings = settings();
--- a/node/tests/members.rs
+++ b/node/tests/members.rs
@@ -1,5 +1,5 @@
-//! Nodes among one another, as processes: the short cases of the rig, calls of operators, strangers, a busy thread.
-//! `birchswitch-standin rig` plays the long cases.
+//! Membership among node processes: the short cases of the rig, operator calls, datagrams from strangers,
+//! and a saturated thread. `birchswitch-standin rig` plays the long cases.
 
 use birchswitch_cluster::wire::{self, Body, Message, Sender, Update};
 use birchswitch_cluster::{Generation, MemberId, Record};
@@ -29,13 +29,13 @@
     rig
 }
 
-fn on_a_set(test: impl Future<Output = ()>) {
+fn run_local(test: impl Future<Output = ()>) {
     block_on(test).expect("a runtime");
 }
 
-fn holds(name: &str) {
+fn expect_case_passes(name: &str) {
     let case = cases::CASES.iter().find(|c| c.name == name).expect("a case");
-    on_a_set(async {
+    run_local(async {
         let outcome = cases::play(case, node_binary().expect("a path"), SEED, |_| ()).await;
         let outcome = outcome.unwrap_or_else(|error| panic!("{name}, seed {SEED}: {error}"));
         assert_eq!(outcome.violations, Vec::<String>::new(), "{name}, seed {SEED}, {}", case.script);
@@ -43,51 +43,51 @@
 }
 
 #[test]
-fn a_killed_node_is_known_to_be_dead_and_comes_back_under_its_name() {
-    holds("kill");
+fn a_killed_node_is_declared_dead_and_rejoins_under_its_name() {
+    expect_case_passes("kill");
 }
 
 #[test]
-fn pauses_of_2_s_are_borne() {
-    holds("pause-2s");
+fn pauses_of_2_s_are_tolerated() {
+    expect_case_passes("pause-2s");
 }
 
 #[test]
-fn who_hears_nobody_says_so_and_condemns_nobody() {
-    holds("deaf");
+fn an_isolated_node_reports_it_and_declares_nobody_dead() {
+    expect_case_passes("deaf");
 }
 
 #[test]
-fn of_two_under_one_name_one_yields_and_nobody_flaps() {
-    holds("twins");
+fn of_two_nodes_with_one_name_one_yields_without_flapping() {
+    expect_case_passes("twins");
 }
 
 #[test]
-fn old_news_of_a_death_does_not_outlive_a_new_process() {
-    holds("quick-restart");
+fn a_stale_death_report_does_not_affect_a_new_process() {
+    expect_case_passes("quick-restart");
 }
 
 #[test]
-fn nodes_that_stutter_are_not_condemned() {
-    holds("stutter-short");
+fn nodes_that_stutter_are_not_declared_dead() {
+    expect_case_passes("stutter-short");
 }
 
-/// Also those that are stopped, and when whoever holds the rig panics.
+/// Holds for stopped processes too, and when the owner of the rig panics.
 #[test]
 fn nothing_is_left_running_after_a_panic() {
-    on_a_set(async {
-        let (told, pids) = tokio::sync::oneshot::channel();
+    run_local(async {
+        let (send_pids, pids) = tokio::sync::oneshot::channel();
         let panics = tokio::task::spawn_local(async move {
             let mut rig = rig(plan(3, "0s n1 pause 60s")).await;
             let pids: Vec<_> = rig.places().into_iter().filter_map(|p| rig.pid(p)).collect();
-            told.send(pids).expect("somebody waits");
+            send_pids.send(pids).expect("the receiver waits");
             let _ = timeout(Duration::from_millis(200), rig.play(|_| ())).await;
             panic!("on purpose");
         });
         let pids = pids.await.expect("pids");
         assert_eq!(pids.len(), 3);
         assert!(panics.await.is_err());
-        within("the processes' end", async {
+        within("all processes to end", async {
             while pids.iter().any(|p| is_running(*p)) {
                 sleep(Duration::from_millis(20)).await;
             }
@@ -100,29 +100,30 @@
     text.lines().find(|l| l.starts_with(start)).unwrap_or_else(|| panic!("no {start:?} in {text}"))
 }
 
-/// What discovery told one node alone is seen by all; a node that was cut off from discovery lags until the cut heals.
+/// A list revision that discovery sent to one node is seen by all; a node cut off from discovery lags until
+/// the cut heals.
 #[test]
-fn operators_see_members_what_they_tell_and_who_leaves() {
-    on_a_set(async {
+fn operators_see_members_their_lists_and_departures() {
+    run_local(async {
         let mut rig = rig(Plan { streams: true, ..plan(3, "0s wire cut discovery n2") }).await;
         let [n0, n2] = [0, 2].map(|n| rig.ops_address(n).expect("it runs"));
         let list = |text: &str, name: &str| {
             let line = line(text, &format!("{name} "));
             line.rsplit(' ').next().unwrap_or_default().to_owned()
         };
-        let seen = |told: &'static str, of: &'static str| async move {
+        let wait_for_list = |revision: &'static str, of: &'static str| async move {
             for _ in 0..400 {
                 let text = call(n0, "MEMBERS").await;
-                if list(&text, of) == told {
+                if list(&text, of) == revision {
                     return text;
                 }
                 sleep(Duration::from_millis(100)).await;
             }
-            panic!("no {told} of {of}: {}", call(n0, "MEMBERS").await);
+            panic!("no {revision} of {of}: {}", call(n0, "MEMBERS").await);
         };
         // The list of twenty servers is the registry's 21st revision.
-        seen("21", "n2").await;
-        // Agreed upon a moment after all are known.
+        wait_for_list("21", "n2").await;
+        // Agreement follows shortly after all members are known.
         let text = within("an agreed number of members", async {
             loop {
                 let text = call(n0, "MEMBERS").await;
@@ -138,25 +139,25 @@
         line(&text, "n1 alive ");
         rig.play(|_| ()).await.expect("the script");
         rig.announce(0, "leaving");
-        seen("22", "n0").await;
-        seen("22", "n1").await;
+        wait_for_list("22", "n0").await;
+        wait_for_list("22", "n1").await;
         assert_eq!(list(&call(n2, "MEMBERS").await, "n2"), "21");
         rig.heal();
-        seen("22", "n2").await;
+        wait_for_list("22", "n2").await;
 
         let figures = call(n0, "METRICS").await;
         line(&figures, "app_members{state=\"alive\"} 2");
         line(&figures, "app_cluster_dropped 0");
         assert!(call(n2, "LEAVE").await.starts_with("SUCCESS "));
-        assert!(call(n2, "LEAVE").await.starts_with("FAILURE "), "it is no member any more");
+        assert!(call(n2, "LEAVE").await.starts_with("FAILURE "), "it is no longer a member");
         rig.wait_until(
-            "word of the leaving",
+            "reports of the departure",
             Duration::from_secs(20),
             |h| [0, 1].iter().all(|n| h.lines.iter().any(|l| l.place == *n && l.kind == "left")),
             |h| format!("{:?}", h.lines.last()),
         )
         .await
-        .expect("both heard of it");
+        .expect("both logged it");
         assert_eq!(rig.history().lines.iter().filter(|l| l.kind == "suspected").count(), 0);
         let text = call(n0, "MEMBERS").await;
         line(&text, "n2 left ");
@@ -164,10 +165,10 @@
     });
 }
 
-/// Requests fill the node's one thread, on which membership runs too.
+/// Requests saturate the node's one thread, on which membership runs too.
 #[test]
 fn a_node_at_full_load_is_not_declared_dead() {
-    on_a_set(async {
+    run_local(async {
         let rig = rig(plan(4, "")).await;
         let (address, pid) = (rig.listen(0).expect("it runs"), rig.pid(0).expect("it runs"));
         let before = cpu_time(pid);
@@ -183,7 +184,7 @@
                 }
             });
         }
-        within("two seconds of work", async {
+        within("two seconds of CPU time", async {
             while cpu_time(pid) < before + Duration::from_secs(2) {
                 sleep(Duration::from_millis(20)).await;
             }
@@ -197,7 +198,7 @@
     });
 }
 
-/// Of a member that nobody knows; `padding` bytes make the question longer.
+/// A join from an unknown member; `padding` bytes lengthen the datagram.
 fn join(cluster: &str, from: SocketAddr, padding: usize) -> Vec<u8> {
     let generation = Generation { started: 1, draw: 1 };
     let record = Record {
@@ -215,21 +216,22 @@
     wire::encode(cluster, &Message { sender, body, updates: vec![Update::Alive(record).encode()] })
 }
 
-/// Everything that is no datagram of a member's is counted and dropped, whatever comes of it in between is served.
+/// Invalid datagrams are counted and dropped while requests are still served, and answers are never larger
+/// than the datagrams that caused them.
 #[test]
-fn strangers_neither_stop_a_node_nor_get_more_than_they_send() {
-    on_a_set(async {
+fn strangers_neither_stop_a_node_nor_get_amplified_answers() {
+    run_local(async {
         let rig = rig(plan(3, "")).await;
         let (node, operators) = (rig.wire().real(0).expect("it runs"), rig.ops_address(0).expect("it runs"));
         let mut client = Connection::connect(rig.listen(0).expect("it runs")).await;
         let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(SEED);
-        // Whom it names is asked from then on; who sent it gets an answer.
+        // The member that it names is probed from then on; the sender gets an answer.
         let elsewhere = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-        let good = join("rig", elsewhere.local_addr().expect("an address"), 200);
-        let mut bad = vec![Vec::new(), vec![0; 65_000], join("other", node, 0)];
-        bad.extend((0..good.len()).map(|n| good[..n].to_vec()));
-        bad.extend((0..200).map(|n| {
+        let valid = join("rig", elsewhere.local_addr().expect("an address"), 200);
+        let mut invalid = vec![Vec::new(), vec![0; 65_000], join("other", node, 0)];
+        invalid.extend((0..valid.len()).map(|n| valid[..n].to_vec()));
+        invalid.extend((0..200).map(|n| {
             let mut bytes = vec![0; n * 7];
             rng.fill_bytes(&mut bytes);
             bytes
@@ -239,29 +241,29 @@
             let line = line(&figures, "app_cluster_dropped ").rsplit(' ').next().unwrap_or_default();
             line.parse::<usize>().expect("a number")
         };
-        for bytes in &bad {
+        for bytes in &invalid {
             stranger.send_to(bytes, node).await.expect("sent");
         }
         within("all to be counted", async {
-            while dropped().await < bad.len() {
+            while dropped().await < invalid.len() {
                 sleep(Duration::from_millis(20)).await;
             }
         })
         .await;
         let mut buffer = vec![0; 65_536];
-        assert!(stranger.try_recv(&mut buffer).is_err(), "none of that is answered");
+        assert!(stranger.try_recv(&mut buffer).is_err(), "an invalid datagram was answered");
 
-        // 50,000 as fast as they go, valid ones among them, while requests are served.
+        // 50,000 as fast as possible, valid ones among them, while requests are served.
         let before = dropped().await;
         for n in 0..50_000 {
-            let bytes = if n % 100 == 0 { &good } else { &bad[3 + n % 40] };
-            // A full queue is the system's to say so.
+            let bytes = if n % 100 == 0 { &valid } else { &invalid[3 + n % 40] };
+            // Sending may fail on a full socket queue.
             let _ = stranger.send_to(bytes, node).await;
             if n % 5_000 == 0 {
                 assert_eq!(
                     client.round_trip("unsafe").await.expect("an answer").status(),
                     503,
-                    "no server is there"
+                    "no server is listed"
                 );
             }
         }
@@ -269,7 +271,7 @@
         assert!(dropped().await > before);
         let mut answered = 0;
         while let Ok(Ok(length)) = timeout(Duration::from_millis(500), stranger.recv(&mut buffer)).await {
-            assert!(length <= good.len(), "{length} bytes for {}", good.len());
+            assert!(length <= valid.len(), "{length} bytes for {}", valid.len());
             answered += 1;
         }
         assert!((1..=500).contains(&answered), "{answered} answers for 500 questions");
@@ -280,17 +282,17 @@
     });
 }
 
-/// An answer on a way that is cut waits, and comes once it heals; the request had passed the other way.
+/// A one-way cut after the request delays the answer until the cut heals.
 #[test]
-fn a_cut_holds_back_what_connections_carry_one_way() {
-    on_a_set(async {
+fn a_one_way_cut_delays_answers() {
+    run_local(async {
         let server = Peer::new().await;
         let servers = vec![server.address()];
         let mut rig = rig(Plan { streams: true, servers, ..plan(3, "0s wire cut servers n0") }).await;
         let mut client = Connection::connect(rig.listen(0).expect("it runs")).await;
         within("the list", async {
-            let desk = rig.ops_address(0).expect("it runs");
-            while !call(desk, "STATUS").await.starts_with("SUCCESS") {
+            let ops = rig.ops_address(0).expect("it runs");
+            while !call(ops, "STATUS").await.starts_with("SUCCESS") {
                 sleep(Duration::from_millis(20)).await;
             }
         })
@@ -299,7 +301,7 @@
         let (mut wire, _) = server.request().await;
         rig.play(|_| ()).await.expect("the script");
         wire.answer("200 OK", "", "").await;
-        assert!(timeout(Duration::from_millis(300), client.read()).await.is_err(), "it is held back");
+        assert!(timeout(Duration::from_millis(300), client.read()).await.is_err(), "the cut delays it");
         rig.heal();
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     });
--- a/node/tests/order_mix.rs
+++ b/node/tests/order_mix.rs
@@ -1,5 +1,6 @@
-//! One mix of orders over HTTP, framed binary, framed compact and unframed binary, to servers that do the same with the same
-//! order: each order has the same outcome and reaches servers as often, whatever it came over.
+//! The same mix of orders over HTTP, framed binary, framed compact and unframed binary Thrift, to servers
+//! that behave the same for the same order: each order has the same outcome and number of attempts,
+//! whatever the protocol.
 
 use birchswitch_standin::scripted::*;
 use birchswitch_thrift::detect::Dialect;
@@ -15,61 +16,62 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// What servers do with an order, attempt by attempt; the last goes for all that follow.
+/// A server's behavior for one attempt of an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Deed {
+enum Behavior {
     Serve,
-    /// With proof that nothing ran.
-    TurnAway,
+    /// Refuse with proof that the request did not run.
+    Refuse,
     Fail,
-    /// The connection ends without an answer.
+    /// Close the connection without an answer.
     Break,
-    /// No answer ever comes.
+    /// Never answer.
     Freeze,
 }
 
-use Deed::*;
+use Behavior::*;
 
 const CLASSES: [&str; 3] = ["safe", "keyed", "unsafe"];
-const DEEDS: [&[Deed]; 8] = [
+/// Behaviors by attempt; the last one applies to all further attempts.
+const BEHAVIORS: [&[Behavior]; 8] = [
     &[Serve],
-    &[TurnAway, Serve],
-    &[TurnAway],
+    &[Refuse, Serve],
+    &[Refuse],
     &[Fail, Serve],
     &[Fail],
     &[Break, Serve],
-    &[TurnAway, Break, Serve],
+    &[Refuse, Break, Serve],
     &[Freeze],
 ];
 
-/// An order's text: its place among the deeds, and a number of its own.
-fn text(deed: usize, number: usize) -> String {
-    format!("{deed}-{number}")
+/// An order's text: the index of its behaviors, and a unique number.
+fn order_text(behaviors: usize, number: usize) -> String {
+    format!("{behaviors}-{number}")
 }
 
-/// How often each order has reached a server.
-type Reached = Arc<Mutex<BTreeMap<String, usize>>>;
+/// The number of attempts of each order that reached a server.
+type AttemptCounts = Arc<Mutex<BTreeMap<String, usize>>>;
 
-/// What is to be done with an order that has come, and counts it.
-fn deed(reached: &Reached, text: &str) -> Deed {
-    let deeds = DEEDS[text.split('-').next().and_then(|d| d.parse().ok()).unwrap_or(0)];
-    let mut reached = reached.lock().expect("no test panicked here");
-    let times = reached.entry(text.to_owned()).or_default();
-    *times += 1;
-    deeds[(*times - 1).min(deeds.len() - 1)]
+/// Counts an attempt of an order and returns the behavior for it.
+fn next_behavior(attempts: &AttemptCounts, text: &str) -> Behavior {
+    let behaviors = BEHAVIORS[text.split('-').next().and_then(|d| d.parse().ok()).unwrap_or(0)];
+    let mut attempts = attempts.lock().expect("no test panicked here");
+    let count = attempts.entry(text.to_owned()).or_default();
+    *count += 1;
+    behaviors[(*count - 1).min(behaviors.len() - 1)]
 }
 
-/// Serves HTTP on each connection that comes.
-async fn serve_http(peer: Peer, reached: Reached) {
+/// Serves HTTP on each accepted connection.
+async fn serve_http(peer: Peer, attempts: AttemptCounts) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
-        let (mut wire, reached) = (peer.accept().await, reached.clone());
+        let (mut wire, attempts) = (peer.accept().await, attempts.clone());
         connections.spawn(async move {
             while let Some(request) = wire.read().await {
                 let text = request.start.split(['/', ' ']).nth(3).unwrap_or_default().to_owned();
-                match deed(&reached, &text) {
+                match next_behavior(&attempts, &text) {
                     Serve => wire.answer("200 OK", "", &text).await,
-                    TurnAway => wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await,
+                    Refuse => wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await,
                     Fail => wire.answer("500 Internal Server Error", "", "").await,
                     Break => return,
                     Freeze => std::future::pending().await,
@@ -79,11 +81,11 @@
     }
 }
 
-/// Serves framed binary Thrift on each connection that comes.
-async fn serve_thrift(peer: Peer, reached: Reached) {
+/// Serves framed binary Thrift on each accepted connection.
+async fn serve_thrift(peer: Peer, attempts: AttemptCounts) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
-        let (mut wire, reached) = (peer.accept().await, reached.clone());
+        let (mut wire, attempts) = (peer.accept().await, attempts.clone());
         connections.spawn(async move {
             while let Some(call) = wire.frame().await {
                 let (limits, paths) = (Limits::default(), Paths::new([[1i16]]));
@@ -96,7 +98,7 @@
                     frame::write_length(&mut bytes);
                     bytes
                 };
-                match deed(&reached, &text) {
+                match next_behavior(&attempts, &text) {
                     Serve => {
                         let header = call.header;
                         let reply = message(
@@ -109,7 +111,7 @@
                         );
                         wire.write_bytes(&reply).await;
                     }
-                    TurnAway => wire.write_bytes(&exception(ExceptionType::UnknownMethod)).await,
+                    Refuse => wire.write_bytes(&exception(ExceptionType::UnknownMethod)).await,
                     Fail => wire.write_bytes(&exception(ExceptionType::InternalError)).await,
                     Break => return,
                     Freeze => std::future::pending().await,
@@ -171,7 +173,7 @@
     }
 }
 
-/// Places an order over Thrift, in a dialect that the node finds out for itself.
+/// Places an order over Thrift, in a dialect that the node detects.
 async fn over_thrift(address: SocketAddr, dialect: Dialect, class: &str, text: &str) -> Outcome {
     let mut stream = TcpStream::connect(address).await.expect("the node");
     let call = message(dialect.protocol, dialect.framed, MessageType::Call, class, 3, text);
@@ -197,45 +199,45 @@
     }
 }
 
-/// The ways that clients take, each to servers and decisions of its own: HTTP, and these.
-const WAYS: [(Protocol, bool); 3] =
+/// The Thrift protocols of clients, with framing. Each, like HTTP, has its own servers and balancer state.
+const THRIFT_PROTOCOLS: [(Protocol, bool); 3] =
     [(Protocol::Binary, true), (Protocol::Compact, true), (Protocol::Binary, false)];
 
-/// Three servers for one way, and the list of them.
+/// Starts three servers for one protocol and returns their list entries.
 async fn servers(
-    way: usize,
-    reached: &Reached,
+    protocol_index: usize,
+    attempts: &AttemptCounts,
     serving: &mut tokio::task::JoinSet<()>,
 ) -> Vec<serde_json::Value> {
     let mut members = Vec::new();
     for id in ["a", "b", "c"] {
         let peer = Peer::new().await;
         members.push(member(id, peer.address(), "active"));
-        match way {
-            0 => serving.spawn(serve_http(peer, reached.clone())),
-            _ => serving.spawn(serve_thrift(peer, reached.clone())),
+        match protocol_index {
+            0 => serving.spawn(serve_http(peer, attempts.clone())),
+            _ => serving.spawn(serve_thrift(peer, attempts.clone())),
         };
     }
     members
 }
 
-/// Places one order over every way, each with decisions that have seen nothing yet; returns each way's outcome and how
-/// often the order reached a server.
-async fn place(class: &str, deeds: usize) -> Vec<(Outcome, usize)> {
+/// Places one order over every protocol, each with fresh balancer state; returns each one's outcome and the
+/// number of attempts that reached a server.
+async fn place_everywhere(class: &str, behaviors: usize) -> Vec<(Outcome, usize)> {
     let mut settings = settings();
     for profile in settings["profiles"].as_array_mut().expect("classes") {
         profile["deadline_ns"] = json!(1_000_000_000u64);
     }
     let mut serving = tokio::task::JoinSet::new();
-    let (mut discoveries, mut reached) = (Vec::new(), Vec::new());
-    for _ in 0..=WAYS.len() {
+    let (mut discoveries, mut attempts) = (Vec::new(), Vec::new());
+    for _ in 0..=THRIFT_PROTOCOLS.len() {
         discoveries.push(Peer::new().await);
-        reached.push(Reached::default());
+        attempts.push(AttemptCounts::default());
     }
-    let listener = |way: usize, discovery: &Peer| {
+    let listener = |protocol_index: usize, discovery: &Peer| {
         format!(
             "[[thrift]]
-             name = 'way{way}'
+             name = 'way{protocol_index}'
              listen = '127.0.0.1:0'
              tenant = 'one'
              connections = 16
@@ -252,8 +254,8 @@
         )
     };
     let mut file = tempfile::NamedTempFile::new().expect("a file");
-    for (way, discovery) in discoveries.iter().enumerate().skip(1) {
-        file.write_all(listener(way, discovery).as_bytes()).expect("a file");
+    for (protocol_index, discovery) in discoveries.iter().enumerate().skip(1) {
+        file.write_all(listener(protocol_index, discovery).as_bytes()).expect("a file");
     }
     let config = json!({
         "name": "n", "listen": "127.0.0.1:0", "discovery": discoveries[0].address().to_string(), "seed": "1f",
@@ -261,41 +263,41 @@
     });
     let path = file.path().to_str().expect("a path");
     let mut node = Node::with_config(config, &[("GW_OPERATOR", path)]).await;
-    let mut fronts = Vec::new();
-    for way in 1..=WAYS.len() {
-        let line = node.wait_for_log(&format!("way{way}: listening on ")).await;
-        fronts.push(line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address"));
+    let mut thrift_addresses = Vec::new();
+    for protocol_index in 1..=THRIFT_PROTOCOLS.len() {
+        let line = node.wait_for_log(&format!("way{protocol_index}: listening on ")).await;
+        thrift_addresses.push(line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address"));
     }
     let mut watches = Vec::new();
-    for (way, discovery) in discoveries.iter().enumerate() {
-        let members = servers(way, &reached[way], &mut serving).await;
+    for (protocol_index, discovery) in discoveries.iter().enumerate() {
+        let members = servers(protocol_index, &attempts[protocol_index], &mut serving).await;
         let (mut watch, _) = discovery.watch().await;
         watch.list(1, true, &members).await;
         watches.push(watch);
-        match way {
+        match protocol_index {
             0 => node.wait_until_ready().await,
-            _ => drop(node.wait_for_log(&format!("way{way}: holds a list")).await),
+            _ => drop(node.wait_for_log(&format!("way{protocol_index}: holds a list")).await),
         }
     }
-    let order = text(deeds, 1);
+    let order = order_text(behaviors, 1);
     let mut outcomes = vec![over_http(node.address, class, &order).await];
-    for ((protocol, framed), front) in WAYS.iter().zip(fronts) {
+    for ((protocol, framed), thrift_address) in THRIFT_PROTOCOLS.iter().zip(thrift_addresses) {
         let dialect = Dialect { protocol: *protocol, framed: *framed };
-        outcomes.push(over_thrift(front, dialect, class, &order).await);
+        outcomes.push(over_thrift(thrift_address, dialect, class, &order).await);
     }
-    let times = reached.iter().map(|r| r.lock().expect("no panic").get(&order).copied().unwrap_or(0));
-    outcomes.into_iter().zip(times).collect()
+    let counts = attempts.iter().map(|r| r.lock().expect("no panic").get(&order).copied().unwrap_or(0));
+    outcomes.into_iter().zip(counts).collect()
 }
 
 #[tokio::test]
-async fn one_mix_has_one_outcome_over_http_and_thrift() {
-    for (class, deeds) in CLASSES.iter().flat_map(|c| (0..DEEDS.len()).map(move |d| (*c, d))) {
-        let outcomes = place(class, deeds).await;
-        println!("{class:<7}{:?}: {:?}", DEEDS[deeds], outcomes[0]);
+async fn the_same_orders_have_the_same_outcomes_over_http_and_thrift() {
+    for (class, behaviors) in CLASSES.iter().flat_map(|c| (0..BEHAVIORS.len()).map(move |d| (*c, d))) {
+        let outcomes = place_everywhere(class, behaviors).await;
+        println!("{class:<7}{:?}: {:?}", BEHAVIORS[behaviors], outcomes[0]);
         let same = outcomes.iter().all(|o| *o == outcomes[0]);
-        assert!(same, "{class} {:?}, over HTTP and {WAYS:?}: {outcomes:?}", DEEDS[deeds]);
+        assert!(same, "{class} {:?}, over HTTP and {THRIFT_PROTOCOLS:?}: {outcomes:?}", BEHAVIORS[behaviors]);
         if class == "unsafe" {
-            let runs = DEEDS[deeds].iter().take(outcomes[0].1).filter(|d| **d != TurnAway).count();
+            let runs = BEHAVIORS[behaviors].iter().take(outcomes[0].1).filter(|d| **d != Refuse).count();
             assert!(runs <= 1, "an unsafe order may have run {runs} times");
         }
     }
--- a/node/tests/rude.rs
+++ b/node/tests/rude.rs
@@ -1,11 +1,11 @@
-//! Clients that send what they should not, or nothing, and what that costs others.
+//! Clients that send invalid requests, or nothing, and the effect on others.
 
 use birchswitch_standin::scripted::*;
 
 const HEAD: &str = "POST /unsafe HTTP/1.1\r\nHost: a\r\nX-Timeout: 60000m\r\nX-Tenant-Id: one\r\n";
 
-/// Writes something, and expects this answer and then the connection's end.
-async fn turned_down(node: &Node, text: &str, status: u16) {
+/// Sends a text, and expects this status and then the end of the connection.
+async fn expect_rejected(node: &Node, text: &str, status: u16) {
     let mut client = node.client().await;
     client.write_until_closed(text).await;
     let answer = client.read().await.unwrap_or_else(|| panic!("no answer to {text:.200}"));
@@ -14,25 +14,26 @@
     client.wait_closed().await;
 }
 
-/// With both headers a node and a server may differ on where the body ends, and the rest of it would be a request that
-/// nobody here has looked at. Neither of the two may go on, whichever header comes first.
+/// Request smuggling: with both headers a node and a server may disagree on where the body ends, and the
+/// rest of it would be a request that the node has not checked. Neither order of the headers may be
+/// forwarded.
 #[tokio::test]
-async fn no_request_hides_in_a_body() {
+async fn no_request_is_smuggled_in_a_body() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let hidden = format!("{HEAD}X-Request-ID: hidden\r\nContent-Length: 0\r\n\r\n");
-    let body = format!("0\r\n\r\n{hidden}");
+    let smuggled = format!("{HEAD}X-Request-ID: hidden\r\nContent-Length: 0\r\n\r\n");
+    let body = format!("0\r\n\r\n{smuggled}");
     let length = format!("Content-Length: {}\r\n", body.len());
     let chunked = "Transfer-Encoding: chunked\r\n";
     for headers in [format!("{length}{chunked}"), format!("{chunked}{length}")] {
-        turned_down(&node, &format!("{HEAD}X-Request-ID: r\r\n{headers}\r\n{body}"), 400).await;
+        expect_rejected(&node, &format!("{HEAD}X-Request-ID: r\r\n{headers}\r\n{body}"), 400).await;
     }
     let differing = "Content-Length: 0\r\nContent-Length: 5\r\n";
-    turned_down(&node, &format!("{HEAD}X-Request-ID: r\r\n{differing}\r\n{hidden}"), 400).await;
-    assert!(server.has_no_connection().await, "passed on");
+    expect_rejected(&node, &format!("{HEAD}X-Request-ID: r\r\n{differing}\r\n{smuggled}"), 400).await;
+    assert!(server.has_no_connection().await, "forwarded");
 }
 
-/// Chunks alone are fine. What comes behind them is not read as a request: the connection ends.
+/// A chunked request is served. Data behind it is not read as a request: the connection ends.
 #[tokio::test]
 async fn a_chunked_body_is_the_last_of_its_connection() {
     let server = Peer::new().await;
@@ -48,29 +49,29 @@
     assert!(server.has_no_connection().await, "read on");
 }
 
-/// A length that is no number, that does not fit what has come, or that is more than a node takes is answered as soon as
-/// the head is there: nobody has to send 60 MB to be told.
+/// A length that is not a number, does not match the data received, or exceeds the limit is rejected as
+/// soon as the head has arrived: no client has to send 60 MB to find out.
 #[tokio::test]
-async fn lengths_that_make_no_sense_are_turned_down_at_once() {
+async fn invalid_lengths_are_rejected_at_once() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     for (length, status) in [("-5", 400), ("5x", 400), ("99999999999999999999999", 400), ("60000000", 413)] {
         let text = format!("{HEAD}X-Request-ID: r\r\nContent-Length: {length}\r\n\r\n");
-        turned_down(&node, &text, status).await;
+        expect_rejected(&node, &text, status).await;
     }
     let text = format!("{HEAD}X-Request-ID: r\r\nContent-Length: 3\r\n\r\nabcdef");
-    turned_down(&node, &text, 400).await;
-    turned_down(&node, &format!("{HEAD}X-Long: {}", "a".repeat(1 << 20)), 431).await;
-    turned_down(&node, &format!("{HEAD}{}", "X-Many: 1\r\n".repeat(500)), 431).await;
-    assert!(server.has_no_connection().await, "passed on");
+    expect_rejected(&node, &text, 400).await;
+    expect_rejected(&node, &format!("{HEAD}X-Long: {}", "a".repeat(1 << 20)), 431).await;
+    expect_rejected(&node, &format!("{HEAD}{}", "X-Many: 1\r\n".repeat(500)), 431).await;
+    assert!(server.has_no_connection().await, "forwarded");
 }
 
-/// The id of a request that is open, or that a server may still be working on, is no new request's: the server would take
-/// it for a repeat, or run it twice. The first one is not disturbed.
+/// A new request may not use the id of one that is open or that a server may still be working on: the
+/// server would take it for a repeat, or run it twice. The first request is not affected.
 #[tokio::test]
-async fn an_open_id_is_not_passed_on_again() {
+async fn an_open_id_is_not_forwarded_again() {
     let server = Peer::new().await;
-    // Without probes, each connection brings a request of the test's own, and each request a connection of its own.
+    // Without probes, connections and requests of the test correspond one to one.
     let mut settings = settings();
     settings["limits"]["may_probe"] = false.into();
     let (node, _discovery, _watch) = Node::serving_with_settings(settings, &[("s", &server)]).await;
@@ -78,7 +79,7 @@
     first.send_with_id("same", "unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     let second = format!("{HEAD}X-Request-ID: same\r\nContent-Length: 0\r\n\r\n");
-    turned_down(&node, &second, 409).await;
+    expect_rejected(&node, &second, 409).await;
     wire.answer("200 OK", "Connection: close\r\n", "first").await;
     assert_eq!(first.read().await.expect("an answer").body, b"first");
 
@@ -86,16 +87,16 @@
     leaving.send_with_id("left", "unsafe", "20000m").await;
     let (mut wire, request) = server.request().await;
     assert_eq!(request.header("x-request-id"), Some("left"));
-    // It may have run: so it is told.
-    let told = leaving.shutdown_and_read().await;
-    assert!(told.starts_with("HTTP/1.1 504 "), "{told}");
-    turned_down(&node, &second.replace("same", "left"), 409).await;
+    // It may have run, so the answer is 504.
+    let answer = leaving.shutdown_and_read().await;
+    assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
+    expect_rejected(&node, &second.replace("same", "left"), 409).await;
     wire.answer("200 OK", "", "").await;
 }
 
-/// Who says nothing, begins a head or begins a body is not waited for as long as it likes.
+/// A client that sends nothing, or only part of a head or body, is not waited for indefinitely.
 #[tokio::test]
-async fn slow_clients_are_sent_away() {
+async fn slow_clients_are_disconnected() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut silent = node.client().await;
@@ -108,14 +109,14 @@
     tokio::join!(
         silent.expect_closed(),
         kept.expect_closed(),
-        turned_down(&node, "POST /unsafe HTT", 408),
-        turned_down(&node, &body, 408),
+        expect_rejected(&node, "POST /unsafe HTT", 408),
+        expect_rejected(&node, &body, 408),
     );
 }
 
-/// A crowd that says nothing does not delay those that have something to say, nor take their kept connections from them.
+/// Many silent clients neither delay active clients nor cost them their kept connections.
 #[tokio::test]
-async fn a_silent_crowd_pushes_nobody_out() {
+async fn silent_clients_displace_no_other_client() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving_with_sockets(64, settings(), &[("s", &server)]).await;
     let serving = tokio::spawn(async move {
@@ -129,29 +130,29 @@
             });
         }
     });
-    // Kept from before the crowd. In it, a connection is given up after each answer.
-    let mut usual = node.client().await;
+    // Kept from before the silent clients connect. Among them, a connection is closed after each answer.
+    let mut regular = node.client().await;
     let began = std::time::Instant::now();
-    assert_eq!(usual.round_trip("unsafe").await.expect("an answer").status(), 200);
-    let mut crowd = Vec::new();
+    assert_eq!(regular.round_trip("unsafe").await.expect("an answer").status(), 200);
+    let mut silent_clients = Vec::new();
     for k in 0..200 {
-        crowd.push(node.client().await);
+        silent_clients.push(node.client().await);
         if k % 20 == 0 {
             assert_eq!(node.client().await.round_trip("unsafe").await.expect("an answer").status(), 200);
         }
     }
-    // A machine too busy to come here within the time for which it is kept shows nothing.
+    // Checked only if the machine was fast enough to get here within the keep-alive time.
     if began.elapsed().as_millis() < 1500 {
-        assert_eq!(usual.round_trip("unsafe").await.expect("its connection is kept").status(), 200);
+        assert_eq!(regular.round_trip("unsafe").await.expect("its connection is kept").status(), 200);
     }
     assert!(node.descriptors() <= 64);
     serving.abort();
 }
 
-/// Clients that ask once and keep their connection for good fill all places, and may not be closed for a while: there
-/// would be no room for anyone else until then.
+/// Clients that send one request and keep their connection open fill all slots. If those could not be
+/// closed for a while, no other client would get in until then.
 #[tokio::test]
-async fn clients_that_ask_once_keep_nobody_out() {
+async fn clients_with_one_request_block_no_other_client() {
     let discovery = Peer::new().await;
     let node = Node::start(&discovery, settings(), 64).await;
     let (mut watch, _) = discovery.watch().await;
@@ -164,13 +165,13 @@
         assert_eq!(client.round_trip("unsafe").await.expect("an answer").status(), 503);
         kept.push(client);
     }
-    // Closing only what has been idle for two seconds would let in 16 in that time: 50 s for all.
+    // Closing only connections idle for two seconds would admit 16 clients in that time: 50 s for all.
     assert!(began.elapsed().as_secs() < 25);
 }
 
-/// More than one request may lie on a connection. Each is answered, in order, and what is no good among them ends it.
+/// Pipelined requests are each answered, in order; an invalid one ends the connection.
 #[tokio::test]
-async fn requests_in_a_row_are_answered_in_order() {
+async fn pipelined_requests_are_answered_in_order() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -187,9 +188,10 @@
     assert!(server.has_no_connection().await, "read on");
 }
 
-/// Two headers of a kind that counts once, figures that are none and methods that don't go with the class are malformed.
+/// Duplicates of single-valued headers, invalid numbers and methods that do not match the class are
+/// malformed.
 #[tokio::test]
-async fn heads_must_be_clear() {
+async fn ambiguous_heads_are_rejected() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     for (lines, status) in [
@@ -198,14 +200,15 @@
         ("X-Request-ID: a\r\nX-Cost: much\r\n", 400),
         ("X-Request-ID: a\r\nX-Cost: -1\r\n", 400),
     ] {
-        turned_down(&node, &format!("{HEAD}{lines}\r\n"), status).await;
+        expect_rejected(&node, &format!("{HEAD}{lines}\r\n"), status).await;
     }
     for (from, to, status) in
         [("POST", "GET", 405), ("POST", "DELETE", 405), ("unsafe", "safe", 405), ("unsafe", "none", 404)]
     {
-        turned_down(&node, &format!("{}X-Request-ID: a\r\n\r\n", HEAD.replacen(from, to, 1)), status).await;
+        expect_rejected(&node, &format!("{}X-Request-ID: a\r\n\r\n", HEAD.replacen(from, to, 1)), status)
+            .await;
     }
-    assert!(server.has_no_connection().await, "passed on");
+    assert!(server.has_no_connection().await, "forwarded");
     let answer = node.get("/health/live").await;
     assert_eq!((answer.status(), answer.header("connection")), (200, None));
 }
--- a/node/tests/scale.rs
+++ b/node/tests/scale.rs
@@ -1,4 +1,4 @@
-//! A slice of the scale run: a small fleet with all its fleet-wide parts on, measured by role.
+//! A reduced scale run: a small fleet with all fleet-wide parts enabled, measured by role.
 
 use birchswitch_standin::process::{block_on, node_binary};
 use birchswitch_standin::rig::scale::{check, head, play, row, Size};
@@ -17,7 +17,7 @@
     for role in
         ["holder of limits", "holder of tuner", "holder of verdict", "holder of wallet", "node", "voter"]
     {
-        // One that holds nothing may be left of none.
+        // Every voter may also hold another role, which leaves no process that is only a voter.
         let Some((processes, cost)) = step.roles.get(role) else {
             assert!(role == "voter", "{role}: {:?}", step.roles.keys());
             continue;
@@ -29,8 +29,11 @@
         );
     }
     let of = |role: &str| step.roles[role].1;
-    // One that came into office meanwhile has not answered all others for long.
+    // In a void run the holder changed, so the new one has not answered all others for long.
     if step.void.is_none() {
-        assert!(of("holder of limits").stream_bytes > of("node").stream_bytes, "it answers all others");
+        assert!(
+            of("holder of limits").stream_bytes > of("node").stream_bytes,
+            "the holder of the limits answers all others"
+        );
     }
 }
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -1,53 +1,55 @@
-//! Discovery that falls silent, breaks off or comes back, at each point of a call.
+//! Discovery that goes silent, fails or recovers at each point of a call.
 
 use birchswitch_standin::scripted::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// A change counts as announced this long after discovery had it and was reachable.
+const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
 
-/// Answers the next call that opens a watch with a whole list that names no servers, and waits until it has been taken.
-async fn drops_all(node: &Node, discovery: &Peer, revision: u64) -> Watch {
+/// Answers the next watch request with a complete list without servers, and waits until the node has
+/// applied it.
+async fn send_empty_list(node: &Node, discovery: &Peer, revision: u64) -> Watch {
     let (mut watch, _) = discovery.watch().await;
     watch.list(revision, true, &[]).await;
     node.wait_for_list(revision).await;
     watch
 }
 
-async fn is_refused(node: &Node, server: &Peer) {
+async fn expect_refused(node: &Node, server: &Peer) {
     assert_eq!(node.client().await.round_trip("unsafe").await.expect("an answer").status(), 503);
-    assert!(server.has_no_connection().await, "sent to a server that is gone");
+    assert!(server.has_no_connection().await, "sent to a removed server");
 }
 
-/// A watch that breaks in some way, and is opened anew in time.
-async fn is_opened_anew(told: Value, breaks: impl AsyncFnOnce(&Peer, Watch)) {
+/// Breaks a watch in some way and checks that it is reopened in time.
+async fn expect_reopened(registry_mode: Value, break_watch: impl AsyncFnOnce(&Peer, Watch)) {
     let server = Peer::new().await;
     let mut settings = settings();
-    settings["registry_mode"] = told;
+    settings["registry_mode"] = registry_mode;
     let (node, discovery, watch) = Node::serving_with_settings(settings, &[("s", &server)]).await;
     let began = Instant::now();
-    breaks(&discovery, watch).await;
-    let _watch = drops_all(&node, &discovery, 2).await;
-    println!("opened after {:?}", began.elapsed());
-    assert!(began.elapsed() < TOLD, "told after {:?}", began.elapsed());
-    // What a whole list leaves out is gone, though it still answers.
-    is_refused(&node, &server).await;
+    break_watch(&discovery, watch).await;
+    let _watch = send_empty_list(&node, &discovery, 2).await;
+    println!("reopened after {:?}", began.elapsed());
+    assert!(began.elapsed() < ANNOUNCED_AFTER, "applied after {:?}", began.elapsed());
+    // A server missing from a complete list is removed, though it still answers.
+    expect_refused(&node, &server).await;
 }
 
-/// The list is pushed to an agent, or asked for.
+/// The list is pushed to an agent, or requested.
 const MODES: [&str; 2] = ["automatic", "subscribe"];
 
 #[tokio::test]
-async fn a_watch_that_falls_silent_at_once() {
+async fn a_watch_that_goes_silent_at_once() {
     for mode in MODES {
-        is_opened_anew(json!(mode), async |_, mut watch| watch.0.expect_closed().await).await;
+        expect_reopened(json!(mode), async |_, mut watch| watch.0.expect_closed().await).await;
     }
 }
 
-/// The clock runs from the last line heard, be it an empty one: a watch that has been well for long is given up as soon.
+/// The silence timeout counts from the last line, even an empty one: a watch that worked for a long time is
+/// given up just as soon.
 #[tokio::test]
-async fn a_watch_that_falls_silent_after_13_s() {
+async fn a_watch_that_goes_silent_after_13_s() {
     let server = Peer::new().await;
     let (node, discovery, mut watch) = Node::serving(&[("s", &server)]).await;
     let began = Instant::now();
@@ -55,18 +57,18 @@
         watch.line("").await;
         tokio::time::sleep(Duration::from_secs(2)).await;
     }
-    assert!(discovery.has_no_connection().await, "it is well, and was opened anew");
+    assert!(discovery.has_no_connection().await, "a working watch was reopened");
     let silent = Instant::now();
     watch.0.expect_closed().await;
-    let _watch = drops_all(&node, &discovery, 2).await;
-    assert!(silent.elapsed() < TOLD, "told after {:?}", silent.elapsed());
-    is_refused(&node, &server).await;
+    let _watch = send_empty_list(&node, &discovery, 2).await;
+    assert!(silent.elapsed() < ANNOUNCED_AFTER, "applied after {:?}", silent.elapsed());
+    expect_refused(&node, &server).await;
 }
 
 #[tokio::test]
-async fn a_watch_that_falls_silent_in_the_middle_of_a_line() {
+async fn a_watch_that_goes_silent_in_the_middle_of_a_line() {
     for mode in MODES {
-        is_opened_anew(json!(mode), async |_, mut watch| {
+        expect_reopened(json!(mode), async |_, mut watch| {
             watch.0.write("1e\r\n{\"revision\":2,\"complete\":tr\r\n").await;
             watch.0.expect_closed().await;
         })
@@ -74,10 +76,10 @@
     }
 }
 
-/// Bytes go on coming, but no list comes to its end.
+/// Bytes keep arriving, but no list is completed.
 #[tokio::test]
 async fn a_watch_whose_line_never_ends() {
-    is_opened_anew(json!("automatic"), async |_, mut watch| {
+    expect_reopened(json!("automatic"), async |_, mut watch| {
         watch.0.write("e\r\n{\"revision\":2,\r\n").await;
         tokio::spawn(async move {
             loop {
@@ -92,7 +94,7 @@
 #[tokio::test]
 async fn a_watch_that_is_reset_and_calls_that_are_refused() {
     for mode in MODES {
-        is_opened_anew(json!(mode), async |discovery, watch| {
+        expect_reopened(json!(mode), async |discovery, watch| {
             watch.0.reset();
             let (mut wire, _) = discovery.request().await;
             wire.answer("503 Service Unavailable", "", "").await;
@@ -104,11 +106,11 @@
     }
 }
 
-/// A watch that falls silent, and two refused calls after it.
+/// A watch that goes silent, followed by two refused calls.
 #[tokio::test]
-async fn a_watch_that_falls_silent_and_calls_that_are_refused() {
+async fn a_watch_that_goes_silent_and_calls_that_are_refused() {
     for mode in MODES {
-        is_opened_anew(json!(mode), async |discovery, mut watch| {
+        expect_reopened(json!(mode), async |discovery, mut watch| {
             watch.0.expect_closed().await;
             for _ in 0..2 {
                 let (mut wire, _) = discovery.request().await;
@@ -119,25 +121,25 @@
     }
 }
 
-/// An agent that is silent answers nothing that it was asked meanwhile: it is asked again soon, so that what it has once it
-/// is back is known within the grace of a drain.
+/// A silent agent never answers calls made during its silence: the node calls again soon, so that the list
+/// is known within the drain grace once the agent is back.
 #[tokio::test]
-async fn an_agent_that_comes_back_is_heard_within_a_second() {
+async fn a_recovered_agent_is_heard_within_a_second() {
     let server = Peer::new().await;
     let (node, discovery, watch) = Node::serving(&[("s", &server)]).await;
     drop(watch);
-    // Calls come up and are never answered.
+    // These calls are accepted and never answered.
     let mut unanswered = Vec::new();
     for _ in 0..3 {
         unanswered.push(discovery.request().await);
     }
-    let back = Instant::now();
-    let _watch = drops_all(&node, &discovery, 2).await;
-    assert!(back.elapsed() < Duration::from_secs(1), "heard after {:?}", back.elapsed());
-    is_refused(&node, &server).await;
+    let recovered = Instant::now();
+    let _watch = send_empty_list(&node, &discovery, 2).await;
+    assert!(recovered.elapsed() < Duration::from_secs(1), "heard after {:?}", recovered.elapsed());
+    expect_refused(&node, &server).await;
 }
 
-/// Lists may be indented over many lines.
+/// A list may be indented over many lines.
 #[tokio::test]
 async fn lists_may_be_indented() {
     let server = Peer::new().await;
@@ -153,16 +155,16 @@
     assert_eq!(node.get("/health/ready").await.status(), 200);
 }
 
-/// The new source says that a server drains; what the old one still had to say comes later, and undoes nothing.
+/// The new source reports a draining server; a late line of the old source must not undo that.
 #[tokio::test]
-async fn a_late_line_of_the_old_source_undoes_no_drain_of_the_new_one() {
+async fn a_late_line_of_the_old_source_does_not_undo_a_drain() {
     let (server, new) = (Peer::new().await, Peer::new().await);
     let (mut node, _old, mut watch) = Node::serving(&[("s", &server)]).await;
     node.reconfigure("discovery", json!(new.address().to_string())).await;
     let (mut wire, _) = new.request().await;
     let draining = [member("s", server.address(), "leaving")];
     let list = json!({"revision": 3, "complete": true, "members": draining});
-    // Both reach the node in one moment.
+    // Both reach the node at once.
     node.signal("STOP").await;
     wire.answer("200 OK", "", &list.to_string()).await;
     let late = json!({"revision": 9, "complete": true, "members": [member("s", server.address(), "active")]});
@@ -170,12 +172,13 @@
     watch.0.write_until_closed(&format!("{:x}\r\n{late}\n\r\n", late.len() + 1)).await;
     node.signal("CONT").await;
     node.wait_for_list(3).await;
-    is_refused(&node, &server).await;
+    expect_refused(&node, &server).await;
 }
 
-/// The new source falls silent over the move: it is asked again, and the old one is not listened to meanwhile.
+/// The new source is silent after a change of address: it is queried again, and the old one is ignored
+/// meanwhile.
 #[tokio::test]
-async fn a_new_source_that_is_silent_is_asked_again() {
+async fn a_silent_new_source_is_queried_again() {
     let (server, new) = (Peer::new().await, Peer::new().await);
     let (mut node, _old, watch) = Node::serving(&[("s", &server)]).await;
     node.reconfigure("discovery", json!(new.address().to_string())).await;
@@ -184,13 +187,13 @@
     let (mut wire, _) = new.request().await;
     wire.answer("200 OK", "", "{\"revision\":5,\"complete\":true,\"members\":[]}").await;
     node.wait_for_list(5).await;
-    assert!(moved.elapsed() < Duration::from_secs(4), "told after {:?}", moved.elapsed());
-    is_refused(&node, &server).await;
+    assert!(moved.elapsed() < Duration::from_secs(4), "applied after {:?}", moved.elapsed());
+    expect_refused(&node, &server).await;
     drop(watch);
 }
 
-/// All descriptors that clients may hold are taken by some that say nothing, and discovery is down. It comes back with a drain,
-/// and finds the node able to call.
+/// Idle clients hold all descriptors available to clients while discovery is down. Discovery recovers and
+/// announces a drain, and the node must still be able to call it.
 #[tokio::test]
 async fn idle_clients_leave_room_for_calls_to_discovery() {
     let server = Peer::new().await;
@@ -207,16 +210,17 @@
     let (mut watch, _) = discovery.watch().await;
     watch.list(2, false, &[member("s", server.address(), "leaving")]).await;
     node.wait_for_list(2).await;
-    is_refused(&node, &server).await;
+    expect_refused(&node, &server).await;
 }
 
-/// A process that starts while discovery says nothing, answers slowly or refuses serves by the list that it last had.
+/// A process that starts while discovery is silent, refuses calls or is unreachable serves with the last
+/// known list.
 #[tokio::test]
 async fn a_restart_is_ready_whatever_discovery_does() {
     let server = Peer::new().await;
     for mode in MODES {
-        for deed in ["silent", "refusing", "gone"] {
-            let discovery = if deed == "gone" { Peer::unreachable().await } else { Peer::new().await };
+        for behavior in ["silent", "refusing", "gone"] {
+            let discovery = if behavior == "gone" { Peer::unreachable().await } else { Peer::new().await };
             let mut settings = settings();
             settings["registry_mode"] = json!(mode);
             let known = json!({"revision": 4, "complete": true,
@@ -226,11 +230,11 @@
                 "limits": {"sockets": 256, "memory_mb": MEMORY_MB}, "settings": settings, "known": known,
             });
             let node = Node::with_config(config, &[]).await;
-            assert_eq!(node.get("/health/ready").await.status(), 200, "{mode}, {deed}");
+            assert_eq!(node.get("/health/ready").await.status(), 200, "{mode}, {behavior}");
             let calls = async {
-                if deed != "gone" {
+                if behavior != "gone" {
                     let (mut wire, _) = discovery.request().await;
-                    if deed == "refusing" {
+                    if behavior == "refusing" {
                         wire.answer("503 Service Unavailable", "", "").await;
                     }
                     return Some(wire);
@@ -242,7 +246,7 @@
             client.send("unsafe", "20000m").await;
             let (mut wire, _) = server.request().await;
             wire.answer("200 OK", "Connection: close\r\n", "").await;
-            assert_eq!(client.read().await.expect("an answer").status(), 200, "{mode}, {deed}");
+            assert_eq!(client.read().await.expect("an answer").status(), 200, "{mode}, {behavior}");
         }
     }
 }
--- a/node/tests/verdicts.rs
+++ b/node/tests/verdicts.rs
@@ -1,5 +1,6 @@
-//! Verdicts among processes: a server that fails is withheld by all, one node's word alone and a release that breaks all condemn nobody, and a
-//! judge that errs withholds no more than the stated part.
+//! Verdicts among processes: a failing server is withheld by all nodes; neither one node's reports alone
+//! nor a release that breaks all servers condemns any; and a faulty judge withholds no more than the
+//! configured part.
 
 use birchswitch_standin::process::{block_on, node_binary};
 use birchswitch_standin::rig::history::History;
@@ -17,27 +18,27 @@
 const SEED: u64 = 1;
 const NODES: usize = 6;
 const SERVERS: usize = 8;
-const FINE: ServerBehavior = ServerBehavior {
+const HEALTHY: ServerBehavior = ServerBehavior {
     service_time: Duration::from_millis(10),
     error_permille: 0,
     slow_permille: 0,
     reported_load: 0.5,
 };
-const BAD: ServerBehavior = ServerBehavior { error_permille: 1000, ..FINE };
+const FAILING: ServerBehavior = ServerBehavior { error_permille: 1000, ..HEALTHY };
 
-struct Court {
+struct VerdictRig {
     rig: Rig,
     site: Site,
     _load: Load,
 }
 
-fn on_a_set<T>(test: impl Future<Output = T>) -> T {
+fn run_local<T>(test: impl Future<Output = T>) -> T {
     block_on(test).expect("a runtime")
 }
 
-/// Nodes that get a few requests a second each, without one of these safeguards.
-async fn open(without: &str, streams: bool) -> Court {
-    let site = Site::start(SERVERS, FINE).await.expect("servers");
+/// Starts nodes that get a few requests a second each, with the named safeguards disabled.
+async fn start(without: &str, streams: bool) -> VerdictRig {
+    let site = Site::start(SERVERS, HEALTHY).await.expect("servers");
     let mut script = Script::parse("0s wire lose 0", 0, NODES).expect("a script");
     script.seed = SEED;
     let operator =
@@ -53,15 +54,15 @@
     };
     let rig = Rig::start(plan).await.expect("a rig");
     rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
-    let order = RequestSpec { class: "safe".into(), tenant: "one".into(), key: None, cost: None };
-    let rate = || NodeLoad { per_s: Rc::new(Cell::new(15.0)), requests: vec![order.clone()] };
-    let load = Load::start((0..NODES).map(|_| rate()).collect(), rig.client_addresses());
-    until(&rig, "a judge", |h| count(h, "judges") > 0).await;
+    let request = RequestSpec { class: "safe".into(), tenant: "one".into(), key: None, cost: None };
+    let node_load = || NodeLoad { per_s: Rc::new(Cell::new(15.0)), requests: vec![request.clone()] };
+    let load = Load::start((0..NODES).map(|_| node_load()).collect(), rig.client_addresses());
+    wait_until(&rig, "a judge", |h| count(h, "judges") > 0).await;
     sleep(Duration::from_secs(2)).await;
-    Court { rig, site, _load: load }
+    VerdictRig { rig, site, _load: load }
 }
 
-async fn until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) -> Duration {
+async fn wait_until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) -> Duration {
     rig.wait_until(what, Duration::from_secs(40), holds, |_| "nothing".to_owned()).await.expect("in time")
 }
 
@@ -69,13 +70,13 @@
     history.lines.iter().filter(|l| l.kind == kind).count()
 }
 
-/// How many servers each node withholds, by its last word on it.
+/// The number of servers that each node withholds, by its last log line.
 fn withheld(history: &History) -> BTreeMap<usize, u64> {
     let lines = history.lines.iter().filter(|l| l.kind == "obeys");
     lines.map(|l| (l.place, l.number("servers"))).collect()
 }
 
-/// Requests at each server over some seconds, beside the mean of all.
+/// Each server's share of the requests over some seconds, relative to the mean.
 async fn shares(site: &Site, seconds: u64) -> Vec<f64> {
     let before = site.count();
     sleep(Duration::from_secs(seconds)).await;
@@ -85,73 +86,83 @@
 }
 
 #[test]
-fn a_server_that_fails_is_withheld_by_all_and_let_in_again_by_degrees() {
-    on_a_set(async {
-        let court = open("", false).await;
-        court.site.set_behavior(0, BAD);
-        let took = until(&court.rig, "a verdict", |h| count(h, "condemned") > 0).await;
-        let all =
-            until(&court.rig, "all to obey", |h| withheld(h).values().filter(|n| **n > 0).count() == NODES)
-                .await;
-        let shares_now = shares(&court.site, 3).await;
-        println!("condemned after {took:?}, obeyed by all {all:?} later; shares {shares_now:.2?}");
-        assert!(shares_now[0] < 0.25, "{shares_now:.2?}");
-        assert!(court.site.received().iter().rev().take(600).any(|s| s.server == 0), "a trickle always");
-        // Its judge dies: another takes up the matter, and meanwhile nobody obeys what is older than its end.
+fn a_failing_server_is_withheld_by_all_and_readmitted_gradually() {
+    run_local(async {
+        let cluster = start("", false).await;
+        cluster.site.set_behavior(0, FAILING);
+        let condemned_after = wait_until(&cluster.rig, "a verdict", |h| count(h, "condemned") > 0).await;
+        let applied_after = wait_until(&cluster.rig, "all to apply it", |h| {
+            withheld(h).values().filter(|n| **n > 0).count() == NODES
+        })
+        .await;
+        let current_shares = shares(&cluster.site, 3).await;
+        println!("condemned after {condemned_after:?}, applied by all {applied_after:?} later; shares {current_shares:.2?}");
+        assert!(current_shares[0] < 0.25, "{current_shares:.2?}");
+        assert!(
+            cluster.site.received().iter().rev().take(600).any(|s| s.server == 0),
+            "a trickle of requests remains"
+        );
+        // The judge dies: another takes over, and meanwhile no node applies an expired verdict.
         let judge =
-            court.rig.history().lines.iter().rev().find(|l| l.kind == "judges").map_or(0, |l| l.place);
-        let judges = count(&court.rig.history(), "judges");
-        let mut court = court;
-        court.rig.kill(judge).await.expect("killed");
-        until(&court.rig, "another judge", |h| count(h, "judges") > judges).await;
-        court.site.set_behavior(0, FINE);
-        until(&court.rig, "all to let it in", |h| {
+            cluster.rig.history().lines.iter().rev().find(|l| l.kind == "judges").map_or(0, |l| l.place);
+        let judges = count(&cluster.rig.history(), "judges");
+        let mut cluster = cluster;
+        cluster.rig.kill(judge).await.expect("killed");
+        wait_until(&cluster.rig, "another judge", |h| count(h, "judges") > judges).await;
+        cluster.site.set_behavior(0, HEALTHY);
+        wait_until(&cluster.rig, "all to use it again", |h| {
             withheld(h).iter().all(|(place, n)| *n == 0 || *place == judge)
         })
         .await;
-        court.rig.close().await.expect("the end");
+        cluster.rig.close().await.expect("the end");
     });
 }
 
-/// One node's road to all servers is cut: it alone says that they fail.
+/// One node is cut off from all servers: it alone reports failures.
 #[test]
-fn one_nodes_bad_road_condemns_nobody() {
-    on_a_set(async {
-        let mut court = open("", true).await;
+fn failures_seen_by_one_node_condemn_no_server() {
+    run_local(async {
+        let mut cluster = start("", true).await;
         let script = Script::parse("0s wire cut n5 servers\n8s wire heal\n9s wire lose 0", 0, NODES)
             .expect("a script");
-        court.rig.set_script(script);
-        court.rig.play(|_| ()).await.expect("played");
-        assert_eq!(count(&court.rig.history(), "condemned"), 0);
-        court.rig.close().await.expect("the end");
+        cluster.rig.set_script(script);
+        cluster.rig.play(|_| ()).await.expect("played");
+        assert_eq!(count(&cluster.rig.history(), "condemned"), 0);
+        cluster.rig.close().await.expect("the end");
     });
 }
 
 #[test]
-fn a_release_that_breaks_all_condemns_nobody() {
-    on_a_set(async {
-        let court = open("", false).await;
-        (0..SERVERS).for_each(|n| court.site.set_behavior(n, ServerBehavior { error_permille: 600, ..FINE }));
+fn a_release_that_breaks_all_servers_condemns_none() {
+    run_local(async {
+        let cluster = start("", false).await;
+        (0..SERVERS)
+            .for_each(|n| cluster.site.set_behavior(n, ServerBehavior { error_permille: 600, ..HEALTHY }));
         sleep(Duration::from_secs(8)).await;
-        assert_eq!(count(&court.rig.history(), "condemned"), 0);
-        court.rig.close().await.expect("the end");
+        assert_eq!(count(&cluster.rig.history(), "condemned"), 0);
+        cluster.rig.close().await.expect("the end");
     });
 }
 
-/// A judge that condemns every second server: a quarter may be withheld, and no more is; without the ration more is.
+/// A judge condemns every second server: at most a quarter may be withheld; with the ration disabled it is
+/// more.
 #[test]
-fn a_judge_that_errs_withholds_no_more_than_the_stated_part() {
-    on_a_set(async {
+fn a_faulty_judge_withholds_no_more_than_the_configured_part() {
+    run_local(async {
         for (without, rationed) in [("\"evidence\"", true), ("\"evidence\", \"ration\"", false)] {
-            let court = open(without, false).await;
-            until(&court.rig, "all to obey", |h| withheld(h).values().filter(|n| **n > 0).count() == NODES)
-                .await;
-            let shares = shares(&court.site, 4).await;
-            let few = shares.iter().filter(|s| **s < 0.5).count();
+            let cluster = start(without, false).await;
+            wait_until(&cluster.rig, "all to apply it", |h| {
+                withheld(h).values().filter(|n| **n > 0).count() == NODES
+            })
+            .await;
+            let shares = shares(&cluster.site, 4).await;
+            let withheld_servers = shares.iter().filter(|s| **s < 0.5).count();
             println!("without {without}: shares {shares:.2?}");
-            assert_eq!(few <= SERVERS / 4, rationed, "{without}: {shares:.2?}");
-            assert!(withheld(&court.rig.history()).values().all(|n| (*n <= SERVERS as u64 / 4) == rationed));
-            court.rig.close().await.expect("the end");
+            assert_eq!(withheld_servers <= SERVERS / 4, rationed, "{without}: {shares:.2?}");
+            assert!(withheld(&cluster.rig.history())
+                .values()
+                .all(|n| (*n <= SERVERS as u64 / 4) == rationed));
+            cluster.rig.close().await.expect("the end");
         }
     });
 }
