--- a/node/tests/attempts.rs
+++ b/node/tests/attempts.rs
@@ -1,10 +1,10 @@
-//! What goes on to servers, and what their answers are taken for.
+//! What is forwarded to servers, and how their answers are interpreted.
 
 use birchswitch_standin::scripted::*;
 use std::time::Duration;
 
 #[tokio::test]
-async fn a_request_and_its_answer_pass_unchanged() {
+async fn a_request_and_its_answer_are_forwarded_unchanged() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -20,16 +20,20 @@
     for (name, value) in [("x-request-id", "9b1f"), ("idempotency-key", "5c0f"), ("cookie", "obj=7")] {
         assert_eq!(request.header(name), Some(value));
     }
-    let wait = request.header("x-timeout").and_then(|v| v.strip_suffix('u')).expect("microseconds");
-    assert!(wait.parse::<u64>().expect("a number") < 9_000_000, "what remains is less than what there was");
+    let timeout = request.header("x-timeout").and_then(|v| v.strip_suffix('u')).expect("microseconds");
+    assert!(
+        timeout.parse::<u64>().expect("a number") < 9_000_000,
+        "the remaining time is shorter than the original timeout"
+    );
     wire.answer("200 OK", "X-More: 1\r\n", "bye").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"bye"[..]));
 }
 
-/// Only the mark proves that a request did not run: a bare 503 may come from behind the work.
+/// Only the X-Not-Processed header proves that a request did not run: a bare 503 may be sent after the work
+/// was done.
 #[tokio::test]
-async fn a_bare_503_ends_an_unsafe_request_as_failed() {
+async fn a_bare_503_fails_an_unsafe_request() {
     let (one, two) = (Peer::new().await, Peer::new().await);
     let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
     for headers in ["", "X-Not-Processed: 0\r\n"] {
@@ -47,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn an_unsafe_request_goes_on_when_it_surely_did_not_run() {
+async fn an_unsafe_request_is_retried_when_it_did_not_run() {
     let (one, two) = (Peer::new().await, Peer::new().await);
     let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
     let mut client = node.client().await;
@@ -63,9 +67,10 @@
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
-/// A connection that breaks after the request, even in the middle of its answer, leaves open whether it ran.
+/// If the connection breaks after the request was sent, even in the middle of the answer, the request may
+/// have run.
 #[tokio::test]
-async fn a_broken_connection_may_have_run() {
+async fn a_request_on_a_broken_connection_may_have_run() {
     let (one, two) = (Peer::new().await, Peer::new().await);
     let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
     for begun in ["", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"] {
@@ -82,19 +87,20 @@
     }
 }
 
-/// A refused connection carried nothing, so that even an unsafe request may be refused: the client may come again.
+/// Nothing was sent over a refused connection, so even an unsafe request may be refused: the client may
+/// retry.
 #[tokio::test]
-async fn a_refused_connection_never_ran() {
+async fn a_request_on_a_refused_connection_never_ran() {
     let (node, _discovery, _watch) = Node::serving(&[("s", &Peer::unreachable().await)]).await;
     let answer = node.client().await.round_trip("unsafe").await.expect("an answer");
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.header("retry-after"), Some("1.500"));
 }
 
-/// Without a look at the socket first, the request is written to a connection that the server has closed, and is
-/// lost to it.
+/// Unless the node checks the socket first, the request is written to a connection that the server has
+/// closed, and is lost.
 #[tokio::test]
-async fn a_connection_closed_while_idle_is_not_used() {
+async fn a_connection_closed_while_idle_is_not_reused() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -108,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_is_used_again() {
+async fn a_connection_is_reused() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -117,15 +123,15 @@
     for _ in 0..3 {
         wire.answer("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
-        // It rests for a moment first, lest more than the answer is on its way.
+        // Let the connection return to the pool: the node first waits for excess bytes behind the answer.
         tokio::time::sleep(Duration::from_millis(50)).await;
         client.send("unsafe", "20000m").await;
         wire.read().await.expect("the next request on the same connection");
     }
 }
 
-/// What is behind an answer would be taken for the answer to the next request on that connection: with a second copy that
-/// client would get another's answer.
+/// Excess bytes behind an answer would be taken for the answer to the next request on that connection: one
+/// client would get another client's answer.
 #[tokio::test]
 async fn bytes_behind_an_answer_end_the_connection() {
     let server = Peer::new().await;
@@ -141,20 +147,20 @@
         let (mut wire, _) = server.request().await;
         wire.write(&(answer(&k.to_string()) + &with)).await;
         assert_eq!(client.read().await.expect("an answer").body, k.to_string().as_bytes());
-        wire.write(later).await; // It is given back by then.
+        wire.write(later).await; // By now the connection is back in the pool.
         wire.expect_closed().await;
     }
 }
 
-/// An answer that is not surely whole is none. Its request may have run, and its connection is closed at once, not when the
-/// client's time is up: an endless one would go on growing.
+/// A malformed or incomplete answer counts as none. Its request may have run, and its connection is closed
+/// at once and not only at the deadline: an endless answer would keep growing.
 #[tokio::test]
-async fn spoilt_answers_end_the_attempt() {
+async fn malformed_answers_fail_the_attempt() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let endless =
         |head: &str, part: &str| format!("HTTP/1.1 200 OK\r\n{head}{}", part.repeat(200_000 / part.len()));
-    let spoilt = [
+    let malformed = [
         "no HTTP at all\r\n\r\n".to_owned(),
         "HTTP/1.1 200 OK\r\n\r\nuntil the end".to_owned(),
         "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n".to_owned(),
@@ -168,7 +174,7 @@
         endless("", "X-Many: 1\r\n"),
         "HTTP/1.1 100 Continue\r\n\r\n".repeat(5000),
     ];
-    for answer in spoilt {
+    for answer in malformed {
         let mut client = node.client().await;
         client.send("unsafe", "60000m").await;
         let (mut wire, _) = server.request().await;
@@ -180,9 +186,9 @@
     assert!(node.memory_peak() < MEMORY_MB << 10);
 }
 
-/// Interim answers are skipped, and load reports that can't be read are ignored: neither spoils the answer.
+/// Interim responses are skipped and unreadable load reports ignored: neither invalidates the answer.
 #[tokio::test]
-async fn interim_answers_and_odd_reports_are_survived() {
+async fn interim_answers_and_invalid_load_reports_are_ignored() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
@@ -193,8 +199,8 @@
     assert_eq!(client.read().await.expect("an answer").body, b"served");
 }
 
-/// A server that says nothing costs the client no answer: it comes before the client's time is up, and the attempt's
-/// connection is closed.
+/// With a silent server the client still gets an answer before its deadline, and the attempt's connection
+/// is closed.
 #[tokio::test]
 async fn a_silent_server_fails_the_request_in_time() {
     let server = Peer::new().await;
@@ -206,7 +212,7 @@
     wire.expect_closed().await;
 }
 
-/// Nothing is owed to a client that has left, and nothing more is sent for it.
+/// Once a client has left, nothing more is sent for its request.
 #[tokio::test]
 async fn nothing_more_is_sent_for_a_client_that_left() {
     let (one, two) = (Peer::new().await, Peer::new().await);
@@ -217,9 +223,9 @@
         got = one.request() => (got, &two),
         got = two.request() => (got, &one),
     };
-    // Whoever only ends its sending is told that its request is given up.
-    let told = client.shutdown_and_read().await;
-    assert!(told.starts_with("HTTP/1.1 503 "), "{told}");
+    // A half-closed client is answered that its request was abandoned.
+    let answer = client.shutdown_and_read().await;
+    assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
     wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await;
     assert!(other.has_no_connection().await, "sent again");
     let mut client = node.client().await;
@@ -231,7 +237,7 @@
     assert_ne!(first.header("x-request-id"), next.header("x-request-id"));
 }
 
-/// Reports come under the names that the settings give, beside figures that nobody asked for.
+/// Load reports use the field names from the settings, beside unknown fields.
 #[tokio::test]
 async fn probes_choose_the_idle_server() {
     let (busy, idle) = (Peer::new().await, Peer::new().await);
@@ -243,7 +249,7 @@
     let members = [member("busy", busy.address(), "active"), member("idle", idle.address(), "active")];
     watch.list(1, true, &members).await;
     node.wait_until_ready().await;
-    let (served, mut by) = tokio::sync::mpsc::unbounded_channel();
+    let (served, mut served_by) = tokio::sync::mpsc::unbounded_channel();
     let reports = [
         (busy, "busy", r#"{"outstanding":9,"utilization":1.0,"spare":null}"#),
         (idle, "idle", r#"{"spare":"x","outstanding":0,"utilization":0.0}"#),
@@ -266,15 +272,15 @@
             }
         });
     }
-    // On a busy machine a report may come too late to be heeded. Without any, so long a row is a matter of 1 in 10^6.
-    let in_a_row = async {
-        let mut row = 0;
-        while row < 20 {
+    // On a busy machine a report may arrive too late to be used. Without reports such a run has a chance of 1 in 10^6.
+    let consecutive = async {
+        let mut run = 0;
+        while run < 20 {
             let answer = node.client().await.round_trip("unsafe").await.expect("an answer");
             if answer.status() == 200 {
-                row = if by.recv().await == Some("idle") { row + 1 } else { 0 };
+                run = if served_by.recv().await == Some("idle") { run + 1 } else { 0 };
             }
         }
     };
-    within("a row of requests at the idle server", in_a_row).await;
+    within("a run of requests at the idle server", consecutive).await;
 }
--- a/node/tests/capacity.rs
+++ b/node/tests/capacity.rs
@@ -1,21 +1,22 @@
-//! What a node's memory and processor time grow with. Slow and only of use with nothing beside it:
-//! `cargo test --release -p birchswitch --test capacity -- --ignored --nocapture --test-threads 1`.
+//! What memory and processor time of a node depend on. Slow, and only meaningful on an otherwise idle
+//! machine: `cargo test --release -p birchswitch --test capacity -- --ignored --nocapture --test-threads
+//! 1`.
 
 use birchswitch_standin::scripted::*;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Backends that a list names.
+/// Numbers of servers in a list.
 const BACKENDS: [usize; 3] = [200, 800, 1600];
-/// Clients that rest.
-const RESTING: [usize; 3] = [0, 100, 400];
+/// Numbers of idle clients.
+const IDLE_CLIENTS: [usize; 3] = [0, 100, 400];
 
 fn members(count: usize) -> Vec<Value> {
     let address = |n: usize| ([127, 1, (n / 250) as u8, (n % 250) as u8 + 1], 9).into();
     (0..count).map(|n| member(&format!("s-{n:08x}"), address(n), "active")).collect()
 }
 
-/// A node that may hold a thousand descriptors and as much memory as clients at every place want.
+/// A node with a thousand descriptors and enough memory for clients in every slot.
 async fn node(discovery: &Peer) -> Node {
     let config = json!({
         "name": "n", "listen": "127.0.0.1:0", "discovery": discovery.address().to_string(), "seed": "1f",
@@ -24,7 +25,7 @@
     Node::with_config(config, &[]).await
 }
 
-/// Memory and time that whole lists cost, and what a change costs.
+/// Memory and processor time of complete lists, and processor time of a change.
 #[tokio::test]
 #[ignore = "measures; nothing is asserted"]
 async fn lists() {
@@ -41,7 +42,7 @@
             watch.list(revision, true, &members).await;
             node.wait_for_list(revision).await;
         }
-        let whole = (node.cpu_time() - before) / LISTS as u32;
+        let complete = (node.cpu_time() - before) / LISTS as u32;
         let before = node.cpu_time();
         for revision in 100..100 + LISTS {
             watch.list(revision, false, &members[..1]).await;
@@ -50,16 +51,16 @@
         let change = (node.cpu_time() - before) / LISTS as u32;
         let bytes = json!({"revision": 1, "complete": true, "members": members}).to_string().len();
         println!(
-            "{count} backends: {memory} KiB at the most, a whole list of {bytes} bytes {whole:?}, a change {change:?}"
+            "{count} backends: {memory} KiB at the most, a whole list of {bytes} bytes {complete:?}, a change {change:?}"
         );
     }
 }
 
-/// Memory that connections cost on which nothing is under way, and time that passes on them.
+/// Memory of idle connections, and processor time while they are idle.
 #[tokio::test]
 #[ignore = "measures; nothing is asserted"]
 async fn connections() {
-    for count in RESTING {
+    for count in IDLE_CLIENTS {
         let server = Peer::new().await;
         let discovery = Peer::new().await;
         let node = node(&discovery).await;
--- a/node/tests/example.rs
+++ b/node/tests/example.rs
@@ -1,4 +1,4 @@
-//! The operator's file that operators begin with is one that a node takes, with all its parts.
+//! The example of the operator's file is accepted by a node, with all its parts enabled.
 
 use birchswitch_standin::process::{node_binary, ConfigFile};
 use birchswitch_standin::scripted::settings;
@@ -7,7 +7,7 @@
 use std::process::Command;
 
 #[test]
-fn the_example_of_an_operators_file_is_fine() {
+fn the_example_operators_file_is_valid() {
     let mut settings = settings();
     let profiles = settings["profiles"].as_array_mut().expect("profiles");
     for (profile, name) in profiles.iter_mut().zip(["gem-topup-list", "gem-topup", "item-buy"]) {
@@ -25,24 +25,24 @@
         command.arg("check").env_clear().env("GW_CONFIG", config.path()).env("GW_OPERATOR", operator);
         command.output().expect("it runs")
     };
-    let fine = check(&example);
+    let valid = check(&example);
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    assert!(fine.status.success(), "{}", text(&fine.stderr));
-    // Each part without what it rests on is told with its place.
-    let whole = std::fs::read_to_string(&example).expect("the example");
+    assert!(valid.status.success(), "{}", text(&valid.stderr));
+    // Each part without what it depends on is reported with its position.
+    let complete = std::fs::read_to_string(&example).expect("the example");
     for (without, problem) in [
         ("[mesh]\nbind = \"127.0.0.1:7950\"\nconnections = 64\n", "want a [lease] and a [mesh] table"),
         ("[ledger]\nnodes = [\"n1\", \"n2\", \"n3\"]\nfolder = \"ledger\"\n", "want a [ledger]"),
         ("folder = \"ledger\"\n", "it wants a `folder` that lasts"),
     ] {
-        assert!(whole.contains(without), "{without}");
-        let operator = ConfigFile::new(&whole.replace(without, "")).expect("an operator's file");
-        let wrong = check(&operator.path());
-        assert_eq!(wrong.status.code(), Some(1), "{without}");
-        let told = text(&wrong.stderr);
+        assert!(complete.contains(without), "{without}");
+        let operator = ConfigFile::new(&complete.replace(without, "")).expect("an operator's file");
+        let invalid = check(&operator.path());
+        assert_eq!(invalid.status.code(), Some(1), "{without}");
+        let stderr = text(&invalid.stderr);
         assert!(
-            told.contains(problem) && told.contains(", line ") && told.trim().lines().count() == 1,
-            "{told}"
+            stderr.contains(problem) && stderr.contains(", line ") && stderr.trim().lines().count() == 1,
+            "{stderr}"
         );
     }
 }
--- a/node/tests/final_answers.rs
+++ b/node/tests/final_answers.rs
@@ -1,21 +1,22 @@
-//! One final answer for each request, whatever else happens in its moment.
+//! Each request gets one final answer, whatever else happens at the same moment.
 //!
-//! The node's process is stopped, so that both events reach it in one turn of its loop.
+//! The node's process is stopped, so that both events reach it in one turn of its event loop.
 
 use birchswitch_standin::scripted::*;
 use std::time::Duration;
 
-/// Sends a request that a server answers at once, and checks that the client's next answer is that one.
-async fn next_answer_is_its_own(
+/// Sends a request that a server answers at once, and checks that the next answer to the client belongs to
+/// it.
+async fn expect_own_answer(
     client: &mut Connection,
     class: &str,
-    servers: &mut Connection,
+    server_connection: &mut Connection,
     server: &Peer,
 ) {
     client.send_with_id(&format!("next-{class}"), class, "20000m").await;
     let answered = tokio::select! {
-        Some(request) = servers.read() => {
-            servers.answer("200 OK", "", "next").await;
+        Some(request) = server_connection.read() => {
+            server_connection.answer("200 OK", "", "next").await;
             request
         }
         (mut wire, request) = server.request() => {
@@ -28,9 +29,9 @@
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"next"[..]), "{class}");
 }
 
-/// A server's answer and the end of the client's time.
+/// A server answers as the deadline passes.
 #[tokio::test]
-async fn an_answer_in_the_moment_of_the_deadline_is_the_only_one() {
+async fn an_answer_at_the_deadline_is_the_only_one() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     for class in ["safe", "keyed", "unsafe"] {
@@ -39,18 +40,18 @@
         let (mut wire, _) = server.request().await;
         node.signal("STOP").await;
         wire.answer("200 OK", "", "late").await;
-        // Any longer time does as well: it has passed when the process goes on.
+        // Any longer time does as well: the deadline has passed when the process resumes.
         tokio::time::sleep(Duration::from_millis(400)).await;
         node.signal("CONT").await;
         let answer = client.read().await.expect("an answer");
         assert!([200, 503, 504].contains(&answer.status()), "{class}: {}", answer.start);
-        next_answer_is_its_own(&mut client, class, &mut wire, &server).await;
+        expect_own_answer(&mut client, class, &mut wire, &server).await;
     }
 }
 
-/// A server's answer and its client's leaving: the answer reaches nobody else.
+/// A server answers as its client leaves: the answer reaches no other client.
 #[tokio::test]
-async fn an_answer_in_the_moment_in_which_its_client_leaves_reaches_nobody_else() {
+async fn an_answer_to_a_leaving_client_reaches_no_other() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     for class in ["safe", "keyed", "unsafe"] {
@@ -62,13 +63,13 @@
         wire.answer("200 OK", "", "for one that left").await;
         drop(leaving);
         node.signal("CONT").await;
-        next_answer_is_its_own(&mut staying, class, &mut wire, &server).await;
+        expect_own_answer(&mut staying, class, &mut wire, &server).await;
     }
 }
 
-/// A connection that breaks and the end of the client's time: no further attempt begins.
+/// A connection breaks as the deadline passes: no further attempt begins.
 #[tokio::test]
-async fn a_break_in_the_moment_of_the_deadline_is_followed_by_no_attempt() {
+async fn a_connection_broken_at_the_deadline_is_followed_by_no_attempt() {
     let (one, two) = (Peer::new().await, Peer::new().await);
     let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
     for class in ["safe", "keyed", "unsafe"] {
@@ -84,11 +85,11 @@
         node.signal("CONT").await;
         let answer = client.read().await.expect("an answer");
         assert!([503, 504].contains(&answer.status()), "{class}: {}", answer.start);
-        assert!(other.has_no_connection().await, "{class}: sent again after its time");
+        assert!(other.has_no_connection().await, "{class}: sent again after its deadline");
     }
 }
 
-/// A second attempt's answer and the client's leaving, after a first attempt that broke.
+/// The rest of a broken first answer arrives together with the answer to the second attempt.
 #[tokio::test]
 async fn a_second_attempts_answer_is_the_only_one() {
     let (one, two) = (Peer::new().await, Peer::new().await);
@@ -100,7 +101,7 @@
             got = one.request() => (got, &two),
             got = two.request() => (got, &one),
         };
-        // A part of an answer, then its end: the rest never comes.
+        // Part of an answer, then the end of the connection: the answer stays incomplete.
         first.write("HTTP/1.1 200 OK\r\nContent-Le").await;
         first.shutdown_write().await;
         let (mut second, _) = other.request().await;
@@ -110,6 +111,6 @@
         node.signal("CONT").await;
         let answer = client.read().await.expect("an answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"second"[..]), "{class}");
-        next_answer_is_its_own(&mut client, class, &mut second, other).await;
+        expect_own_answer(&mut client, class, &mut second, other).await;
     }
 }
--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -1,14 +1,15 @@
-//! A configuration that is replaced under a running node.
+//! Configuration reload in a running node.
 
 use birchswitch_standin::scripted::*;
 use serde_json::json;
 
-const WHOLE: &str = "GET /registry/instances HTTP/1.1";
+/// The request for a complete list.
+const COMPLETE_LIST: &str = "GET /registry/instances HTTP/1.1";
 
-/// Answers the request for a whole list and takes in the watch that follows it.
-async fn take_over(discovery: &Peer, revision: u64, members: &[serde_json::Value]) -> Watch {
+/// Answers the request for a complete list and accepts the watch that follows it.
+async fn serve_complete_list(discovery: &Peer, revision: u64, members: &[serde_json::Value]) -> Watch {
     let (mut wire, request) = discovery.request().await;
-    assert_eq!(request.start, WHOLE);
+    assert_eq!(request.start, COMPLETE_LIST);
     let list = json!({"revision": revision, "complete": true, "members": members});
     wire.answer("200 OK", "", &list.to_string()).await;
     let (watch, request) = discovery.watch().await;
@@ -16,11 +17,11 @@
     watch
 }
 
-/// SIGHUP must not end the node; the file's discovery prevails over the variable of the start from then on. The old watch
-/// goes at once. Versions of the two lists have nothing to do with each other: with the one held a watch at the new address
-/// would bring changes to a list that the node doesn't have.
+/// SIGHUP must not end the node; from then on the discovery address in the file overrides the environment
+/// variable. The old watch is closed at once. Revisions of the two sources are unrelated: watching the new
+/// address from the old revision would bring changes to a list that the node does not have.
 #[tokio::test]
-async fn a_new_discovery_is_followed_from_its_whole_list() {
+async fn a_new_discovery_address_is_followed_from_its_complete_list() {
     let (kept, gone, new) = (Peer::new().await, Peer::new().await, Peer::new().await);
     let (first, second, third) = (Peer::new().await, Peer::new().await, Peer::new().await);
     let config = json!({
@@ -34,7 +35,7 @@
 
     node.reconfigure("discovery", json!(second.address().to_string())).await;
     watch.0.expect_closed().await;
-    let mut watch = take_over(&second, 7, &listed[..1]).await;
+    let mut watch = serve_complete_list(&second, 7, &listed[..1]).await;
     node.wait_for_list(7).await;
     watch
         .list(8, false, &[member("new", new.address(), "active"), member("kept", kept.address(), "left")])
@@ -46,19 +47,19 @@
     wire.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 
-    // Told again without a change, the watch stays; after that it moves once more.
+    // Reloading an unchanged file keeps the watch; then the address changes once more.
     node.signal("HUP").await;
     node.wait_for_log("configuration read again").await;
     node.reconfigure("discovery", json!(third.address().to_string())).await;
     watch.0.expect_closed().await;
-    let _watch = take_over(&third, 1, &[]).await;
+    let _watch = serve_complete_list(&third, 1, &[]).await;
     node.wait_for_list(1).await;
     assert!(second.has_no_connection().await);
 }
 
-/// A file with anything wrong in it is not used at all.
+/// A file with any error in it is rejected as a whole.
 #[tokio::test]
-async fn a_bad_file_changes_nothing() {
+async fn an_invalid_file_changes_nothing() {
     let server = Peer::new().await;
     let other = Peer::new().await;
     let (mut node, _discovery, mut watch) = Node::serving(&[("s", &server)]).await;
@@ -85,9 +86,10 @@
     watch.0.expect_closed().await;
 }
 
-/// The new address may not answer at first, or say that it can't. It is asked until it has told a whole list.
+/// The new address may fail to answer or return an error at first. It is queried until it sends a complete
+/// list.
 #[tokio::test]
-async fn a_whole_list_is_asked_for_until_it_comes() {
+async fn a_complete_list_is_requested_until_it_arrives() {
     let server = Peer::new().await;
     let other = Peer::new().await;
     let (mut node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
@@ -95,16 +97,17 @@
     let changes = json!({"revision": 5, "complete": false, "members": []}).to_string();
     for (status, body) in [("503 Service Unavailable", ""), ("200 OK", "[]"), ("200 OK", &changes)] {
         let (mut wire, request) = other.request().await;
-        assert_eq!(request.start, WHOLE);
+        assert_eq!(request.start, COMPLETE_LIST);
         wire.answer(status, "", body).await;
     }
-    let _watch = take_over(&other, 3, &[]).await;
+    let _watch = serve_complete_list(&other, 3, &[]).await;
     node.wait_for_list(3).await;
 }
 
-/// Where lists come on request the new address is asked at once as well: the balancer knows of no reason to.
+/// In `subscribe` mode the new address is queried at once as well, since the balancer has no reason of its
+/// own to do so.
 #[tokio::test]
-async fn asked_discovery_moves_too() {
+async fn subscribed_discovery_moves_too() {
     let server = Peer::new().await;
     let (first, second) = (Peer::new().await, Peer::new().await);
     let mut settings = settings();
@@ -115,13 +118,13 @@
     node.wait_for_list(9).await;
     node.reconfigure("discovery", json!(second.address().to_string())).await;
     watch.0.expect_closed().await;
-    let _watch = take_over(&second, 2, &[member("s", server.address(), "active")]).await;
+    let _watch = serve_complete_list(&second, 2, &[member("s", server.address(), "active")]).await;
     node.wait_until_ready().await;
 }
 
-/// SIGHUP may come while the node leaves: it still finishes what it has, and exits as if it had not been told.
+/// SIGHUP may arrive while the node shuts down: it still finishes its requests and exits normally.
 #[tokio::test]
-async fn a_leaving_node_bears_it() {
+async fn a_leaving_node_tolerates_reloads() {
     let server = Peer::new().await;
     let other = Peer::new().await;
     let (mut node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
@@ -134,7 +137,7 @@
         node.signal("HUP").await;
     }
     node.reconfigure("discovery", json!(other.address().to_string())).await;
-    let _watch = take_over(&other, 2, &[member("s", server.address(), "active")]).await;
+    let _watch = serve_complete_list(&other, 2, &[member("s", server.address(), "active")]).await;
     wire.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
     assert!(node.wait_for_exit().await.success());
--- a/node/tests/scale.rs
+++ b/node/tests/scale.rs
@@ -29,7 +29,7 @@
         );
     }
     let of = |role: &str| step.roles[role].1;
-    // In a void run the holder changed, so the new one has not answered all others for long.
+    // In a void run live nodes were declared dead, and a new holder has not answered all others for long.
     if step.void.is_none() {
         assert!(
             of("holder of limits").stream_bytes > of("node").stream_bytes,
--- a/node/tests/thrift.rs
+++ b/node/tests/thrift.rs
@@ -33,9 +33,9 @@
     message(Protocol::Binary, MessageType::Reply, name, seqid, text)
 }
 
-/// What a message says: its type, name, sequence id, and field 1 (a text) and 2 (a number).
+/// A decoded message: type, name, sequence id, field 1 (a text) and field 2 (a number).
 #[derive(Debug, PartialEq, Eq)]
-struct Said {
+struct DecodedMessage {
     kind: MessageType,
     name: String,
     seqid: i32,
@@ -43,7 +43,7 @@
     number: Option<i64>,
 }
 
-fn said(bytes: &[u8]) -> Said {
+fn decode(bytes: &[u8]) -> DecodedMessage {
     let limits = Limits::default();
     let protocol = if bytes[0] == 0x82 { Protocol::Compact } else { Protocol::Binary };
     let paths = Paths::new([[1i16], [2]]);
@@ -54,29 +54,29 @@
     };
     let number = message.values[1].and_then(|v| v.integer());
     let header = message.header;
-    Said { kind: header.kind, name: header.name.to_owned(), seqid: header.seqid, text, number }
+    DecodedMessage { kind: header.kind, name: header.name.to_owned(), seqid: header.seqid, text, number }
 }
 
-async fn next(wire: &mut Connection) -> Said {
-    said(&wire.frame().await.expect("a message"))
+async fn next(wire: &mut Connection) -> DecodedMessage {
+    decode(&wire.frame().await.expect("a message"))
 }
 
 /// A node with one Thrift listener.
-struct Shop {
+struct ThriftNode {
     node: Node,
     address: SocketAddr,
-    /// HTTP's and Thrift's, each with its watch.
+    /// Discovery for HTTP and for Thrift, each with its watch.
     discoveries: (Peer, Watch, Peer, Watch),
     _file: tempfile::NamedTempFile,
 }
 
-impl Shop {
+impl ThriftNode {
     async fn new(servers: &[(&str, &Peer)], extra: &str) -> Self {
-        Shop::with(servers, extra, "").await
+        ThriftNode::with(servers, extra, "").await
     }
 
-    /// With further settings of the listener, and of its servers' side.
-    async fn with(servers: &[(&str, &Peer)], extra: &str, behind: &str) -> Self {
+    /// With additional settings of the listener and of its servers.
+    async fn with(servers: &[(&str, &Peer)], extra: &str, server_settings: &str) -> Self {
         let (http, thrift) = (Peer::new().await, Peer::new().await);
         let mut file = tempfile::NamedTempFile::new().expect("a file");
         let operator = format!(
@@ -95,7 +95,7 @@
              dialect = 'framed-binary'
              discovery = '{}'
              never_ran = ['unknown-method']
-             {behind}",
+             {server_settings}",
             thrift.address()
         );
         file.write_all(operator.as_bytes()).expect("a file");
@@ -112,7 +112,7 @@
         let members: Vec<_> = servers.iter().map(|s| member(s.0, s.1.address(), "active")).collect();
         watch.list(1, true, &members).await;
         node.wait_for_log("thrift orders: holds a list").await;
-        Shop { node, address, discoveries: (http, http_watch, thrift, watch), _file: file }
+        ThriftNode { node, address, discoveries: (http, http_watch, thrift, watch), _file: file }
     }
 
     async fn client(&self) -> Connection {
@@ -120,8 +120,8 @@
     }
 }
 
-/// The server that is called, whichever it is, and the other one.
-async fn called<'a>(one: &'a Peer, two: &'a Peer) -> (Connection, &'a Peer) {
+/// The server that is called, and the other one.
+async fn accept_call<'a>(one: &'a Peer, two: &'a Peer) -> (Connection, &'a Peer) {
     tokio::select! {
         wire = one.accept() => (wire, two),
         wire = two.accept() => (wire, one),
@@ -129,10 +129,10 @@
 }
 
 #[tokio::test]
-async fn a_call_and_its_reply_pass_unchanged_but_for_the_sequence_id() {
+async fn a_call_and_its_reply_are_forwarded_with_only_the_sequence_id_changed() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "").await;
+    let mut client = thrift_node.client().await;
     for seqid in [7, -1, 7] {
         client.write_bytes(&call("shop:buy", seqid, "gem é")).await;
         let mut wire = server.accept().await;
@@ -144,19 +144,20 @@
         wire.write_bytes(&reply("buy", got.seqid, "done")).await;
         let answer = next(&mut client).await;
         let name = "buy".to_owned();
-        let wanted = Said { kind: MessageType::Reply, name, seqid, text: "done".into(), number: None };
+        let wanted =
+            DecodedMessage { kind: MessageType::Reply, name, seqid, text: "done".into(), number: None };
         assert_eq!(answer, wanted);
-        // One that the server has closed is not used again, and the node lets go of it.
+        // A connection closed by the server is not reused, and the node closes it too.
         wire.close().await;
     }
 }
 
-/// Replies go out as they come, whatever the order of the calls.
+/// Replies are sent as they arrive, whatever the order of the calls.
 #[tokio::test]
-async fn several_calls_in_flight_are_answered_as_they_end() {
+async fn several_calls_in_flight_are_answered_as_they_complete() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "").await;
+    let mut client = thrift_node.client().await;
     let mut wires = Vec::new();
     for seqid in 1..=3 {
         client.write_bytes(&call("buy", seqid, &format!("order {seqid}"))).await;
@@ -172,12 +173,12 @@
     }
 }
 
-/// A oneway gets no bytes back, and what is behind it goes out only after it.
+/// A oneway call gets no reply, and calls behind it are sent only after it.
 #[tokio::test]
-async fn a_oneway_mixed_with_calls_keeps_its_place() {
+async fn a_oneway_among_calls_keeps_its_order() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "").await;
+    let mut client = thrift_node.client().await;
     let compact = |kind, name, seqid, text| message(Protocol::Compact, kind, name, seqid, text);
     let mut mix = compact(MessageType::Call, "buy", 1, "a");
     mix.extend(compact(MessageType::Oneway, "seen", 0, "b"));
@@ -188,7 +189,7 @@
     let mut second = server.accept().await;
     let b = next(&mut second).await;
     assert_eq!((b.kind, b.name.as_str(), b.text.as_str()), (MessageType::Oneway, "seen", "b"));
-    // Its connection is free again at once: nobody answers it.
+    // Its connection is free again at once, since there is no reply.
     let c = next(&mut second).await;
     assert_eq!(c.text, "c");
     second.write_bytes(&reply("buy", c.seqid, "c")).await;
@@ -197,12 +198,13 @@
     assert_eq!(next(&mut client).await.seqid, 1);
 }
 
-/// What a server may have run is not sent to another, and the client is told that nobody knows.
+/// A call that a server may have run is not sent to another, and the client is told that its outcome is
+/// unknown.
 #[tokio::test]
-async fn replies_that_are_none_end_an_unsafe_call_as_failed() {
+async fn invalid_replies_fail_an_unsafe_call() {
     let (one, two) = (Peer::new().await, Peer::new().await);
-    let shop = Shop::new(&[("one", &one), ("two", &two)], "").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("one", &one), ("two", &two)], "").await;
+    let mut client = thrift_node.client().await;
     type Answering = fn(i32) -> Vec<u8>;
     let cases: [(&str, Answering); 7] = [
         ("a foreign sequence id", |seqid| reply("buy", seqid + 1, "x")),
@@ -221,7 +223,7 @@
     ];
     for (seqid, (what, answering)) in (1..).zip(cases) {
         client.write_bytes(&call("buy", seqid, "order")).await;
-        let (mut wire, other) = called(&one, &two).await;
+        let (mut wire, other) = accept_call(&one, &two).await;
         let got = next(&mut wire).await;
         wire.write_bytes(&answering(got.seqid)).await;
         let answer = next(&mut client).await;
@@ -230,26 +232,26 @@
         assert!(answer.text.starts_with("failed: "), "{what}: {answer:?}");
         assert!(other.has_no_connection().await, "{what}: sent again");
         if !what.contains("exception") {
-            wire.wait_closed().await; // Nothing more is sent over it.
+            wire.wait_closed().await; // The connection is not reused.
         }
     }
 }
 
-/// A frame cut short by a server that freezes: the client's time runs out, and the call goes nowhere else.
+/// A server freezes in the middle of a frame: the deadline passes, and the call is not sent elsewhere.
 #[tokio::test]
-async fn a_frame_that_stops_half_way_times_out() {
+async fn a_stalled_frame_times_out() {
     let (one, two) = (Peer::new().await, Peer::new().await);
-    let shop = Shop::new(&[("one", &one), ("two", &two)], "").await;
-    let mut client = shop.client().await;
-    let mut hurried = vec![0; frame::HEADER_LEN];
-    let mut writer = write::Binary(&mut hurried);
+    let thrift_node = ThriftNode::new(&[("one", &one), ("two", &two)], "").await;
+    let mut client = thrift_node.client().await;
+    let mut short_deadline = vec![0; frame::HEADER_LEN];
+    let mut writer = write::Binary(&mut short_deadline);
     writer.header(MessageType::Call, "hurried", 5, true);
     writer.field(ValueType::I32, 2, 0, None);
     writer.i32(300);
     writer.stop();
-    frame::write_length(&mut hurried);
-    client.write_bytes(&hurried).await;
-    let (mut wire, other) = called(&one, &two).await;
+    frame::write_length(&mut short_deadline);
+    client.write_bytes(&short_deadline).await;
+    let (mut wire, other) = accept_call(&one, &two).await;
     let got = next(&mut wire).await;
     let whole = reply("hurried", got.seqid, "done");
     wire.write_bytes(&whole[..whole.len() - 3]).await;
@@ -260,14 +262,15 @@
     wire.expect_closed().await;
 }
 
-/// An exception that the operator lists proves that nothing ran: even an unsafe call goes on to another server.
+/// An exception listed in `never_ran` proves that the call did not run: even an unsafe call is retried at
+/// another server.
 #[tokio::test]
-async fn a_listed_exception_sends_the_call_on() {
+async fn a_listed_exception_causes_a_retry() {
     let (one, two) = (Peer::new().await, Peer::new().await);
-    let shop = Shop::new(&[("one", &one), ("two", &two)], "").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("one", &one), ("two", &two)], "").await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&call("buy", 1, "order")).await;
-    let (mut wire, other) = called(&one, &two).await;
+    let (mut wire, other) = accept_call(&one, &two).await;
     let got = next(&mut wire).await;
     let limits = Limits::default();
     let bytes = call("buy", got.seqid, "order");
@@ -283,28 +286,29 @@
     assert_eq!(next(&mut client).await.text, "done");
 }
 
-/// A refusal says that nothing ran and how long to wait.
+/// A refusal states that the call did not run and when to retry.
 #[tokio::test]
 async fn a_refusal_says_how_long_to_wait() {
-    let shop = Shop::new(&[("s", &Peer::unreachable().await)], "").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &Peer::unreachable().await)], "").await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&call("buy", 9, "order")).await;
     let answer = next(&mut client).await;
     assert_eq!((answer.seqid, answer.number), (9, Some(ExceptionType::MissingResult as i64)));
     assert!(answer.text.starts_with("refused: ") && answer.text.ends_with("in 1.500 s"), "{answer:?}");
 }
 
-/// Two calls under one sequence id are answered one after the other: nobody could tell their replies apart.
+/// Two calls with one sequence id are handled one after the other: the client could not tell their replies
+/// apart.
 #[tokio::test]
-async fn a_sequence_id_that_is_open_waits() {
+async fn a_call_with_an_open_sequence_id_waits() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "").await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&[call("buy", 4, "first"), call("buy", 4, "second")].concat()).await;
     let mut wire = server.accept().await;
     let first = next(&mut wire).await;
     assert_eq!(first.text, "first");
-    assert!(server.has_no_connection().await, "the second went out beside the first");
+    assert!(server.has_no_connection().await, "the second was sent beside the first");
     wire.write_bytes(&reply("buy", first.seqid, "first")).await;
     assert_eq!(next(&mut client).await.text, "first");
     let second = next(&mut wire).await;
@@ -313,13 +317,13 @@
     assert_eq!(next(&mut client).await.text, "second");
 }
 
-/// A client leaves with calls in flight. Their servers may finish them, nobody is given their replies, and the next client's
-/// call under the same sequence id gets its own.
+/// A client leaves with calls in flight. Servers may finish them, their replies are discarded, and the next
+/// client's call with the same sequence id gets its own reply.
 #[tokio::test]
-async fn a_client_that_leaves_disturbs_nobody() {
+async fn a_departing_client_affects_no_other() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "").await;
+    let mut client = thrift_node.client().await;
     let mut wires = Vec::new();
     for seqid in 1..=3 {
         client.write_bytes(&call("buy", seqid, "left")).await;
@@ -328,7 +332,7 @@
         wires.push((wire, got.seqid));
     }
     drop(client);
-    let mut client = shop.client().await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&call("buy", 1, "order")).await;
     let mut fresh = server.accept().await;
     let got = next(&mut fresh).await;
@@ -341,84 +345,85 @@
     assert_eq!((answer.seqid, answer.text.as_str()), (1, "done"));
 }
 
-/// A client leaves while its second call waits for the first to end: the second is never sent.
+/// A client leaves while its second call waits for the first to finish: the second is never sent.
 #[tokio::test]
-async fn a_client_that_leaves_while_a_call_waits_for_its_turn_has_gone() {
+async fn a_waiting_call_of_a_departed_client_is_not_sent() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "").await;
+    let mut client = thrift_node.client().await;
     let calls = ["first", "second", "third"].map(|text| call("buy", 4, text));
     client.write_bytes(&calls.concat()).await;
     let mut wire = server.accept().await;
     let first = next(&mut wire).await;
     assert_eq!(first.text, "first");
     client.shutdown_write().await;
-    client.expect_closed().await; // It has been noticed.
+    client.expect_closed().await; // The node has noticed the departure.
     wire.write_bytes(&reply("buy", first.seqid, "first")).await;
-    let mut other = shop.client().await;
+    let mut other = thrift_node.client().await;
     other.write_bytes(&call("buy", 4, "another's")).await;
     let sent = tokio::select! {
-        Some(sent) = wire.frame() => said(&sent),
+        Some(sent) = wire.frame() => decode(&sent),
         mut wire = server.accept() => next(&mut wire).await,
     };
     assert_eq!(sent.text, "another's");
 }
 
-/// The node closes its side first: who still writes is not reset in the moment of the last reply.
+/// The node shuts down its sending side first: a client that is still writing is not reset as it gets the
+/// last reply.
 #[tokio::test]
 async fn the_sending_side_is_closed_first() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "").await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "").await;
     let mut unknown = call("buy", 3, "x");
     unknown[7] = 2; // A reply.
-    let mut client = shop.client().await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&unknown).await;
     let answer = next(&mut client).await;
     assert_eq!((answer.seqid, answer.number), (3, Some(ExceptionType::InvalidMessageType as i64)));
-    client.expect_closed().await; // Its sending has ended; it still reads.
+    client.expect_closed().await; // The sending side is shut down; the node still reads.
     client.write_bytes(b"late").await;
-    client.write_bytes(b"later").await; // After a reset this could not be written.
+    client.write_bytes(b"later").await; // This write would fail after a reset.
 }
 
-/// The time for silence ends and a call comes, both while the node stands still.
+/// The idle timeout expires and a call arrives while the node's process is stopped.
 #[tokio::test]
-async fn a_call_in_the_moment_of_the_close_for_silence_is_answered() {
+async fn a_call_that_arrives_at_the_idle_timeout_is_answered() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "idle_ms = 500").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "idle_ms = 500").await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&call("buy", 1, "order")).await;
     let mut wire = server.accept().await;
     answer_next(&mut wire, "one").await;
     assert_eq!(next(&mut client).await.text, "one");
-    shop.node.signal("STOP").await;
+    thrift_node.node.signal("STOP").await;
     // Any longer time does as well.
     tokio::time::sleep(std::time::Duration::from_millis(700)).await;
     client.write_bytes(&call("buy", 2, "order")).await;
-    shop.node.signal("CONT").await;
+    thrift_node.node.signal("CONT").await;
     answer_next(&mut wire, "two").await;
     assert_eq!(next(&mut client).await.text, "two");
 }
 
-/// A call on a resting connection and one that waits to be accepted come in the moment in which the node closes.
+/// Calls on an idle connection and on one in the listen backlog arrive just as the node closes.
 #[tokio::test]
-async fn calls_in_the_moment_of_the_closing_are_answered() {
+async fn calls_that_arrive_as_connections_close_are_answered() {
     let server = Peer::new().await;
-    let mut shop = Shop::new(&[("s", &server)], "").await;
-    let mut client = shop.client().await;
+    let mut thrift_node = ThriftNode::new(&[("s", &server)], "").await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&call("buy", 1, "order")).await;
     let mut wire = server.accept().await;
     answer_next(&mut wire, "one").await;
     assert_eq!(next(&mut client).await.text, "one");
     drop(wire);
-    shop.node.signal("TERM").await;
-    shop.node.wait_for_log("leaving").await;
-    shop.node.signal("STOP").await;
+    thrift_node.node.signal("TERM").await;
+    thrift_node.node.wait_for_log("leaving").await;
+    thrift_node.node.signal("STOP").await;
     client.write_bytes(&call("buy", 2, "order")).await;
-    let mut fresh = shop.client().await;
+    let mut fresh = thrift_node.client().await;
     fresh.write_bytes(&call("buy", 2, "order")).await;
-    // Past the time in which it accepts, and what follows it.
+    // Longer than the accept period and the closing after it.
     tokio::time::sleep(std::time::Duration::from_millis(800)).await;
-    shop.node.signal("CONT").await;
+    thrift_node.node.signal("CONT").await;
     let (mut one, mut two) = (server.accept().await, server.accept().await);
     for wire in [&mut one, &mut two] {
         answer_next(wire, "served").await;
@@ -426,27 +431,27 @@
     for client in [&mut client, &mut fresh] {
         assert_eq!(next(client).await.text, "served");
     }
-    assert!(shop.node.wait_for_exit().await.success());
+    assert!(thrift_node.node.wait_for_exit().await.success());
 }
 
-/// Answers the call that comes next.
+/// Answers the next call.
 async fn answer_next(wire: &mut Connection, text: &str) {
     let got = next(wire).await;
     wire.write_bytes(&reply("buy", got.seqid, text)).await;
 }
 
-/// Calls of the largest kind, far more than there is memory for: what is not held is not read, and all are answered,
-/// served or refused.
+/// Calls of the maximum size, far more than fit into memory: the node stops reading when memory is used up,
+/// and all calls are answered, served or refused.
 #[tokio::test]
 async fn memory_is_bounded_by_not_reading() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "pipeline = 200\nmemory_mb = 8").await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "pipeline = 200\nmemory_mb = 8").await;
     const CLIENTS: usize = 10;
     const CALLS: i32 = 100;
     let text = "x".repeat(60 << 10);
     let mut clients = tokio::task::JoinSet::new();
     for _ in 0..CLIENTS {
-        let (client, text) = (shop.client().await, text.clone());
+        let (client, text) = (thrift_node.client().await, text.clone());
         clients.spawn(async move {
             let (mut reading, mut writing) = client.split();
             let all = async {
@@ -457,10 +462,10 @@
             let answers = async {
                 let mut served = 0;
                 for _ in 0..CALLS {
-                    let answer = said(&reading.frame().await.expect("an answer"));
+                    let answer = decode(&reading.frame().await.expect("an answer"));
                     match answer.kind {
                         MessageType::Reply => assert_eq!(answer.text.len(), text.len()),
-                        // Beyond what the servers' side has room for.
+                        // More calls than server connections can take.
                         _ => assert!(answer.text.starts_with("refused: "), "{answer:?}"),
                     }
                     served += u32::from(answer.kind == MessageType::Reply);
@@ -472,7 +477,7 @@
     }
     let serving = async {
         let mut served = tokio::task::JoinSet::new();
-        // Nothing is answered until nothing more comes: by then the node holds all that it ever will.
+        // Nothing is answered until no more calls arrive: by then the node holds as many as it can.
         let mut held = Vec::new();
         while let Ok(wire) = tokio::time::timeout(std::time::Duration::from_secs(1), server.accept()).await {
             held.push(wire);
@@ -491,45 +496,45 @@
     };
     async fn echo(mut wire: Connection) {
         while let Some(bytes) = wire.frame().await {
-            let got = said(&bytes);
+            let got = decode(&bytes);
             wire.write_bytes(&reply("buy", got.seqid, &got.text)).await;
         }
     }
     tokio::select! {
-        _ = serving => unreachable!("it serves for ever"),
+        _ = serving => unreachable!("the server loop never ends"),
         all = clients.join_all() => {
             let served: u32 = all.iter().sum();
             println!("{served} of {} served", CLIENTS as i32 * CALLS);
             assert!(served > 0);
         }
     }
-    let peak = shop.node.memory_peak();
+    let peak = thrift_node.node.memory_peak();
     println!("peak {peak} KiB");
     assert!(peak < MEMORY_MB << 10, "{peak} KiB");
 }
 
-/// 10,000 calls at once, of which the node holds a few at a time: each is answered once.
+/// 10,000 pipelined calls, of which the node holds a few at a time: each is answered once.
 #[tokio::test]
-async fn a_client_that_pipelines_without_end_is_served_bit_by_bit() {
+async fn a_long_pipeline_is_served_in_portions() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "pipeline = 8").await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "pipeline = 8").await;
     const CALLS: i32 = 10_000;
-    let client = shop.client().await;
+    let client = thrift_node.client().await;
     let serving = async {
         let mut served = tokio::task::JoinSet::new();
         loop {
             let mut wire = server.accept().await;
             served.spawn(async move {
                 while let Some(bytes) = wire.frame().await {
-                    let got = said(&bytes);
+                    let got = decode(&bytes);
                     wire.write_bytes(&reply("browse", got.seqid, &got.text)).await;
                 }
             });
-            assert!(served.len() <= 16, "more connections than calls in hand and those before them");
+            assert!(served.len() <= 16, "more connections than open calls and their predecessors");
         }
     };
     let asking = async {
-        // Written by a task of its own: the node reads no more than it holds.
+        // Written in portions between reads: the node reads no more than it can hold.
         let mut socket = client;
         let all: Vec<u8> = (0..CALLS).flat_map(|seqid| call("browse", seqid, &seqid.to_string())).collect();
         let mut seen = vec![false; CALLS as usize];
@@ -550,31 +555,31 @@
         }
     };
     tokio::select! {
-        _ = serving => unreachable!("it serves for ever"),
+        _ = serving => unreachable!("the server loop never ends"),
         () = asking => {}
     }
 }
 
-/// Where a name and a sequence id can be read, what is wrong is said; else the connection ends.
+/// If name and sequence id are readable, an exception describes the error; otherwise the connection ends.
 #[tokio::test]
-async fn malformed_messages_are_turned_down() {
+async fn malformed_messages_are_rejected() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "").await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "").await;
     let mut depth = vec![0; frame::HEADER_LEN];
     write::Binary(&mut depth).header(MessageType::Call, "buy", 3, true);
     depth.extend(b"\x0c\x00\x01".repeat(200));
     frame::write_length(&mut depth);
-    let mut behind = call("buy", 3, "x");
-    behind.push(0);
-    frame::write_length(&mut behind);
+    let mut server_settings = call("buy", 3, "x");
+    server_settings.push(0);
+    frame::write_length(&mut server_settings);
     let mut unknown = call("buy", 3, "x");
     unknown[7] = 2; // A reply.
     for (bytes, kind) in [
         (depth, ExceptionType::ProtocolError),
-        (behind, ExceptionType::ProtocolError),
+        (server_settings, ExceptionType::ProtocolError),
         (unknown, ExceptionType::InvalidMessageType),
     ] {
-        let mut client = shop.client().await;
+        let mut client = thrift_node.client().await;
         client.write_bytes(&bytes).await;
         let answer = next(&mut client).await;
         assert_eq!((answer.seqid, answer.number), (3, Some(kind as i64)), "{answer:?}");
@@ -582,12 +587,12 @@
     }
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 16], &[0x7f; 16], b"\0\0\0\x05\x80\x01\x00\x09\x00"]
     {
-        let mut client = shop.client().await;
+        let mut client = thrift_node.client().await;
         client.write_bytes(bytes).await;
         client.wait_closed().await;
     }
-    // These are calls, but none that is served: the connection goes on.
-    let mut client = shop.client().await;
+    // Valid messages that cannot be served leave the connection open.
+    let mut client = thrift_node.client().await;
     for (bytes, kind, text) in [
         (call("sell", 5, "x"), ExceptionType::UnknownMethod, "method sell is not served here"),
         (call("topup", 5, ""), ExceptionType::ProtocolError, "the order key is missing"),
@@ -596,25 +601,25 @@
         let answer = next(&mut client).await;
         assert_eq!((answer.seqid, answer.number, answer.text.as_str()), (5, Some(kind as i64), text));
     }
-    assert!(server.has_no_connection().await, "passed on");
+    assert!(server.has_no_connection().await, "forwarded");
 }
 
-/// A oneway of which only a part went out may have been taken for whole by nobody knows whom: it is not sent again.
+/// A partly sent oneway call may have been executed, and no reply would tell: it is not sent again.
 #[tokio::test]
-async fn a_oneway_written_in_part_goes_nowhere_else() {
+async fn a_partly_written_oneway_is_not_resent() {
     let (one, two) = (Peer::with_small_buffer(), Peer::with_small_buffer());
     let large = "message_kb = 3000\nmemory_mb = 8\nconnections = 2";
-    let shop = Shop::with(&[("one", &one), ("two", &two)], large, "connections = 4").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::with(&[("one", &one), ("two", &two)], large, "connections = 4").await;
+    let mut client = thrift_node.client().await;
     let text = "x".repeat(2900 << 10);
     client.write_bytes(&message(Protocol::Binary, MessageType::Oneway, "seen", 0, &text)).await;
-    let (mut wire, other) = called(&one, &two).await;
-    // Some of it has gone out. The server reads no more, so that most of it can't, and dies.
+    let (mut wire, other) = accept_call(&one, &two).await;
+    // Part of it was sent. The server reads no more, so most of it cannot be sent, and dies.
     wire.first_byte().await;
     drop(wire);
     client.write_bytes(&call("buy", 1, "order")).await;
-    // What comes next is the call behind it, wherever that goes, and nothing else.
-    let (mut wire, _) = called(&one, &two).await;
+    // The next message at either server is the call behind it, and nothing else.
+    let (mut wire, _) = accept_call(&one, &two).await;
     let got = next(&mut wire).await;
     assert_eq!((got.name.as_str(), got.text.as_str()), ("buy", "order"));
     wire.write_bytes(&reply("buy", got.seqid, "done")).await;
@@ -622,12 +627,12 @@
     assert!(other.has_no_connection().await, "sent again");
 }
 
-/// A restart told by the list ends the connections made before, at the same address too.
+/// A restart announced in the list closes the connections made before, even at the same address.
 #[tokio::test]
 async fn a_restarted_server_is_called_on_new_connections() {
     let server = Peer::new().await;
-    let mut shop = Shop::new(&[("s", &server)], "").await;
-    let mut client = shop.client().await;
+    let mut thrift_node = ThriftNode::new(&[("s", &server)], "").await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&call("buy", 1, "before")).await;
     let mut old = server.accept().await;
     let got = next(&mut old).await;
@@ -635,7 +640,7 @@
     next(&mut client).await;
     let mut entry = member("s", server.address(), "active");
     entry["up_since_ms"] = json!(1_700_000_000_000u64);
-    shop.discoveries.3.list(2, false, &[entry]).await;
+    thrift_node.discoveries.3.list(2, false, &[entry]).await;
     old.expect_closed().await;
     client.write_bytes(&call("buy", 2, "after")).await;
     let mut fresh = server.accept().await;
@@ -645,22 +650,22 @@
     next(&mut client).await;
 }
 
-/// Clients that say nothing, or never end what they say, are closed; while all places are taken by silent ones, another
-/// still gets in.
+/// Silent clients, and those that never complete a call, are closed; while silent ones hold all slots,
+/// another client still gets in.
 #[tokio::test]
-async fn silent_and_endless_clients_keep_nobody_out() {
+async fn silent_and_endless_clients_block_no_other_client() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "connections = 4").await;
-    let mut silent = shop.client().await;
-    let mut endless = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "connections = 4").await;
+    let mut silent = thrift_node.client().await;
+    let mut endless = thrift_node.client().await;
     endless.write_bytes(&call("buy", 1, "order")[..20]).await;
     silent.expect_closed().await;
     endless.expect_closed().await;
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     for _ in 0..12 {
-        crowd.push(shop.client().await);
+        idle_clients.push(thrift_node.client().await);
     }
-    let mut client = shop.client().await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&call("buy", 1, "order")).await;
     let mut wire = server.accept().await;
     let got = next(&mut wire).await;
@@ -668,7 +673,7 @@
     assert_eq!(next(&mut client).await.text, "done");
 }
 
-/// A reply whose struct holds a busy part in field 0 and requests in hand in field 1.
+/// A reply whose struct holds the utilization in field 0 and outstanding requests in field 1.
 fn load_reply(name: &str, seqid: i32, busy: f64) -> Vec<u8> {
     let mut out = vec![0; frame::HEADER_LEN];
     let mut writer = write::Binary(&mut out);
@@ -682,12 +687,13 @@
     out
 }
 
-/// Two servers, whose every reply says that the one is idle and the other busy, and calls until so many in a row went to the
-/// idle one: on a busy machine a report may come too late to be heeded, but without any such a row is a matter of 1 in 10^6.
-async fn calls_move_to_the_idle_server(behind: &str, methods: &'static [&'static str]) {
+/// Two servers report in every reply that one is idle and the other busy; sends calls until 20 in a row
+/// went to the idle one. On a busy machine a report may arrive too late to be used, but without reports
+/// such a run has a chance of 1 in 10^6.
+async fn calls_move_to_the_idle_server(server_settings: &str, methods: &'static [&'static str]) {
     let (idle, busy) = (Peer::new().await, Peer::new().await);
-    let shop = Shop::with(&[("a", &idle), ("b", &busy)], "", behind).await;
-    let (calls, mut called) = tokio::sync::mpsc::unbounded_channel();
+    let thrift_node = ThriftNode::with(&[("a", &idle), ("b", &busy)], "", server_settings).await;
+    let (calls, mut accept_call) = tokio::sync::mpsc::unbounded_channel();
     let mut serving = tokio::task::JoinSet::new();
     for (peer, load) in [(idle, 0.0), (busy, 1.0)] {
         let calls = calls.clone();
@@ -697,7 +703,7 @@
                 let (mut wire, calls) = (peer.accept().await, calls.clone());
                 connections.spawn(async move {
                     while let Some(bytes) = wire.frame().await {
-                        let got = said(&bytes);
+                        let got = decode(&bytes);
                         assert!(methods.contains(&got.name.as_str()), "{got:?}");
                         if got.name == "buy" {
                             calls.send(load).expect("the test runs");
@@ -708,39 +714,40 @@
             }
         });
     }
-    let mut client = shop.client().await;
-    let in_a_row = async {
-        let (mut row, mut seqid) = (0, 0);
-        while row < 20 {
+    let mut client = thrift_node.client().await;
+    let consecutive = async {
+        let (mut run, mut seqid) = (0, 0);
+        while run < 20 {
             seqid += 1;
             client.write_bytes(&call("buy", seqid, "order")).await;
             if next(&mut client).await.kind == MessageType::Reply {
-                row = if called.recv().await == Some(0.0) { row + 1 } else { 0 };
+                run = if accept_call.recv().await == Some(0.0) { run + 1 } else { 0 };
             }
         }
     };
-    within("a row of calls at the idle server", in_a_row).await;
+    within("a run of calls at the idle server", consecutive).await;
 }
 
-/// Where the operator names a method for it, servers are asked for their load, and the answer's figures are read.
+/// With a configured load method, servers are probed and the fields of the reply are used.
 #[tokio::test]
-async fn a_load_method_is_asked_and_believed() {
+async fn load_from_a_load_method_is_used() {
     let load = "[thrift.servers.load]\nmethod = 'load'\nfields = { held = '1', busy = '0' }";
     calls_move_to_the_idle_server(load, &["buy", "load"]).await;
 }
 
-/// Where every answer holds the load, no method is asked for it.
+/// With load in every reply, no load method is called.
 #[tokio::test]
-async fn loads_in_answers_are_believed() {
+async fn load_in_replies_is_used() {
     calls_move_to_the_idle_server("report = { busy = '0' }", &["buy"]).await;
 }
 
-/// A service that is not the listener's is answered as one that nobody knows; its own, and calls that name none, are served.
+/// A call to another service is answered as an unknown method; calls to the listener's own service, or
+/// without a service name, are served.
 #[tokio::test]
 async fn another_service_is_not_served() {
     let server = Peer::new().await;
-    let shop = Shop::new(&[("s", &server)], "service = 'shop'").await;
-    let mut client = shop.client().await;
+    let thrift_node = ThriftNode::new(&[("s", &server)], "service = 'shop'").await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&call("bank:buy", 1, "order")).await;
     let answer = next(&mut client).await;
     assert_eq!((answer.seqid, answer.number), (1, Some(ExceptionType::UnknownMethod as i64)));
@@ -758,27 +765,27 @@
     }
 }
 
-/// SIGTERM with a call in flight: it is answered, and the node ends well.
+/// SIGTERM with a call in flight: it is answered, and the node exits successfully.
 #[tokio::test]
-async fn a_node_that_ends_answers_what_it_has() {
+async fn calls_in_flight_are_answered_at_shutdown() {
     let server = Peer::new().await;
-    let mut shop = Shop::new(&[("s", &server)], "").await;
-    let mut client = shop.client().await;
+    let mut thrift_node = ThriftNode::new(&[("s", &server)], "").await;
+    let mut client = thrift_node.client().await;
     client.write_bytes(&call("buy", 1, "order")).await;
     let mut wire = server.accept().await;
     let got = next(&mut wire).await;
-    shop.node.signal("TERM").await;
-    shop.node.wait_for_log("leaving").await;
+    thrift_node.node.signal("TERM").await;
+    thrift_node.node.wait_for_log("leaving").await;
     tokio::time::sleep(std::time::Duration::from_millis(700)).await;
     wire.write_bytes(&reply("buy", got.seqid, "done")).await;
     assert_eq!(next(&mut client).await.text, "done");
     client.wait_closed().await;
-    assert!(shop.node.wait_for_exit().await.success());
+    assert!(thrift_node.node.wait_for_exit().await.success());
 }
 
-/// A bad operator's file is told in one line, before anything is started.
+/// An invalid operator's file is reported in one line, before anything is started.
 #[tokio::test]
-async fn a_bad_operators_file_is_told_in_one_line() {
+async fn an_invalid_operators_file_is_reported_in_one_line() {
     let discovery = Peer::new().await;
     let listener = |rest: &str| format!("[[thrift]]\nname = 'a'\nlisten = '127.0.0.1:0'\n{rest}");
     let servers = "[thrift.servers]\ndialect = 'framed-binary'\ndiscovery = '127.0.0.1:1'\n";
@@ -814,8 +821,8 @@
         let path = file.path().to_str().expect("a path");
         let (process, _config) = start_with_env(&config.to_string(), &[("GW_OPERATOR", path)]);
         let output = within("its end", process.wait_with_output()).await.expect("its output");
-        let said = String::from_utf8_lossy(&output.stderr);
+        let decode = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{text}");
-        assert!(said.contains(wanted) && said.lines().count() == 1, "{text}: {said}");
+        assert!(decode.contains(wanted) && decode.lines().count() == 1, "{text}: {decode}");
     }
 }
--- a/node/tests/thrift_interop.rs
+++ b/node/tests/thrift_interop.rs
@@ -1,5 +1,5 @@
-//! Clients and servers of the `thrift` crate with code generated from an order service's IDL, and a node between them, in
-//! every dialect.
+//! Clients and servers of the `thrift` crate with code generated from an order service's IDL, with a node
+//! between them, in every dialect.
 
 #[allow(dead_code, missing_docs, clippy::all)]
 #[rustfmt::skip]
@@ -63,7 +63,7 @@
     }
 }
 
-/// A shop that records what ran.
+/// A shop that records the calls that ran.
 struct Handler(Arc<Mutex<Vec<String>>>);
 
 impl Handler {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Serves for as long as the test runs: one thread for each connection.
+/// Serves until the process ends, with one thread per connection.
 fn serve(dialect: Dialect) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind(unique_address()).expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -121,7 +121,7 @@
     (address, ran)
 }
 
-fn an_order(player: i64, sku: &str) -> Order {
+fn new_order(player: i64, sku: &str) -> Order {
     let caller = Caller::new("one".to_owned(), 20_000, format!("key-{player}"), 500i64);
     let items = vec![Item::new(sku.to_owned(), 2, thrift::OrderedFloat(0.5))];
     let notes = [("é".to_owned(), String::new())].into();
@@ -137,14 +137,14 @@
     )
 }
 
-/// What a client sees of a fixed mix, in words.
-fn play(address: SocketAddr, dialect: Dialect) -> Vec<String> {
+/// Sends a fixed mix of calls and returns the outcomes as text.
+fn run_calls(address: SocketAddr, dialect: Dialect) -> Vec<String> {
     let (input, output) = dialect.protocols(TcpStream::connect(address).expect("the node"));
     let mut client = ShopSyncClient::new(input, output);
     let caller = || Caller::new("one".to_owned(), None, None, None);
     let mut seen = Vec::new();
     for player in 1..=5i64 {
-        seen.push(match client.buy(an_order(player, "gem")) {
+        seen.push(match client.buy(new_order(player, "gem")) {
             Ok(receipt) => format!("{receipt:?}"),
             Err(e) => format!("error: {e}"),
         });
@@ -154,17 +154,17 @@
             Err(e) => format!("error: {e}"),
         });
     }
-    seen.push(match client.buy(an_order(6, "rare")) {
+    seen.push(match client.buy(new_order(6, "rare")) {
         Err(thrift::Error::User(e)) => format!("declared: {e}"),
         other => format!("not what the IDL declares: {other:?}"),
     });
-    seen.push(match client.topup(an_order(7, "gem")) {
+    seen.push(match client.topup(new_order(7, "gem")) {
         Err(thrift::Error::Application(e)) => format!("{:?}: {}", e.kind, e.message),
         other => format!("no failure: {other:?}"),
     });
-    let mut stranger = an_order(8, "gem");
-    stranger.caller.tenant = "nobody".to_owned();
-    seen.push(match client.buy(stranger) {
+    let mut unknown_tenant = new_order(8, "gem");
+    unknown_tenant.caller.tenant = "nobody".to_owned();
+    seen.push(match client.buy(unknown_tenant) {
         Err(thrift::Error::Application(e)) => format!("{:?}: {}", e.kind, e.message),
         other => format!("no failure: {other:?}"),
     });
@@ -172,10 +172,10 @@
     seen
 }
 
-/// One mix through the node in every pair of dialects: what clients see and what ran is the same, and the same as without
-/// a node between, but for what the node itself answers.
+/// The same mix in every pair of dialects: outcomes and executed calls are the same, and are those of a
+/// direct connection except for what the node itself answers.
 #[tokio::test]
-async fn one_mix_in_every_dialect_has_one_outcome() {
+async fn every_pair_of_dialects_has_the_same_outcome() {
     let mut outcomes = Vec::new();
     for servers in [FramedBinary, FramedCompact, Binary, Compact] {
         let (address, ran) = serve(servers);
@@ -207,15 +207,15 @@
         let path = file.path().to_str().expect("a path");
         let mut node = Node::with_config(config, &[("GW_OPERATOR", path)]).await;
         let line = node.wait_for_log("thrift orders: listening on ").await;
-        let front = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
+        let node_address = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
         let (mut watch, _) = thrift.watch().await;
         watch.list(1, true, &[member("s", address, "active")]).await;
         node.wait_for_log("thrift orders: holds a list").await;
         for clients in [FramedBinary, FramedCompact, Binary, Compact] {
-            let seen = tokio::task::spawn_blocking(move || play(front, clients));
+            let seen = tokio::task::spawn_blocking(move || run_calls(node_address, clients));
             let seen = within("the mix", seen).await.expect("no panic");
             let mut ran = std::mem::take(&mut *ran.lock().expect("no panic"));
-            // A oneway's turn at the server is its own: what follows it may be on another connection.
+            // A oneway call may be executed out of order: the calls after it may use another connection.
             ran.sort();
             outcomes.push((clients, servers, seen, ran));
         }
@@ -227,8 +227,8 @@
     assert!(seen[12].contains("unknown tenant"), "{seen:#?}");
     assert!(seen[13].contains("unknown service method"), "{seen:#?}");
     assert_eq!(ran.len(), 17, "each once: {ran:?}");
-    for (clients, servers, other_seen, other_ran) in &outcomes[1..] {
+    for (clients, servers, other_seen, other_calls) in &outcomes[1..] {
         assert_eq!(other_seen, seen, "{clients:?} in, {servers:?} out");
-        assert_eq!(other_ran, ran, "{clients:?} in, {servers:?} out");
+        assert_eq!(other_calls, ran, "{clients:?} in, {servers:?} out");
     }
 }
--- a/node/tests/tuner.rs
+++ b/node/tests/tuner.rs
@@ -1,4 +1,5 @@
-//! Tuned weights among processes: a server with a tail gets less, and another node goes on when the tuner dies.
+//! Tuned weights among processes: a server with a slow tail gets fewer requests, and another node takes
+//! over when the tuner dies.
 
 use birchswitch_standin::process::{block_on, node_binary};
 use birchswitch_standin::rig::history::History;
@@ -14,26 +15,26 @@
 
 const NODES: usize = 4;
 const SERVERS: usize = 6;
-const FINE: ServerBehavior = ServerBehavior {
+const HEALTHY: ServerBehavior = ServerBehavior {
     service_time: Duration::from_millis(8),
     error_permille: 0,
     slow_permille: 20,
     reported_load: 0.5,
 };
-const TAIL: ServerBehavior = ServerBehavior { slow_permille: 350, ..FINE };
+const SLOW_TAIL: ServerBehavior = ServerBehavior { slow_permille: 350, ..HEALTHY };
 
-fn on_a_set<T>(test: impl Future<Output = T>) -> T {
+fn run_local<T>(test: impl Future<Output = T>) -> T {
     block_on(test).expect("a runtime")
 }
 
-async fn open(drill: &str) -> (Rig, Site, Load) {
-    let site = Site::start(SERVERS, FINE).await.expect("servers");
-    site.set_behavior(0, TAIL);
+async fn start(drill: &str) -> (Rig, Site, Load) {
+    let site = Site::start(SERVERS, HEALTHY).await.expect("servers");
+    site.set_behavior(0, SLOW_TAIL);
     let mut script = Script::parse("0s wire lose 0", 0, NODES).expect("a script");
     script.seed = 1;
     let operator = format!("[tuner]\nlook = \"1s\"\nttl = \"4s\"\npercentile = 92.0\n{drill}\n");
     let mut settings = limits::settings();
-    // Weights are what servers are told apart by: prices and their own speeds move less.
+    // Let the weights be the main difference between servers; prices and measured speeds vary less.
     settings["tenants"] = serde_json::json!([{"name": "one", "quota_per_s": 100000.0, "share": 1.0}]);
     let plan = Plan {
         lease: Some(LeasePlan::new(3)),
@@ -45,13 +46,13 @@
     };
     let rig = Rig::start(plan).await.expect("a rig");
     rig.wait_for_agreement(Duration::from_secs(60)).await.expect("one membership");
-    let order = RequestSpec { class: "safe".into(), tenant: "one".into(), key: None, cost: None };
-    let rate = || NodeLoad { per_s: Rc::new(Cell::new(60.0)), requests: vec![order.clone()] };
-    let load = Load::start((0..NODES).map(|_| rate()).collect(), rig.client_addresses());
+    let request = RequestSpec { class: "safe".into(), tenant: "one".into(), key: None, cost: None };
+    let node_load = || NodeLoad { per_s: Rc::new(Cell::new(60.0)), requests: vec![request.clone()] };
+    let load = Load::start((0..NODES).map(|_| node_load()).collect(), rig.client_addresses());
     (rig, site, load)
 }
 
-async fn until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) {
+async fn wait_until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) {
     rig.wait_until(what, Duration::from_secs(180), holds, |_| "nothing".to_owned()).await.expect("in time");
 }
 
@@ -59,7 +60,7 @@
     history.lines.iter().filter(|l| l.kind == kind).count()
 }
 
-/// What a server gets beside the mean, over some seconds.
+/// A server's share of the requests over some seconds, relative to the mean.
 async fn share(site: &Site, server: usize, seconds: u64) -> f64 {
     let before = site.count();
     sleep(Duration::from_secs(seconds)).await;
@@ -68,12 +69,12 @@
 }
 
 #[test]
-fn a_server_with_a_tail_gets_less_also_after_the_tuner_died() {
-    on_a_set(async {
-        let (mut rig, site, _load) = open("").await;
-        until(&rig, "a tuner", |h| count(h, "tunes") > 0).await;
+fn a_server_with_a_slow_tail_gets_less_and_another_node_takes_over_tuning() {
+    run_local(async {
+        let (mut rig, site, _load) = start("").await;
+        wait_until(&rig, "a tuner", |h| count(h, "tunes") > 0).await;
         let before = share(&site, 0, 3).await;
-        until(&rig, "weights", |h| count(h, "weighs") > 0).await;
+        wait_until(&rig, "weights", |h| count(h, "weighs") > 0).await;
         let began = Instant::now();
         let mut now = before;
         while now > 0.75 * before {
@@ -84,9 +85,9 @@
         let tuner = rig.history().lines.iter().rev().find(|l| l.kind == "tunes").map_or(0, |l| l.place);
         let tunes = count(&rig.history(), "tunes");
         rig.kill(tuner).await.expect("killed");
-        until(&rig, "another tuner", |h| count(h, "tunes") > tunes).await;
+        wait_until(&rig, "another tuner", |h| count(h, "tunes") > tunes).await;
         let weighs = count(&rig.history(), "weighs");
-        until(&rig, "its weights", |h| count(h, "weighs") > weighs).await;
+        wait_until(&rig, "its weights", |h| count(h, "weighs") > weighs).await;
         rig.close().await.expect("the end");
     });
 }
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A second process takes over from the first over the socket that both inherit.
+//! A new process takes over from the old one through a listening socket that both inherit.
 
 use birchswitch_standin::scripted::*;
 use serde_json::{json, Value};
@@ -11,42 +11,42 @@
     })
 }
 
-async fn next(held: &TcpListener, discovery: &Peer, state: &str) -> (Node, SocketAddr, Watch) {
-    let mut node = Node::inheriting(held, config(discovery), &[("TMPDIR", state)]).await;
+async fn start_process(listener: &TcpListener, discovery: &Peer, state: &str) -> (Node, SocketAddr, Watch) {
+    let mut node = Node::inheriting(listener, config(discovery), &[("TMPDIR", state)]).await;
     let operators = node.ops_address().await;
     let (watch, _) = discovery.watch().await;
     (node, operators, watch)
 }
 
-/// What connects before the second process holds a list is served by the first; what is under way there ends there, and what
-/// connects once it leaves is the second's. A ban told to either holds in both.
+/// Connections made before the second process holds a list are served by the first, which also finishes its
+/// open requests; connections made once it leaves go to the second. A ban set in either applies in both.
 #[tokio::test]
-async fn nobody_is_turned_away_while_one_process_takes_over_from_another() {
-    let held = TcpListener::bind(unique_address()).expect("a port");
+async fn no_request_is_lost_as_one_process_takes_over_from_another() {
+    let listener = TcpListener::bind(unique_address()).expect("a port");
     let folder = tempfile::tempdir().expect("a folder");
     let state = folder.path().to_str().expect("a path");
-    let (discovery, server, out) = (Peer::new().await, Peer::new().await, Peer::new().await);
-    let list = [member("s", server.address(), "active"), member("out", out.address(), "active")];
-    let (mut first, told_first, mut watch) = next(&held, &discovery, state).await;
+    let (discovery, server, suspended) = (Peer::new().await, Peer::new().await, Peer::new().await);
+    let list = [member("s", server.address(), "active"), member("out", suspended.address(), "active")];
+    let (mut first, first_ops, mut watch) = start_process(&listener, &discovery, state).await;
     watch.list(1, true, &list).await;
     first.wait_until_ready().await;
-    assert!(call(told_first, "SUSPEND out").await.starts_with("SUCCESS "));
+    assert!(call(first_ops, "SUSPEND out").await.starts_with("SUCCESS "));
 
-    let (second, told_second, mut watch) = next(&held, &discovery, state).await;
-    assert!(call(told_second, "STATUS").await.starts_with("FAILURE "));
-    let mut client = Connection::connect(held.local_addr().expect("bound")).await;
+    let (second, second_ops, mut watch) = start_process(&listener, &discovery, state).await;
+    assert!(call(second_ops, "STATUS").await.starts_with("FAILURE "));
+    let mut client = Connection::connect(listener.local_addr().expect("bound")).await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     watch.list(1, true, &list).await;
-    let yes = async { while !call(told_second, "STATUS").await.starts_with("SUCCESS ") {} };
-    within("the second's yes", yes).await;
+    let ready = async { while !call(second_ops, "STATUS").await.starts_with("SUCCESS ") {} };
+    within("readiness of the second process", ready).await;
     first.signal("TERM").await;
     first.wait_for_log("leaving").await;
-    assert!(call(told_first, "STATUS").await.starts_with("FAILURE "));
+    assert!(call(first_ops, "STATUS").await.starts_with("FAILURE "));
 
-    // From here on all that connect are the second's.
+    // From here on the second process gets all connections.
     for _ in 0..4 {
-        let mut later = Connection::connect(held.local_addr().expect("bound")).await;
+        let mut later = Connection::connect(listener.local_addr().expect("bound")).await;
         later.send("unsafe", "20000m").await;
         let (mut wire, _) = server.request().await;
         wire.answer("200 OK", "Connection: close\r\n", "").await;
@@ -55,14 +55,14 @@
     wire.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("the first process's answer").status(), 200);
     assert!(first.wait_for_exit().await.success());
-    assert!(out.has_no_connection().await, "the ban was told to the first process only");
-    assert!(call(told_second, "RESTORE out").await.starts_with("SUCCESS "));
+    assert!(suspended.has_no_connection().await, "the ban has to apply in the second process too");
+    assert!(call(second_ops, "RESTORE out").await.starts_with("SUCCESS "));
     drop(second);
 }
 
-/// A number under which there is no socket is told in one line.
+/// An invalid descriptor is reported in one line.
 #[tokio::test]
-async fn a_descriptor_that_is_no_socket_is_told() {
+async fn a_descriptor_that_is_not_a_socket_is_reported() {
     let discovery = Peer::new().await;
     for (number, problem) in [("5", "descriptor 5 is no socket"), ("1", "above 2"), ("x", "GW_SOCKET_FD")] {
         let (child, _file) = start_with_env(&config(&discovery).to_string(), &[("GW_SOCKET_FD", number)]);
--- a/node/tests/verdicts.rs
+++ b/node/tests/verdicts.rs
@@ -57,12 +57,12 @@
     let request = RequestSpec { class: "safe".into(), tenant: "one".into(), key: None, cost: None };
     let node_load = || NodeLoad { per_s: Rc::new(Cell::new(15.0)), requests: vec![request.clone()] };
     let load = Load::start((0..NODES).map(|_| node_load()).collect(), rig.client_addresses());
-    wait_until(&rig, "a judge", |h| count(h, "judges") > 0).await;
+    until(&rig, "a judge", |h| count(h, "judges") > 0).await;
     sleep(Duration::from_secs(2)).await;
     VerdictRig { rig, site, _load: load }
 }
 
-async fn wait_until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) -> Duration {
+async fn until(rig: &Rig, what: &str, holds: impl Fn(&History) -> bool) -> Duration {
     rig.wait_until(what, Duration::from_secs(40), holds, |_| "nothing".to_owned()).await.expect("in time")
 }
 
@@ -88,33 +88,32 @@
 #[test]
 fn a_failing_server_is_withheld_by_all_and_readmitted_gradually() {
     run_local(async {
-        let cluster = start("", false).await;
-        cluster.site.set_behavior(0, FAILING);
-        let condemned_after = wait_until(&cluster.rig, "a verdict", |h| count(h, "condemned") > 0).await;
-        let applied_after = wait_until(&cluster.rig, "all to apply it", |h| {
-            withheld(h).values().filter(|n| **n > 0).count() == NODES
-        })
-        .await;
-        let current_shares = shares(&cluster.site, 3).await;
+        let setup = start("", false).await;
+        setup.site.set_behavior(0, FAILING);
+        let condemned_after = until(&setup.rig, "a verdict", |h| count(h, "condemned") > 0).await;
+        let applied_after =
+            until(&setup.rig, "application", |h| withheld(h).values().filter(|n| **n > 0).count() == NODES)
+                .await;
+        let current_shares = shares(&setup.site, 3).await;
         println!("condemned after {condemned_after:?}, applied by all {applied_after:?} later; shares {current_shares:.2?}");
         assert!(current_shares[0] < 0.25, "{current_shares:.2?}");
         assert!(
-            cluster.site.received().iter().rev().take(600).any(|s| s.server == 0),
+            setup.site.received().iter().rev().take(600).any(|s| s.server == 0),
             "a trickle of requests remains"
         );
         // The judge dies: another takes over, and meanwhile no node applies an expired verdict.
         let judge =
-            cluster.rig.history().lines.iter().rev().find(|l| l.kind == "judges").map_or(0, |l| l.place);
-        let judges = count(&cluster.rig.history(), "judges");
-        let mut cluster = cluster;
-        cluster.rig.kill(judge).await.expect("killed");
-        wait_until(&cluster.rig, "another judge", |h| count(h, "judges") > judges).await;
-        cluster.site.set_behavior(0, HEALTHY);
-        wait_until(&cluster.rig, "all to use it again", |h| {
+            setup.rig.history().lines.iter().rev().find(|l| l.kind == "judges").map_or(0, |l| l.place);
+        let judges = count(&setup.rig.history(), "judges");
+        let mut setup = setup;
+        setup.rig.kill(judge).await.expect("killed");
+        until(&setup.rig, "another judge", |h| count(h, "judges") > judges).await;
+        setup.site.set_behavior(0, HEALTHY);
+        until(&setup.rig, "all to use it again", |h| {
             withheld(h).iter().all(|(place, n)| *n == 0 || *place == judge)
         })
         .await;
-        cluster.rig.close().await.expect("the end");
+        setup.rig.close().await.expect("the end");
     });
 }
 
@@ -122,25 +121,25 @@
 #[test]
 fn failures_seen_by_one_node_condemn_no_server() {
     run_local(async {
-        let mut cluster = start("", true).await;
+        let mut setup = start("", true).await;
         let script = Script::parse("0s wire cut n5 servers\n8s wire heal\n9s wire lose 0", 0, NODES)
             .expect("a script");
-        cluster.rig.set_script(script);
-        cluster.rig.play(|_| ()).await.expect("played");
-        assert_eq!(count(&cluster.rig.history(), "condemned"), 0);
-        cluster.rig.close().await.expect("the end");
+        setup.rig.set_script(script);
+        setup.rig.play(|_| ()).await.expect("played");
+        assert_eq!(count(&setup.rig.history(), "condemned"), 0);
+        setup.rig.close().await.expect("the end");
     });
 }
 
 #[test]
 fn a_release_that_breaks_all_servers_condemns_none() {
     run_local(async {
-        let cluster = start("", false).await;
+        let setup = start("", false).await;
         (0..SERVERS)
-            .for_each(|n| cluster.site.set_behavior(n, ServerBehavior { error_permille: 600, ..HEALTHY }));
+            .for_each(|n| setup.site.set_behavior(n, ServerBehavior { error_permille: 600, ..HEALTHY }));
         sleep(Duration::from_secs(8)).await;
-        assert_eq!(count(&cluster.rig.history(), "condemned"), 0);
-        cluster.rig.close().await.expect("the end");
+        assert_eq!(count(&setup.rig.history(), "condemned"), 0);
+        setup.rig.close().await.expect("the end");
     });
 }
 
@@ -150,19 +149,15 @@
 fn a_faulty_judge_withholds_no_more_than_the_configured_part() {
     run_local(async {
         for (without, rationed) in [("\"evidence\"", true), ("\"evidence\", \"ration\"", false)] {
-            let cluster = start(without, false).await;
-            wait_until(&cluster.rig, "all to apply it", |h| {
-                withheld(h).values().filter(|n| **n > 0).count() == NODES
-            })
-            .await;
-            let shares = shares(&cluster.site, 4).await;
+            let setup = start(without, false).await;
+            until(&setup.rig, "application", |h| withheld(h).values().filter(|n| **n > 0).count() == NODES)
+                .await;
+            let shares = shares(&setup.site, 4).await;
             let withheld_servers = shares.iter().filter(|s| **s < 0.5).count();
             println!("without {without}: shares {shares:.2?}");
             assert_eq!(withheld_servers <= SERVERS / 4, rationed, "{without}: {shares:.2?}");
-            assert!(withheld(&cluster.rig.history())
-                .values()
-                .all(|n| (*n <= SERVERS as u64 / 4) == rationed));
-            cluster.rig.close().await.expect("the end");
+            assert!(withheld(&setup.rig.history()).values().all(|n| (*n <= SERVERS as u64 / 4) == rationed));
+            setup.rig.close().await.expect("the end");
         }
     });
 }
