--- a/node/tests/departures.rs
+++ b/node/tests/departures.rs
@@ -205,7 +205,7 @@
     let (_wire, second) = server.request().await;
     let timeout = second.header("x-timeout").and_then(|t| t.strip_suffix('u')).expect("microseconds");
     let timeout = Duration::from_micros(timeout.parse().expect("a number"));
-    assert!(timeout <= Duration::from_secs(20) - waited, "told {timeout:?}");
+    assert!(timeout <= Duration::from_secs(20) - waited, "x-timeout is {timeout:?}");
 }
 
 /// Requests whose deadline passed behind another are answered at once and never forwarded.
--- a/node/tests/leases.rs
+++ b/node/tests/leases.rs
@@ -302,9 +302,8 @@
 
         let long = "x".repeat(900);
         for (name, code) in [(long.as_str(), 69), ("é", 69)] {
-            let (first_violation, _, why) =
-                wait_for_exit(lease_run(ops_addresses[0], name, &[], "true")).await;
-            assert_eq!(first_violation, Some(code), "{why}");
+            let (exit_code, _, why) = wait_for_exit(lease_run(ops_addresses[0], name, &[], "true")).await;
+            assert_eq!(exit_code, Some(code), "{why}");
             assert!(why.contains("1 to 64 visible ASCII"), "{why}");
         }
     });
@@ -339,8 +338,8 @@
         let forked: u32 = line(&mut held).await.parse().expect("a pid");
         rig.kill(0).await.expect("killed");
         let next = lease_run(ops_addresses[1], "a", &[], &print_if_running(forked));
-        let (code, print_if_running, _) = wait_for_exit(next).await;
-        assert_eq!((code, print_if_running.as_str()), (Some(0), ""), "the next holder found it running");
+        let (code, output, _) = wait_for_exit(next).await;
+        assert_eq!((code, output.as_str()), (Some(0), ""), "the next holder found it running");
         assert_eq!(wait_for_exit(held).await.0, Some(76));
     });
 }
@@ -361,8 +360,8 @@
             rig
         });
         let next = lease_run(ops_addresses[1], "a", &[], &print_if_running(forked));
-        let (code, first_violation, _) = wait_for_exit(next).await;
-        assert_eq!((code, first_violation.as_str()), (Some(0), ""), "the next holder found it running");
+        let (code, output, _) = wait_for_exit(next).await;
+        assert_eq!((code, output.as_str()), (Some(0), ""), "the next holder found it running");
         assert_eq!(wait_for_exit(held).await.0, Some(76));
         stopped.await.expect("the script was played");
     });
--- a/node/tests/thrift.rs
+++ b/node/tests/thrift.rs
@@ -569,14 +569,14 @@
     write::Binary(&mut depth).header(MessageType::Call, "buy", 3, true);
     depth.extend(b"\x0c\x00\x01".repeat(200));
     frame::write_length(&mut depth);
-    let mut server_settings = call("buy", 3, "x");
-    server_settings.push(0);
-    frame::write_length(&mut server_settings);
+    let mut excess = call("buy", 3, "x");
+    excess.push(0);
+    frame::write_length(&mut excess);
     let mut unknown = call("buy", 3, "x");
     unknown[7] = 2; // A reply.
     for (bytes, kind) in [
         (depth, ExceptionType::ProtocolError),
-        (server_settings, ExceptionType::ProtocolError),
+        (excess, ExceptionType::ProtocolError),
         (unknown, ExceptionType::InvalidMessageType),
     ] {
         let mut client = thrift_node.client().await;
@@ -693,7 +693,7 @@
 async fn calls_move_to_the_idle_server(server_settings: &str, methods: &'static [&'static str]) {
     let (idle, busy) = (Peer::new().await, Peer::new().await);
     let thrift_node = ThriftNode::with(&[("a", &idle), ("b", &busy)], "", server_settings).await;
-    let (calls, mut accept_call) = tokio::sync::mpsc::unbounded_channel();
+    let (calls, mut called_servers) = tokio::sync::mpsc::unbounded_channel();
     let mut serving = tokio::task::JoinSet::new();
     for (peer, load) in [(idle, 0.0), (busy, 1.0)] {
         let calls = calls.clone();
@@ -721,7 +721,7 @@
             seqid += 1;
             client.write_bytes(&call("buy", seqid, "order")).await;
             if next(&mut client).await.kind == MessageType::Reply {
-                run = if accept_call.recv().await == Some(0.0) { run + 1 } else { 0 };
+                run = if called_servers.recv().await == Some(0.0) { run + 1 } else { 0 };
             }
         }
     };
@@ -821,8 +821,8 @@
         let path = file.path().to_str().expect("a path");
         let (process, _config) = start_with_env(&config.to_string(), &[("GW_OPERATOR", path)]);
         let output = within("its end", process.wait_with_output()).await.expect("its output");
-        let decode = String::from_utf8_lossy(&output.stderr);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{text}");
-        assert!(decode.contains(wanted) && decode.lines().count() == 1, "{text}: {decode}");
+        assert!(stderr.contains(wanted) && stderr.lines().count() == 1, "{text}: {stderr}");
     }
 }
--- a/node/tests/wallet.rs
+++ b/node/tests/wallet.rs
@@ -159,7 +159,7 @@
     for (n, fault) in faults.iter().enumerate() {
         let id = format!("p{}", n + 1);
         apply_faults(&mut wallet, fault).await;
-        // The payer got no answer, so it sends the same payment again to another node.
+        // The payer got no answer, or it was lost, so the same payment is sent again to other nodes.
         for node in [3, 6, 10, 3, 6] {
             wallet.top_up(&[node, 4], &id, 500).await;
         }
@@ -215,7 +215,7 @@
             .rig
             .wait_until("a report of the damage", Duration::from_secs(20), is_damaged, |_| "nothing".into())
             .await
-            .expect("told");
+            .expect("reported");
         wallet.top_up(&[1], "second", 7).await;
         let before = wallet.cost_at_servers();
         wait_until("traffic", || wallet.cost_at_servers() > before + 50).await;
@@ -253,7 +253,7 @@
             .rig
             .wait_until("a full ledger", Duration::from_secs(90), full, |_| "none".into())
             .await
-            .expect("told");
+            .expect("reported");
         sleep(Duration::from_secs(4)).await;
         let ended = wallet.stop_load().await;
         let refused = ended.iter().rev().take(20).filter(|e| e.status == Some(503) && e.retry_after).count();
