--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -122,7 +122,8 @@
         /// The node's new incarnation.
         incarnation: u64,
     },
-    /// Another process uses or used this node's name; the other process yields.
+    /// A process that started earlier uses or used this node's name at this address. If it still
+    /// runs, it yields once it learns of this node.
     DuplicateName(SocketAddr),
     /// A process that started later uses this node's name: this node is no longer a member.
     Yielded(SocketAddr),
@@ -438,7 +439,7 @@
         if claim.generation < self.own.generation || claim.state == State::Alive {
             return;
         }
-        // Also counts if already refuted: then the refutation has not arrived, or not yet.
+        // Also counts if already refuted: the sender of the claim has not received the refutation.
         self.local_health.record_self_doubt(now, self.settings.suspicion, 0);
         self.probing.clear_failures();
         if claim.incarnation >= self.own.incarnation {
--- a/crates/figures/src/lib.rs
+++ b/crates/figures/src/lib.rs
@@ -7,7 +7,7 @@
 //! | name | kind | meaning |
 //! | --- | --- | --- |
 //! | `app_results{service, disposition}` | counter | completed requests: `succeeded` (served), `declined` (refused), `aborted` (failed) |
-//! | `app_refusals{reason}` | counter | refused requests by reason: `hopeless`, `toll`, `no_server`, `chance`, `spent` |
+//! | `app_refusals{reason}` | counter | refused requests by reason: `hopeless` (the hinted work cannot be finished in time even on an idle server), `toll` (capacity is short and the request is worth less than those admitted), `no_server` (no server that may take it is available), `chance` (an answer in time is too unlikely at the chosen server), `spent` (its attempts failed, and time or retry budget do not allow another) |
 //! | `app_forwards` | counter | attempts whose last byte was handed to a connection to a server |
 //! | `app_probes` | counter | probes sent to servers |
 //! | `app_handshakes` | counter | connections established to servers |
--- a/crates/health/src/scheduler.rs
+++ b/crates/health/src/scheduler.rs
@@ -46,7 +46,9 @@
         self.servers.retain(|name, _| names.contains(name));
     }
 
-    /// A listed server did not answer some node; it is probed at once.
+    /// Records that a server did not answer some node. Unless it is scheduled already, its probe is due at
+    /// once. The name is not checked: [`ProbeScheduler::retain_listed`] has to remove unlisted servers before
+    /// [`ProbeScheduler::due`] is called.
     pub fn report(&mut self, now: Time, name: u64) {
         let new = Server { next: now, pause: self.intervals.least, silent: false };
         self.servers.entry(name).or_insert(new);
--- a/crates/http/src/gate/mod.rs
+++ b/crates/http/src/gate/mod.rs
@@ -59,13 +59,14 @@
     pub next: Expected,
 }
 
-/// How a gate treats input between two messages.
+/// How a gate treats input while it expects a message head. The message before was received completely, but may still be
+/// in processing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadMode {
     /// The next message is forwarded as it arrives.
     Forward,
-    /// A message is being processed: what follows is read into a bounded buffer, so that the end of the connection is
-    /// noticed.
+    /// The message before is being processed: what follows it is read into a bounded buffer, so that the end of the
+    /// connection is noticed.
     Buffer,
     /// Buffered messages are forwarded, and nothing more is read.
     Drain,
@@ -88,7 +89,7 @@
     /// More bytes than the message were received with it. Hyper learns of them only when it reads on, which may be too
     /// late.
     fn excess_received(&self) {}
-    /// How to treat input between two messages.
+    /// How to treat input while a message head is expected.
     fn read_mode(&self) -> ReadMode {
         ReadMode::Forward
     }
--- a/crates/lab/src/fleet_limit.rs
+++ b/crates/lab/src/fleet_limit.rs
@@ -31,7 +31,7 @@
 pub enum Fault {
     /// No fault.
     None,
-    /// A third of the nodes receives no messages for ten seconds.
+    /// A third of the nodes can neither send nor receive messages for ten seconds.
     Cut,
     /// The allocator dies; another takes over three seconds later.
     Death,
@@ -51,9 +51,10 @@
 /// Results of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitResults {
-    /// Requests by which the worst window exceeded L·W + B; at most 0 if the limit held.
+    /// Requests by which the worst window exceeded L·W + B, where W is its length in seconds, L the limit in requests per
+    /// second and B the burst; at most 0 if the limit held.
     pub excess: f64,
-    /// Admitted requests, as a fraction of what demand and limit allow.
+    /// Admitted requests, as a fraction of the smaller of the requests offered and the limit's rate times the duration.
     pub used: f64,
     /// `used` without the fault, the first ten seconds and the three seconds after each change of the loud nodes.
     pub settled_use: f64,
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -69,7 +69,8 @@
     pub held: usize,
     /// Queued requests.
     pub waiting: usize,
-    /// Busy fraction of its cores since the last report, from 0 to 1.
+    /// Fraction of its cores' time, from 0 to 1, that requests occupied since the value was last measured. Time in a
+    /// freeze counts. The previous value is kept until 10 ms have passed.
     pub busy: f64,
 }
 
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -9,14 +9,16 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The guard ends before the lease by this fraction of the hold time.
-const GUARD_FRACTION: u32 = 10;
-/// Renewal starts after this fraction of the hold time.
-const RENEW_FRACTION: u32 = 3;
-/// How often a request is resent per round.
-const RESENDS_PER_ROUND: u32 = 3;
-/// Highest power of two by which the pause after failures grows.
-const MAX_BACKOFF_POWER: u32 = 4;
+/// The guard ends before the lease by the hold time divided by this.
+const GUARD_DIVISOR: u32 = 10;
+/// Renewal starts after the hold time divided by this.
+const RENEW_DIVISOR: u32 = 3;
+/// How often per round a request is sent to a voter that does not agree: at the start, and after one
+/// and two thirds of the round.
+const SENDS_PER_ROUND: u32 = 3;
+/// The random part of the pause after a failure is below the round times two to the power of the
+/// earlier failures in a row; this is the maximum exponent.
+const MAX_BACKOFF_EXPONENT: u32 = 4;
 
 /// A lease held by this candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -164,7 +166,7 @@
     }
 
     fn grant(&self, key: &Key, ballot: Ballot, until: Time) -> Grant {
-        let guard = until.saturating_sub(self.terms.hold_time() / GUARD_FRACTION);
+        let guard = until.saturating_sub(self.terms.hold_time() / GUARD_DIVISOR);
         Grant { key: key.clone(), token: ballot.number, until, guard }
     }
 
@@ -243,7 +245,7 @@
         if now < attempt.resend_at {
             return;
         }
-        attempt.resend_at = now + self.terms.round / RESENDS_PER_ROUND;
+        attempt.resend_at = now + self.terms.round / SENDS_PER_ROUND;
         let pending = self.terms.voters.iter().enumerate().filter(|(n, _)| attempt.yes & (1 << n) == 0);
         for (_, voter) in pending {
             let request = Request {
@@ -271,7 +273,7 @@
         // The pause lasts at least until the lease may be free, and its random part keeps waiting
         // candidates from all asking at once.
         let round = self.terms.round;
-        let spread = round * (1 << lease.failures.min(MAX_BACKOFF_POWER));
+        let spread = round * (1 << lease.failures.min(MAX_BACKOFF_EXPONENT));
         let pause = retry_after.unwrap_or(Duration::ZERO).min(self.terms.ttl);
         lease.failures += 1;
         lease.state = State::Waiting(now + pause + round / 10 + self.jitter(key, ballot, spread));
@@ -372,7 +374,7 @@
         if now >= until {
             return;
         }
-        let renew_at = attempt.started + self.terms.hold_time() / RENEW_FRACTION;
+        let renew_at = attempt.started + self.terms.hold_time() / RENEW_DIVISOR;
         lease.failures = 0;
         lease.state = State::Holding { ballot: attempt.ballot, until, renew_at, extending: None };
         let grant = self.grant(key, attempt.ballot, until);
--- a/crates/membership/src/discovery.rs
+++ b/crates/membership/src/discovery.rs
@@ -39,8 +39,8 @@
 
 impl DiscoveryTimeouts {
     /// For an agent on the node's own machine, which responds at once and at no cost, or not at all. The
-    /// delays are short because changes it learns while unreachable count as known to the node as soon as it
-    /// can be reached again.
+    /// delays are short because the node is expected to know the changes that the agent learned while it was
+    /// unreachable as soon as it can be reached again.
     pub const AGENT: DiscoveryTimeouts = DiscoveryTimeouts {
         connect: Duration::from_millis(250),
         response: Duration::from_millis(500),
@@ -62,7 +62,8 @@
     /// The connection could not be opened.
     #[error("no connection: {0}")]
     Connect(std::io::Error),
-    /// No data was received in time, not even an empty line.
+    /// The connection was not opened in time, the response did not start in time, or then no data was received
+    /// in time, not even an empty line, or an object was not completed in time.
     #[error("silent for too long")]
     Silent,
     /// The connection broke or violated HTTP.
@@ -80,7 +81,7 @@
     /// The stream is not a sequence of objects.
     #[error("unusable line: {0}")]
     Framing(#[from] FramingError),
-    /// A fetched list is too long, or not complete.
+    /// A fetched list could not be read, is too long, or is not complete.
     #[error("unusable list: {0}")]
     Unusable(String),
 }
--- a/crates/operations/src/server.rs
+++ b/crates/operations/src/server.rs
@@ -43,7 +43,8 @@
     fn wallet(&self, arguments: &[String]) -> DeferredReply;
     /// Asks the holders of leases with this name at this node to stop.
     fn end_lease(&self, name: &str) -> Result<String, String>;
-    /// Waits for a lease and holds it until the returned session is released or dropped.
+    /// Starts to wait for a lease and returns a session at once. The lease is awaited, and once granted held, until the
+    /// session is released or dropped.
     fn lease(&self, name: &str, slots: u16) -> Result<Box<dyn LeaseSession>, String>;
     /// Suspends or restores a server. `Ok` means that the change has taken effect.
     fn set_suspended(&self, server: &str, suspended: bool) -> Result<String, String>;
@@ -102,7 +103,8 @@
     timeout(WRITE_TIMEOUT, write).await?
 }
 
-/// Answers every line with the session's current state, until the caller disconnects or releases the lease.
+/// Writes the session's current state at once and after each read, until the caller disconnects, is silent for too long
+/// or releases the lease.
 async fn serve_session(mut stream: TcpStream, session: Box<dyn LeaseSession>) {
     let mut buffer = [0; 64];
     loop {
--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -11,9 +11,9 @@
 
 /// The least time between two reallocations, and between two removals of expired grants: each visits all processes.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
-/// Where there are fewer units than nodes, a node keeps its unit for this long, and has priority once it has been without one for as long.
+/// Where there are fewer units than processes, a process keeps its unit for this long, and has priority once it has been without one for as long.
 const ROTATION_PERIOD: Duration = Duration::from_secs(3);
-/// Most processes whose grants are tracked. Any beyond get no grant.
+/// Maximum number of processes whose grants are tracked. Any beyond get no grant.
 const MAX_PROCESSES: usize = 4096;
 
 /// An issued grant that may still be held.
@@ -120,6 +120,7 @@
         }
     }
 
+    /// Whether the limit bounds the requests in flight, not their rate.
     fn in_flight(&self) -> bool {
         matches!(self.limit.measure, Measure::InFlight { .. })
     }
--- a/crates/standin/src/rig/checker.rs
+++ b/crates/standin/src/rig/checker.rs
@@ -20,7 +20,7 @@
     ended: Option<(Nanos, bool)>,
     /// Spans in which the process was stopped.
     stopped: Vec<(Nanos, Nanos)>,
-    /// Random number that identifies this incarnation of the member, from the process's first event.
+    /// Random number that identifies this process, from its `listening` event.
     draw: Option<u64>,
 }
 
@@ -121,7 +121,7 @@
         self.history.lines.iter().filter(move |l| (l.place, l.start) == (p.place, start))
     }
 
-    /// Verdicts on members that were running and reachable at some time within the last 2 s.
+    /// Verdicts on members that were running and reachable at some time between 2 s and 0.2 s before the verdict.
     pub fn false_verdicts(&self) -> Vec<String> {
         let mut found = Vec::new();
         for line in self.history.lines.iter().filter(|l| l.kind == "verdict") {
@@ -150,8 +150,8 @@
         found
     }
 
-    /// Deaths by kill that some process did not learn of within the bound, although it ran all the time and no link was
-    /// cut.
+    /// Deaths by kill that some process did not learn of within the bound, although it ran all the time. A kill while a
+    /// link was cut is left out; a cut that begins after the kill does not excuse a late detection.
     pub fn missed_deaths(&self, bound: Duration) -> Vec<String> {
         let mut found = Vec::new();
         for (dead, killed, until, by, took) in self.deaths() {
@@ -173,7 +173,8 @@
     }
 
     /// Each death by kill, paired with each process that ran for the next 30 s, or to the end or the next start under
-    /// the dead member's name, and how long that process took to learn of it.
+    /// the dead member's name, and how long that process took to learn of it. Kills at a time when some link was cut are
+    /// left out.
     fn deaths(&self) -> Vec<(usize, Nanos, Nanos, usize, Option<Duration>)> {
         let mut all = Vec::new();
         for (n, dead) in self.processes.iter().enumerate() {
--- a/crates/standin/src/rig/limits.rs
+++ b/crates/standin/src/rig/limits.rs
@@ -135,7 +135,8 @@
     )
 }
 
-/// Requests per second at each node, twice the limit in total. Unless the load is uniform, the first third of the nodes
+/// Tenant one's requests per second at each node, twice its limit in total. Callers multiply by 1.5 for the node's whole
+/// load, since every third request is tenant two's. Unless the load is uniform, the first third of the nodes
 /// gets a hundred times the load of the last third, or the reverse.
 fn demand(case: &Case, reversed: bool) -> Vec<f64> {
     let nodes = case.nodes;
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -18,9 +18,15 @@
 //! The last three lines need the rig of many processes ([`crate::rig`]); [`ProcessFault`] and [`WireFault`] list all
 //! faults of that kind.
 //!
-//! Each line holds one fault; `#` starts a comment. Times are integers with `ms` or `s`, counted from the start. A target
-//! is a server (`s2`), a range of servers (`s0-s3`, both ends included), `all`, `any` (one server, chosen at random from
-//! the seed), a node (`n0`) or the `registry`.
+//! Each line holds one fault; `#` starts a comment. Times are integers with `ms` or `s`, counted from the start.
+//! Targets are:
+//!
+//! - servers: one (`s2`), a range (`s0-s3`, both ends included), `all`, or `any` (one, chosen at random from the seed);
+//! - a node (`n0`);
+//! - for a [`ProcessFault`] also a range of nodes (`n3-n5`), all (`nodes`), a random fraction (`nodes:0.7`), or those of a
+//!   zone (`zone:1`);
+//! - the `registry`;
+//! - the `wire`, that is the network between the nodes and to their external endpoints, for a [`WireFault`].
 
 mod nodes;
 
--- a/crates/wallet/src/client/allotments.rs
+++ b/crates/wallet/src/client/allotments.rs
@@ -7,9 +7,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Most debits for keys that wait to be reported. Beyond it, requests with keys are rejected.
+/// Maximum number of debits for keys that wait to be reported. Beyond it, requests with keys are rejected.
 const MAX_UNREPORTED_KEYS: usize = 50_000;
-/// Most debits for keys in one report.
+/// Maximum number of debits for keys in one report.
 const MAX_REPORTED_KEYS: usize = 4_000;
 /// Time constant in seconds over which the demand rate is smoothed.
 const SMOOTHING_S: f64 = 1.0;
@@ -25,7 +25,8 @@
     Paused,
     /// An operator has frozen the account.
     Frozen,
-    /// This node holds too few units at present.
+    /// This node holds too few units at present, or the request has a key and `MAX_UNREPORTED_KEYS` debits for keys
+    /// wait to be reported.
     NoAllotment,
 }
 
--- a/crates/wallet/src/leader/mod.rs
+++ b/crates/wallet/src/leader/mod.rs
@@ -19,9 +19,9 @@
 pub const LANE: u8 = 2;
 /// The name of the task, and of its lease.
 pub const TASK: &str = "wallet";
-/// Most requests that are queued for the leader.
+/// Maximum number of requests that are queued for the leader.
 const MAX_PENDING: usize = 1024;
-/// Most requests whose entries are written in one batch.
+/// Maximum number of requests whose entries are written in one batch.
 const MAX_BATCH: usize = 256;
 /// Time between checks for expired sessions, and between attempts to begin a term.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
@@ -70,13 +70,13 @@
     /// Serves the wallet's lane of the mesh whenever this node leads. `nodes` are the ledger's replicas.
     pub fn serve(
         mesh: &Mesh,
-        terms: Vec<AccountTerms>,
+        account_terms: Vec<AccountTerms>,
         settings: LeaderSettings,
         nodes: Vec<MemberId>,
     ) -> Arc<Self> {
-        let (term, terms_of_leadership) = watch::channel(None);
+        let (term, leadership) = watch::channel(None);
         let (pending, requests) = mpsc::channel::<PendingRequest>(MAX_PENDING);
-        let current = terms_of_leadership.clone();
+        let current = leadership.clone();
         let handle = move |process: ProcessId, bytes: Bytes| {
             let (pending, current) = (pending.clone(), current.clone());
             Box::pin(async move {
@@ -96,8 +96,8 @@
             keep_in_doubt: settings.keep_in_doubt,
             unique_top_ups: settings.unique_top_ups,
         };
-        let context = Context { mesh: mesh.clone(), terms, allocator_settings, nodes };
-        mesh.spawn(run_terms(context, terms_of_leadership, requests));
+        let context = Context { mesh: mesh.clone(), terms: account_terms, allocator_settings, nodes };
+        mesh.spawn(run_terms(context, leadership, requests));
         Arc::new(Leader { term })
     }
 
@@ -125,16 +125,16 @@
 
 async fn run_terms(
     context: Context,
-    mut terms: watch::Receiver<Option<LeadershipTerm>>,
+    mut leadership: watch::Receiver<Option<LeadershipTerm>>,
     mut requests: mpsc::Receiver<PendingRequest>,
 ) {
     loop {
-        if terms.wait_for(Option::is_some).await.is_err() {
+        if leadership.wait_for(Option::is_some).await.is_err() {
             return;
         }
-        let term = *terms.borrow();
+        let term = *leadership.borrow();
         let Some(term) = term else { continue };
-        let mut changes = terms.clone();
+        let mut changes = leadership.clone();
         tokio::select! {
             why = lead(&context, term.token, &mut requests) => {
                 tracing::warn!(target: "wallet", kind = "halts", token = term.token, why);
--- a/node/src/fleet/adjustments.rs
+++ b/node/src/fleet/adjustments.rs
@@ -1,4 +1,4 @@
-//! Merges the fleet's knowledge of servers, ejections and tuned weights, and passes it to the hosts. It reaches the engine only here.
+//! Merges the fleet's ejections and tuned weights of servers, and passes them to the hosts. They reach the engine by no other path.
 
 use birchswitch_host::{Host, NamedServerAdjustment, Upstream};
 use std::cell::RefCell;
--- a/src/policy/estimate/mod.rs
+++ b/src/policy/estimate/mod.rs
@@ -24,13 +24,13 @@
 const KIND_PRIOR: f64 = 8.0;
 /// Weight of the kind's outcomes in the estimate for one server, in attempts.
 const OWN_PRIOR: f64 = 0.2;
-/// Weight of one answer in the fleet-wide excess latency.
-const REPORT_ERROR_STEP: f64 = 0.125;
+/// Weight of one served or timed-out attempt in the mean excess latency over all servers.
+const MEAN_EXCESS_LATENCY_STEP: f64 = 0.125;
 /// Time constant in seconds with which the outcomes of a kind of server are forgotten.
 const KIND_MEMORY: f64 = 6.0;
 /// Time constant in seconds with which the outcomes at one server are forgotten.
 const SERVER_MEMORY: f64 = 4.0;
-/// Weight of one answer in its server's excess latency.
+/// Weight of one served or timed-out attempt in its server's excess latency.
 const EXCESS_LATENCY_STEP: f64 = 0.5;
 /// Cost of delaying the requests that wait behind by one latency target, as a fraction of worth.
 const DELAY_COST: f64 = 0.3;
@@ -68,7 +68,8 @@
     }
 
     /// The value of the request at this server from 0 to 1, as a fraction of its worth: its chance of being
-    /// in time, less the delay it causes to the requests behind it.
+    /// in time, less the delay it causes to the requests behind it. `within` is the time left and `aim` the
+    /// latency target, both in seconds; `again` tells whether the request can be retried after a rejection.
     pub(crate) fn worth(&self, work: f64, within: f64, aim: f64, again: bool) -> f64 {
         let lost = self.failed + self.rejected * if again { 1.0 - RETRY_WORTH } else { 1.0 };
         let late = Estimate { wait: self.wait + self.excess_latency, ..*self };
@@ -184,11 +185,11 @@
     if let Some(&i) = b.index.get(&end.server) {
         let s = &mut b.servers[i];
         let left = decay_factor(now, s.outcomes.at, SERVER_MEMORY);
-        let slow = matches!(end.outcome, Outcome::Served | Outcome::TimedOut);
-        if let (Some(held), true) = (a.held_when_sent, slow) {
+        let has_latency = matches!(end.outcome, Outcome::Served | Outcome::TimedOut);
+        if let (Some(held), true) = (a.held_when_sent, has_latency) {
             let expected = works_ahead(held) * mean_work + work.unwrap_or(mean_work);
             let excess_latency = (end.latency.as_secs_f64() - expected).max(0.0);
-            b.excess_latency += (excess_latency - b.excess_latency) * REPORT_ERROR_STEP;
+            b.excess_latency += (excess_latency - b.excess_latency) * MEAN_EXCESS_LATENCY_STEP;
             s.excess_latency =
                 s.excess_latency * left * (1.0 - EXCESS_LATENCY_STEP) + excess_latency * EXCESS_LATENCY_STEP;
         }
--- a/src/policy/market/shares.rs
+++ b/src/policy/market/shares.rs
@@ -6,6 +6,11 @@
 
 /// Solves the shares of each class over its servers. Bounds apply to a server's total flow: each class gets
 /// the part of a bound that it would have of the flow under equal shares.
+///
+/// `inputs` are in the order of the ready servers, `flows` are the classes' arrivals per second, `floor` is
+/// that of [`solve_shares`], and `dt` the seconds since the previous solution. Returns, at the index of the
+/// first class with each placement, the fraction of the arrivals of all classes with it for which no server
+/// has capacity; 0 at the other indices.
 pub(crate) fn solve_classes(
     b: &mut Balancer,
     inputs: &[ShareInput],
@@ -64,7 +69,9 @@
 }
 
 /// share = [1/(price + lambda) − 1/speed]₊, bounded by `max_share`, with sum n: the maximum of Σ ln(1 +
-/// share·speed) − price·share. Finds lambda by Newton steps safeguarded by bisection, and returns it.
+/// share·speed) − price·share. Finds lambda by Newton steps safeguarded by bisection, and returns it. `start`
+/// is where the search starts, and `floor` the minimum of price + lambda at the cheapest server without a
+/// bound, or at the cheapest of all if every server has one.
 pub(super) fn solve_shares(inputs: &[ShareInput], floor: f64, start: f64, shares: &mut Vec<f64>) -> f64 {
     let n = inputs.len() as f64;
     let share = |l: &ShareInput, lambda: f64| match l.price + lambda {
@@ -72,9 +79,9 @@
         // The marginal utility exceeds the cost for any share: only the bound applies.
         _ => l.max_share,
     };
-    // If the bounds do not allow the sum n, the rest is rejected: a lower lambda would fill up even expensive
-    // servers. Bounded servers that stay cheap, such as an idle cold one, are ignored, since they would close
-    // the others.
+    // If the bounds do not allow the sum n, the rest is rejected: a lambda below `floor` less the lowest price
+    // would fill up even expensive servers. Bounded servers that stay cheap, such as an idle cold one, are
+    // ignored, since they would close the others.
     let least =
         |bounded: bool| inputs.iter().filter(move |l| l.max_share.is_finite() == bounded).map(|l| l.price);
     let least = |bounded| least(bounded).fold(f64::INFINITY, f64::min);
--- a/src/state.rs
+++ b/src/state.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Exponentially decaying counts of attempts that were rejected or failed.
+/// Exponentially decaying counts of all attempts and of those that were rejected or failed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OutcomeHistory {
     /// Attempts, weighted by age.
@@ -95,7 +95,7 @@
     /// When it was first listed.
     pub first_listed: Time,
     pub started: Option<Time>,
-    /// Its price divided by the number of ready servers.
+    /// Price of its load: φ of `docs/design/core.md`, divided by the number of ready servers.
     pub price: f64,
     /// Time up to which price steps have been applied.
     pub price_updated: Time,
@@ -115,7 +115,8 @@
     pub samples: f64,
     /// When `speed` was last updated.
     pub speed_updated: Time,
-    /// Recent part of this node's sends that went to this server, up to a constant factor.
+    /// Decaying sum of the shares solved for this server, each class weighted by its part of the arrivals. Only
+    /// its ratio to the sum over all ready servers is meaningful.
     pub recent_share: f64,
     /// When this node last had a connection to it.
     pub last_connected: Option<Time>,
@@ -342,7 +343,8 @@
     pub body_complete: bool,
     /// Whether a streamed answer has started.
     pub streamed: bool,
-    /// Whether nothing is left to be done for the request.
+    /// Whether the end of this attempt calls for no decision: no answer is due, or another attempt is in
+    /// flight.
     pub finished: bool,
 }
 
@@ -382,7 +384,7 @@
     /// Index of the first class with the same placement.
     pub representative: usize,
     pub arrivals: Rate,
-    /// Sends per second over a longer window.
+    /// Attempts sent per second over a longer window; unlike `arrivals`, it counts each retry.
     pub slow_arrivals: Rate,
 }
 
