--- a/src/policy/market/shares.rs
+++ b/src/policy/market/shares.rs
@@ -79,9 +79,9 @@
         // The marginal utility exceeds the cost for any share: only the bound applies.
         _ => l.max_share,
     };
-    // If the bounds do not allow the sum n, the rest is rejected: a lambda below `floor` less the lowest price
-    // would fill up even expensive servers. Bounded servers that stay cheap, such as an idle cold one, are
-    // ignored, since they would close the others.
+    // If the bounds do not allow the sum n, the rest is rejected: a lambda below `floor` less the lowest
+    // price would fill up even expensive servers. Bounded servers that stay cheap, such as an idle cold
+    // one, are ignored, since they would close the others.
     let least =
         |bounded: bool| inputs.iter().filter(move |l| l.max_share.is_finite() == bounded).map(|l| l.price);
     let least = |bounded| least(bounded).fold(f64::INFINITY, f64::min);
